--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -53,7 +53,7 @@
             self._state.count_demand(job.service, job.request.sizes.prompt_tokens)
             if is_shed(self._state, job):
                 return self._give_back(job, ResultCode.QUEUE_FULL, "shed: overloaded")
-        self._state.find_budget(job.service).note_first(trio.current_time())
+        self._state.find_budget(job.service).record_first_attempt(trio.current_time())
         while True:
             set_aside = check_set_aside(self._state, job)
             if set_aside is not None:
@@ -247,7 +247,7 @@
         now = trio.current_time()
         target = choose_target(state, job, server.id, now)
         budget = state.find_budget(job.service)
-        if target is None or not budget.take(now, state.hosts.count()):
+        if target is None or not budget.acquire(now, state.hosts.count()):
             stream.moves_at = float("inf")
             return
         moved = await stop_and_move(server.address, job.request.id, target.address)
@@ -319,9 +319,9 @@
         hosts = self._state.hosts.count()
         if lost.is_not_run and not job.was_moved:
             job.rejections += 1
-            goes_on = job.rejections < REJECTIONS and budget.take(now, hosts)
+            goes_on = job.rejections < REJECTIONS and budget.acquire(now, hosts)
         else:
-            goes_on = self._may_repeat(job) and budget.take(now, hosts)
+            goes_on = self._may_repeat(job) and budget.acquire(now, hosts)
         if goes_on:
             return None
         if job.may_have_run:
--- a/dewridge/gateway/cellview.py
+++ b/dewridge/gateway/cellview.py
@@ -39,4 +39,4 @@
     def realign(self) -> None:
         """Leave what was counted since the last word to those who kept to a share."""
         for totals in (self.used, self.asked, self.demand, self.outcomes):
-            totals.realign()
+            totals.reset_baselines()
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -169,8 +169,8 @@
             hosts=HostTable(host),
             sharing=Sharing(
                 host,
-                ledger.note,
-                ledger.note_asked,
+                ledger.record,
+                ledger.record_remote_demand,
                 started_at=trio.current_time(),
                 boot=boot,
             ),
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -127,10 +127,10 @@
         "digest": suspect.digest,
         "account": suspect.account,
         "service": suspect.service,
-        "set_aside_for_seconds": round(suspect.find_hold_left(now), 1),
-        "ends_counted": len(suspect.list_ends(now)),
+        "set_aside_for_seconds": round(suspect.find_quarantine_left(now), 1),
+        "ends_counted": len(suspect.list_crash_times(now)),
         "seconds_since_ends": {
-            server: round(now - end.at, 1) for server, end in suspect.ends.items()
+            server: round(now - end.at, 1) for server, end in suspect.crashes.items()
         },
         "cleared": sorted(suspect.cleared),
     }
@@ -160,6 +160,6 @@
         "is_reclaimable": bool(record and record.is_reclaimable),
         "in_flight": state.work.requests.get(server, 0),
         "failure_share": round(health.failure_share, 3),
-        "rests_for_seconds": round(max(0.0, health.rests_until - now), 3),
+        "rests_for_seconds": round(max(0.0, health.cooldown_until - now), 3),
         "full_for_seconds": round(max(0.0, health.full_until - now), 3),
     }
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -13,10 +13,10 @@
 from dewridge.policy.scaling import (
     DomainBounds,
     Load,
-    Wanted,
-    find_needed,
-    find_start_need,
-    find_total,
+    WantedServers,
+    count_needed_servers,
+    count_reclaimable_servers,
+    estimate_initial_need,
     plan_servers,
 )
 from dewridge.sentinels import Failure
@@ -122,13 +122,13 @@
         scaling: Scaling,
         domains: dict[FailureDomain, DomainBounds],
         serving: dict[FailureDomain, int],
-    ) -> dict[FailureDomain, Wanted]:
+    ) -> dict[FailureDomain, WantedServers]:
         now = trio.current_time()
         name = service.name
         load = self._find_load(service, now)
-        needed = max(find_needed(load), self._find_start_need(name, now))
+        needed = max(count_needed_servers(load), self._find_start_need(name, now))
         before = self._totals.get(name, 0)
-        total = find_total(needed, before, len(domains))
+        total = count_reclaimable_servers(needed, before, len(domains))
         if total != before or needed != self._needed.get(name):
             log.bind(
                 service=name,
@@ -227,7 +227,7 @@
 
     def _find_start_need(self, service: ServiceName, now: float) -> int:
         since = self._state.demand[service].since
-        return find_start_need(
+        return estimate_initial_need(
             self._found[service],
             self._sum_quotas(),
             0.0 if since is None else now - since,
@@ -303,11 +303,11 @@
 
 
 def list_orders(
-    service: ServiceName, wanted: dict[FailureDomain, Wanted]
+    service: ServiceName, wanted: dict[FailureDomain, WantedServers]
 ) -> list[Order]:
     """Return the orders that a plan means; growth comes before shrinking."""
     orders = []
     for domain, counts in wanted.items():
         orders.append(Order(service, domain, True, counts.reclaimable))
-        orders.append(Order(service, domain, False, counts.lasting))
+        orders.append(Order(service, domain, False, counts.on_demand))
     return orders
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -21,7 +21,7 @@
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import check_set_aside, describe_suspect
 from dewridge.ids import ServiceName
-from dewridge.policy.quota import set_quota
+from dewridge.policy.quota import make_quota
 from dewridge.sentinels import Failure
 
 FRESH_ENOUGH = 1.8
@@ -131,7 +131,7 @@
         amount = find_quota_units(request, account)
         state = self._state
         bounds = state.settings.bounds
-        quota = set_quota(
+        quota = make_quota(
             account.rate,
             account.burst,
             bounds.quota_overrun,
@@ -150,7 +150,7 @@
                 f"{fleet.hosts} hosts, {fleet.silent} silent"
             )
             return Failure(ResultCode.SHARE_EXCEEDED, reason, spread)
-        state.ledger.note(state.host, account.name, amount, now)
+        state.ledger.record(state.host, account.name, amount, now)
         return None
 
     def _make_job(self, request: CallerRequest, judged: Judged) -> Job:
--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -226,13 +226,13 @@
         self._sums.replace(report.cell, report.totals.servers)
         source = (report.host, report.boot)
         totals = report.totals
-        for account, grown in cell.used.note(source, totals.used).items():
+        for account, grown in cell.used.record(source, totals.used).items():
             self.on_use(report.host, account, grown, now)
-        for account, grown in cell.asked.note(source, totals.asked).items():
+        for account, grown in cell.asked.record(source, totals.asked).items():
             self.on_asked(account, grown, now)
-        for service, grown in cell.demand.note(source, totals.demand).items():
+        for service, grown in cell.demand.record(source, totals.demand).items():
             self.on_demand(service, grown, now)
-        for name, grown in cell.outcomes.note(source, totals.outcomes).items():
+        for name, grown in cell.outcomes.record(source, totals.outcomes).items():
             self.on_outcomes(name, grown)
         return True
 
--- a/dewridge/gateway/sharinglink.py
+++ b/dewridge/gateway/sharinglink.py
@@ -32,7 +32,7 @@
 )
 from dewridge.gateway.usagetelling import UsageTeller
 from dewridge.ids import BackendServerId, FailureDomain, HostId
-from dewridge.policy.cells import CellName, deal_cells, find_cell, list_receivers
+from dewridge.policy.cells import CellName, assign_cells, find_cell, list_receivers
 
 GATHER_TIME = 0.02
 """Seconds before urgent news goes out: a failure domain's servers leave within that."""
@@ -91,7 +91,7 @@
     """
     domains = {host: entry.failure_domain for host, entry in entries.items()}
     domains[own] = own_domain
-    cells = deal_cells(domains)
+    cells = assign_cells(domains)
     cell = find_cell(cells, own)
     assert cell is not None
     mates = [host for host in cells[cell] if host != own]
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -234,8 +234,8 @@
 
     def _make_totals(self, now: float) -> Totals:
         return Totals(
-            used=round_all(self.ledger.totals),
-            asked=round_all(self.ledger.asked),
+            used=round_all(self.ledger.usage_totals),
+            asked=round_all(self.ledger.demand_totals),
             demand=round_all(self.own_demand),
             servers=self._list_server_totals(now),
             outcomes=dict(self.rollouts.outcomes),
@@ -261,7 +261,7 @@
         peers = self.hosts.list_peers()
         silent = sum(peer.id not in summary.heard for peer in peers)
         return FleetView(
-            hosts=len(peers) + 1, silent=silent, news_age=self.sharing.news_age
+            hosts=len(peers) + 1, silent=silent, staleness=self.sharing.news_age
         )
 
     def find_part(self) -> Part:
@@ -289,7 +289,7 @@
         for server in gone:
             del self.health[server]
             self.metrics.forget(SERVER_SECONDS, server=server)
-        self.suspects.forget_old(trio.current_time())
+        self.suspects.drop_expired(trio.current_time())
         self.seen_ending = {
             digest for digest in self.seen_ending if self.suspects.find(digest)
         }
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -87,7 +87,7 @@
                 continue
             await self._drop_cleared()
             now = trio.current_time()
-            for suspect in self._state.suspects.list_held(now):
+            for suspect in self._state.suspects.list_quarantined(now):
                 if self._must_write(suspect, now):
                     await self._write(suspect, now)
 
@@ -96,14 +96,14 @@
         if suspect.digest in self._written or find_key(suspect.digest) in items:
             return False
         kept = sum(key.startswith(SUSPECTS_PREFIX) for key in items)
-        if kept >= MOST_KEPT or suspect.find_hold_left(now) < SHORTEST_LEASE:
+        if kept >= MOST_KEPT or suspect.find_quarantine_left(now) < SHORTEST_LEASE:
             return False
         if suspect.digest in self._state.seen_ending:
             return True
-        return self._has_duties() and now - suspect.told_at > OTHERS_WRITE_FOR
+        return self._has_duties() and now - suspect.updated_at > OTHERS_WRITE_FOR
 
     async def _write(self, suspect: Suspect, now: float) -> None:
-        lease = await self._store.grant_lease(suspect.find_hold_left(now))
+        lease = await self._store.grant_lease(suspect.find_quarantine_left(now))
         if isinstance(lease, Failure):
             return
         value = msgspec.json.encode(encode_kept(suspect, now))
@@ -131,7 +131,7 @@
             key = find_key(suspect.digest)
             is_own = suspect.digest in self._written or self._has_duties()
             is_kept = key in self._state.hosts.items and key not in self._dropped
-            if is_own and is_kept and suspect.find_hold_left(now) <= 0:
+            if is_own and is_kept and suspect.find_quarantine_left(now) <= 0:
                 cleared.append(key)
         return cleared
 
@@ -150,7 +150,7 @@
         suspect.service,
         {
             server: (end.at + offset, end.sent_at + offset)
-            for server, end in suspect.ends.items()
+            for server, end in suspect.crashes.items()
         },
         sorted(suspect.cleared),
     )
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -34,7 +34,7 @@
     """
     if state.suspects.is_empty:
         return None
-    left = state.suspects.find_hold_left(job.digest, trio.current_time())
+    left = state.suspects.find_quarantine_left(job.digest, trio.current_time())
     if left <= 0:
         return None
     state.metrics.add("requests_set_aside_total", service=job.service)
@@ -66,7 +66,7 @@
         account=account,
         route=job.route.name,
         server=server,
-        ends=state.suspects.count_ends(job.digest, trio.current_time()),
+        ends=state.suspects.count_crashes(job.digest, trio.current_time()),
     ).warning("server ended under request")
     if is_new:
         state.on_suspects()
@@ -92,11 +92,11 @@
     now = trio.current_time()
     is_new = False
     for suspect in suspects:
-        before = state.suspects.find_hold_left(suspect.digest, now)
+        before = state.suspects.find_quarantine_left(suspect.digest, now)
         if not state.suspects.merge(suspect, now):
             continue
         is_new = True
-        left = state.suspects.find_hold_left(suspect.digest, now)
+        left = state.suspects.find_quarantine_left(suspect.digest, now)
         if left > 0 and before <= 0:
             _log_set_aside(state, suspect.digest, left)
     return is_new
@@ -109,7 +109,7 @@
         digest=digest,
         account=suspect.account,
         service=suspect.service,
-        servers=",".join(sorted(suspect.ends.keys() - suspect.cleared)),
+        servers=",".join(sorted(suspect.crashes.keys() - suspect.cleared)),
         for_seconds=round(left, 1),
     ).warning("request set aside")
 
@@ -142,7 +142,7 @@
             return []
         now = trio.current_time()
         if now - looked_at >= HELD_LOOK_PERIOD:
-            held, looked_at = state.suspects.list_held(now), now
+            held, looked_at = state.suspects.list_quarantined(now), now
         told = take_turn(_list_told(state, now - TOLD_FOR), turn)
         chosen = {one.digest: one for one in [*told, *take_turn(held, turn)]}
         return [encode_suspect(one, now) for one in chosen.values()]
@@ -152,8 +152,8 @@
 
 def _list_told(state: GatewayState, begin: float) -> list[Suspect]:
     """Return what is new since then: first where the most servers ended."""
-    told = state.suspects.list_told_since(begin)
-    return sorted(told, key=lambda one: -len(one.ends))
+    told = state.suspects.list_updated_since(begin)
+    return sorted(told, key=lambda one: -len(one.crashes))
 
 
 def take_turn(suspects: list[Suspect], turn: int) -> list[Suspect]:
@@ -170,7 +170,7 @@
         service=suspect.service,
         ends={
             server: (round((now - end.at) * 1000), round((now - end.sent_at) * 1000))
-            for server, end in suspect.ends.items()
+            for server, end in suspect.crashes.items()
         },
         cleared=sorted(suspect.cleared),
     )
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -83,7 +83,7 @@
     if server is None:
         return None
     keeper = find_keeper(keepers, name_prefix(job), server.id)
-    if keeper is not None and now < state.find_health(keeper).rests_until:
+    if keeper is not None and now < state.find_health(keeper).cooldown_until:
         keeper = None
     address = None if keeper is None else settled[keeper].address
     return Choice(server, placement.tokens, placement.is_idle, address)
@@ -92,7 +92,8 @@
 def is_suspect(state: GatewayState, job: Job, now: float) -> bool:
     """Whether a server ended under this request."""
     return (
-        not state.suspects.is_empty and state.suspects.count_ends(job.digest, now) > 0
+        not state.suspects.is_empty
+        and state.suspects.count_crashes(job.digest, now) > 0
     )
 
 
--- a/dewridge/policy/cells.py
+++ b/dewridge/policy/cells.py
@@ -25,7 +25,7 @@
 Cells = Mapping[CellName, list[HostId]]
 
 
-def deal_cells(hosts: Mapping[HostId, FailureDomain]) -> Cells:
+def assign_cells(hosts: Mapping[HostId, FailureDomain]) -> Cells:
     """Deal hosts into cells; every host comes to the same cells without talk.
 
     A host's cell follows from its name, so that a host that comes or goes changes no
--- a/dewridge/policy/mergedtotals.py
+++ b/dewridge/policy/mergedtotals.py
@@ -31,7 +31,7 @@
     totals: dict[Name, float] = field(default_factory=dict)
     _bases: dict[Source, _Base[Name]] = field(default_factory=dict)
 
-    def note(self, source: Source, told: Mapping[Name, float]) -> dict[Name, float]:
+    def record(self, source: Source, told: Mapping[Name, float]) -> dict[Name, float]:
         """Take over a source's totals; returns the growth by name."""
         base = self._bases.get(source)
         if base is None:
@@ -51,7 +51,7 @@
         host, _ = source
         self._bases = {key: base for key, base in self._bases.items() if key[0] != host}
 
-    def realign(self) -> None:
+    def reset_baselines(self) -> None:
         """Count no growth up to each source's next word."""
         self._bases.clear()
 
--- a/dewridge/policy/placement.py
+++ b/dewridge/policy/placement.py
@@ -83,7 +83,7 @@
         cached: ServerCredits | None,
         now: float,
     ) -> float:
-        duration = servers.usual.predict_duration(work, record)
+        duration = servers.latency_model.predict_duration(work, record)
         price = find_slot_price(record.view) * duration
         view = record.view
         if view.reclaimable and servers.is_under_notice(view.failure_domain, now):
@@ -134,7 +134,7 @@
     """
     if not servers.has_credit(work.work_class, reserve):
         return []
-    kept = servers.find_kept(reserve)
+    kept = servers.find_reserved_share(reserve)
     free = [
         record
         for record in servers.subset
@@ -155,7 +155,7 @@
     if not servers.has_suspended:
         return None
     slack = work.deadline - now
-    if slack < PROBE_SLACK * servers.usual.predict_duration(work):
+    if slack < PROBE_SLACK * servers.latency_model.predict_duration(work):
         return None
     patience = 0.0 if work.idempotent else LAST_PAUSE
     for record in servers.subset:
@@ -168,8 +168,8 @@
     work: Work, servers: Servers, record: ServerCredits, now: float
 ) -> float:
     """Return the expected duration, longer the more credits are in use."""
-    first = max(servers.usual.first_token, record.find_first_token(now))
-    rest = servers.usual.predict_duration(work, record)
+    first = max(servers.latency_model.first_token, record.find_first_token(now))
+    rest = servers.latency_model.predict_duration(work, record)
     return (first + rest) * (1 + record.in_flight / record.limit)
 
 
--- a/dewridge/policy/quota.py
+++ b/dewridge/policy/quota.py
@@ -45,7 +45,7 @@
     judged limit leaves over the bucket's own."""
 
 
-def set_quota(
+def make_quota(
     rate: float, burst: float, overrun: float, slack: float, window: float
 ) -> Quota:
     """Return the bucket that keeps an account within what operators tolerate.
@@ -81,12 +81,12 @@
     Attributes:
         hosts: entry hosts, this one included.
         silent: registered hosts that are not heard.
-        news_age: seconds by which the others' news may lag.
+        staleness: seconds by which the others' news may lag.
     """
 
     hosts: int
     silent: int
-    news_age: float
+    staleness: float
 
     @property
     def heard_part(self) -> float:
@@ -137,8 +137,8 @@
     """The buckets of all accounts as one host keeps them.
 
     Attributes:
-        totals: units that each account used here since the start.
-        asked: units that each account asked for here since the start.
+        usage_totals: units that each account used here since the start.
+        demand_totals: units that each account asked for here since the start.
     """
 
     def __init__(
@@ -162,15 +162,15 @@
         self._starts_full = starts_full
         self._started_at = started_at
         self._buckets: dict[ClientAccount, _Bucket] = {}
-        self.totals: dict[ClientAccount, float] = defaultdict(float)
-        self.asked: dict[ClientAccount, float] = defaultdict(float)
+        self.usage_totals: dict[ClientAccount, float] = defaultdict(float)
+        self.demand_totals: dict[ClientAccount, float] = defaultdict(float)
         self._early: dict[ClientAccount, deque[tuple[float, float]]] = defaultdict(
             deque
         )
         self._asked_here: dict[ClientAccount, _Rate] = defaultdict(_Rate)
         self._asked_elsewhere: dict[ClientAccount, _Rate] = defaultdict(_Rate)
 
-    def note(
+    def record(
         self, host: HostId, account: ClientAccount, amount: float, now: float
     ) -> None:
         """Take use, this host's own or another's, out of the bucket."""
@@ -180,9 +180,11 @@
         else:
             bucket.level -= amount
         if host == self._own:
-            self.totals[account] += amount
+            self.usage_totals[account] += amount
 
-    def note_asked(self, account: ClientAccount, amount: float, now: float) -> None:
+    def record_remote_demand(
+        self, account: ClientAccount, amount: float, now: float
+    ) -> None:
         """Count what an account asked for at other hosts."""
         self._asked_elsewhere[account].add(amount, now)
 
@@ -217,12 +219,12 @@
             fleet: what is known of the other hosts.
             draw: a random number from 0 up to 1.
         """
-        self.asked[account] += amount
+        self.demand_totals[account] += amount
         bucket = self._buckets.get(account)
         if bucket is None:
             bucket = self._open_bucket(account, quota, now)
         bucket.fill(quota, fleet.heard_part, now)
-        unheard = self._find_asked_rate(account, fleet, now) * fleet.news_age
+        unheard = self._find_asked_rate(account, fleet, now) * fleet.staleness
         self._asked_here[account].add(amount, now)
         needed = min(amount, quota.burst * fleet.heard_part)
         left = bucket.level - needed
@@ -244,7 +246,10 @@
     def describe(self) -> dict[str, dict[str, float]]:
         """Return each account's bucket, for a dump."""
         return {
-            account: {"level": round(bucket.level, 1), "used": self.totals[account]}
+            account: {
+                "level": round(bucket.level, 1),
+                "used": self.usage_totals[account],
+            }
             for account, bucket in self._buckets.items()
         }
 
--- a/dewridge/policy/retrybudget.py
+++ b/dewridge/policy/retrybudget.py
@@ -30,12 +30,12 @@
     _first: deque[float] = field(default_factory=deque)
     _repeats: deque[float] = field(default_factory=deque)
 
-    def note_first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count a first sending."""
         self._first.append(now)
         self._prune(now)
 
-    def take(self, now: float, hosts: int) -> bool:
+    def acquire(self, now: float, hosts: int) -> bool:
         """Take one repeat out of the budget if it has one."""
         self._prune(now)
         share = self.slack / max(1, hosts)
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -53,10 +53,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class WantedServers:
     """Servers wanted in one failure domain: lasting ones and reclaimable ones."""
 
-    lasting: int
+    on_demand: int
     reclaimable: int
 
 
@@ -77,14 +77,14 @@
     slots: int = 1
 
 
-def find_needed(load: Load) -> int:
+def count_needed_servers(load: Load) -> int:
     """Return how many servers a load needs, by what they read and by their slots."""
     by_reading = load.rate / (load.pace * TARGET_LOAD)
     by_slots = load.in_flight / (max(1, load.slots) * SLOT_LOAD)
     return math.ceil(max(by_reading, by_slots))
 
 
-def find_start_need(
+def estimate_initial_need(
     found: int, quotas: float, working_for: float, needed_before: int | None
 ) -> int:
     """Return how many servers to count as needed while the demand is not known.
@@ -104,11 +104,11 @@
     if needed_before is not None:
         return needed_before
     if quotas > 0:
-        return find_needed(Load(QUOTA_SHARE * quotas))
+        return count_needed_servers(Load(QUOTA_SHARE * quotas))
     return math.ceil(START_SHARE * found)
 
 
-def find_total(needed: int, before: int, domains: int) -> int:
+def count_reclaimable_servers(needed: int, before: int, domains: int) -> int:
     """Return how many reclaimable servers to want over all failure domains.
 
     So many that what is needed is left when one domain is reclaimed: a lasting server
@@ -133,7 +133,7 @@
     needed: int,
     *,
     is_reclaiming: bool = False,
-) -> dict[FailureDomain, Wanted]:
+) -> dict[FailureDomain, WantedServers]:
     """Want reclaimable servers everywhere, and lasting ones while some are missing.
 
     Made for reclaims that come in waves, domain after domain, with no reclaimable
@@ -155,8 +155,8 @@
     spread = _spread(total, cheapest)
     lasting = _spread(count_lasting(serving, needed, is_reclaiming), cheapest)
     return {
-        domain: Wanted(
-            lasting=min(lasting[domain], bounds.most),
+        domain: WantedServers(
+            on_demand=min(lasting[domain], bounds.most),
             reclaimable=max(0, min(spread[domain], bounds.most - lasting[domain])),
         )
         for domain, bounds in domains.items()
--- a/dewridge/policy/scheduler.py
+++ b/dewridge/policy/scheduler.py
@@ -95,7 +95,7 @@
         self._refresh(now)
         cost = measure_cost(work)
         if work.work_class is WorkClass.INTERACTIVE:
-            duration = self._servers.usual.predict_duration(work)
+            duration = self._servers.latency_model.predict_duration(work)
             self._servers.reserve.note_offer(duration)
         failure = self._admit(work, self._view_admission(work, cost, now), now)
         if failure is not None:
@@ -165,7 +165,7 @@
         attempt.last_token_at = now
         attempt.tokens += self._service.kind == "model"
         work_class = attempt.entry.work.work_class
-        self._servers.learn_first_token(server, request, work_class, now)
+        self._servers.record_first_token(server, request, work_class, now)
 
     def note_tokens(
         self, request: RequestId, server: BackendServerId, count: int, now: float
@@ -196,7 +196,7 @@
             self.note_first_token(request, server, now)
         record = self._end_attempt(attempt, outcome, now)
         if record is not None:
-            self._servers.learn_end(record, request, outcome, now)
+            self._servers.handle_attempt_end(record, request, outcome, now)
         if outcome is AttemptOutcome.DONE:
             self._usage.count_answer(attempt, self._profile.targets, now)
             return None
@@ -210,7 +210,7 @@
         Told again of the same server, it speaks only of requests that it has
         not planned for, unless the server goes earlier than their moves.
         """
-        self._servers.note_leaving(server, leaving_at, now)
+        self._servers.handle_leaving(server, leaving_at, now)
         record = self._servers.records.get(server)
         running = [
             (attempt, self._predict_rest(attempt, record, now))
@@ -228,7 +228,7 @@
         stopped at its time, and its end noted as LEAVING.
         """
         moves: list[Move] = []
-        for server in self._servers.take_slow():
+        for server in self._servers.pop_slow_servers():
             running = [
                 attempt
                 for attempt in self._by_server.get(server, {}).values()
@@ -277,11 +277,11 @@
         queue = self._backlog.queue
         servers = self._servers
         guess = self._guess_credit_pace(work)
-        expected = servers.usual.predict_duration(work) * servers.least_price
+        expected = servers.latency_model.predict_duration(work) * servers.min_price
         return AdmissionView(
             cost=cost,
-            first_token=servers.usual.first_token,
-            duration=servers.usual.find_duration(work, now),
+            first_token=servers.latency_model.first_token,
+            duration=servers.latency_model.find_duration(work, now),
             class_cost=queue.find_cost(work.work_class),
             account_cost=queue.find_account_cost(work.work_class, work.account),
             account_share=queue.find_share(work.work_class, work.account),
@@ -294,7 +294,7 @@
         )
 
     def _guess_credit_pace(self, work: Work) -> float:
-        duration = max(self._servers.usual.predict_duration(work), 1e-6)
+        duration = max(self._servers.latency_model.predict_duration(work), 1e-6)
         return measure_cost(work) / duration
 
     def _refresh(self, now: float) -> None:
@@ -311,7 +311,9 @@
 
     def _enqueue(self, entry: QueueEntry, is_charged: bool, now: float) -> None:
         if self._drops_hopeless:
-            shortest = OPTIMISM * self._servers.usual.find_duration(entry.work, now)
+            shortest = OPTIMISM * self._servers.latency_model.find_duration(
+                entry.work, now
+            )
             entry.latest_start = entry.work.deadline - shortest
         self._backlog.add(entry, is_charged, now)
 
@@ -320,7 +322,7 @@
     ) -> Assignment:
         work = entry.work
         self._backlog.take(entry, now)
-        self._servers.take(record, work.request, work.work_class, now)
+        self._servers.acquire(record, work.request, work.work_class, now)
         price = find_slot_price(record.view)
         attempt = RunningAttempt(entry, record.view.id, now, price)
         self._running[work.request] = attempt
@@ -341,7 +343,7 @@
             del self._by_server[attempt.server]
         record = self._servers.records.get(attempt.server)
         if record is not None:
-            self._servers.give_back(record, request, attempt.entry.work.work_class)
+            self._servers.release(record, request, attempt.entry.work.work_class)
             cost = self._usage.count_attempt(attempt, record.view, outcome, now)
             self._budget.charge(cost, now)
         return record
@@ -377,7 +379,9 @@
     def _predict_rest(
         self, attempt: RunningAttempt, record: ServerCredits | None, now: float
     ) -> float:
-        expected = self._servers.usual.predict_duration(attempt.entry.work, record)
+        expected = self._servers.latency_model.predict_duration(
+            attempt.entry.work, record
+        )
         return max(0.0, expected - (now - attempt.sent_at))
 
     def _find_attempt(
--- a/dewridge/policy/serverhealth.py
+++ b/dewridge/policy/serverhealth.py
@@ -62,14 +62,14 @@
     Attributes:
         failures: failures in a row.
         failure_share: smoothed share of failed attempts.
-        rests_until: steady time until which it gets no work if others can.
+        cooldown_until: steady time until which it gets no work if others can.
         full_until: steady time until which it counts as full.
         recent: recent attempts, as the other hosts are told.
     """
 
     failures: int = 0
     failure_share: float = 0.0
-    rests_until: float = float("-inf")
+    cooldown_until: float = float("-inf")
     full_until: float = float("-inf")
     recent: OutcomeMeter = field(default_factory=OutcomeMeter)
 
@@ -87,7 +87,7 @@
         if is_hard or self.failures >= FAILURES_TO_REST:
             doublings = min(self.failures - 1, 4)
             rest = min(LONGEST_REST, FIRST_REST * 2.0**doublings)
-            self.rests_until = now + rest
+            self.cooldown_until = now + rest
 
     def is_usable(
         self, now: float, fleet_share: float | None, median_share: float
@@ -106,7 +106,7 @@
                 there were too few to tell.
             median_share: median of the service's servers.
         """
-        if now < self.rests_until or now < self.full_until:
+        if now < self.cooldown_until or now < self.full_until:
             return False
         share = self.failure_share if fleet_share is None else fleet_share
         return share <= median_share + SHED_SHARE
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -37,7 +37,7 @@
         self.records: dict[BackendServerId, ServerCredits] = {}
         self.subset: list[ServerCredits] = []
         self.fleet: list[ServerView] = []
-        self.usual = Usual(targets, is_plain)
+        self.latency_model = Usual(targets, is_plain)
         self.mean_in_flight = 0.0
         self.total_limit = 0.0
         self.has_suspended = False
@@ -54,11 +54,11 @@
         self._member_ids: frozenset[BackendServerId] = frozenset()
         self._notices: dict[FailureDomain, float] = {}
         self._refresh_at = 0.0
-        self.least_price = 0.0
+        self.min_price = 0.0
 
     def configure(self, targets: LatencyTargets, most: int) -> None:
         """Take over a profile's targets and size of the subset."""
-        self.usual.set_targets(targets)
+        self.latency_model.set_targets(targets)
         if most != self._most:
             self._most = most
             self._choose_subset()
@@ -98,7 +98,7 @@
             self._member_ids = members
             self._choose_subset()
 
-    def note_leaving(
+    def handle_leaving(
         self, server: BackendServerId, leaving_at: float, now: float
     ) -> None:
         """Give a server no new work from now on."""
@@ -123,7 +123,7 @@
             record = self._make_record(view)
         return record
 
-    def take(
+    def acquire(
         self,
         record: ServerCredits,
         request: RequestId,
@@ -135,7 +135,7 @@
         self.in_flight += 1
         self.background += work_class is WorkClass.BACKGROUND
 
-    def give_back(
+    def release(
         self, record: ServerCredits, request: RequestId, work_class: WorkClass
     ) -> None:
         """Free the credit of a request that ended."""
@@ -153,7 +153,7 @@
         """
         total = max(1.0, self.total_limit)
         if work_class is WorkClass.BACKGROUND:
-            kept = self.find_kept(share) * total
+            kept = self.find_reserved_share(share) * total
             most = max(1.0, total - kept)
             return self.in_flight < total and self.background < most
         # Drafts may hold all credits of this host while those of others lie
@@ -162,7 +162,7 @@
         extra = min(OVERDRAFT * total, self.background)
         return self.in_flight < total + extra
 
-    def find_kept(self, share: float) -> float:
+    def find_reserved_share(self, share: float) -> float:
         """Return the part of the credits to keep for interactive work now."""
         total = max(1.0, self.total_limit)
         return self.reserve.find_credits(share * total) / total
@@ -172,7 +172,7 @@
         noticed_at = self._notices.get(domain)
         return noticed_at is not None and now - noticed_at < NOTICE_MEMORY
 
-    def learn_first_token(
+    def record_first_token(
         self,
         server: BackendServerId,
         request: RequestId,
@@ -186,13 +186,13 @@
         sample = record.note_first_token(request, work_class, now)
         if sample is None:
             return
-        self.usual.note_sample(now)
+        self.latency_model.note_sample(now)
         if record.probe == request:
             self._judge_probe(record, sample, now)
         elif record.health is Health.GOOD:
-            self.usual.adjust_credits(record, sample, work_class, now)
+            self.latency_model.adjust_credits(record, sample, work_class, now)
 
-    def learn_end(
+    def handle_attempt_end(
         self,
         record: ServerCredits,
         request: RequestId,
@@ -222,11 +222,11 @@
     def _suspend_slow(self, now: float) -> None:
         for record in self.subset:
             is_suspended = record.health is Health.SUSPENDED
-            if not is_suspended and self.usual.is_slow(record, now):
+            if not is_suspended and self.latency_model.is_slow(record, now):
                 record.suspend(now, self._rng.random())
                 self.turned_slow.append(record.view.id)
 
-    def take_slow(self) -> list[BackendServerId]:
+    def pop_slow_servers(self) -> list[BackendServerId]:
         """Return the servers that turned slow since the last call."""
         if not self.turned_slow:
             return []
@@ -258,13 +258,13 @@
 
     def _learn(self, now: float) -> None:
         good = [r for r in self.subset if r.health is Health.GOOD]
-        self.usual.learn(good)
+        self.latency_model.learn(good)
         self.total_limit = sum(r.limit for r in good)
         self.mean_in_flight = sum(r.in_flight for r in good) / max(1, len(good))
         self.reserve.settle(now)
 
     def _judge_probe(self, record: ServerCredits, sample: float, now: float) -> None:
-        if self.usual.is_good(sample):
+        if self.latency_model.is_good(sample):
             record.recover(sample)
         else:
             record.suspend(now, self._rng.random())
@@ -280,7 +280,7 @@
             record.set_share(self._find_share(record.view))
         self._refresh_at = 0.0
         prices = [find_slot_price(view) for view in views]
-        self.least_price = min(prices, default=0.0)
+        self.min_price = min(prices, default=0.0)
         kept = {view.id for view in views}
         for server, record in list(self.records.items()):
             if server not in kept and record.in_flight == 0:
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -20,8 +20,8 @@
 from dewridge.membership.model import Rumor, Rumors
 from dewridge.policy.losses import Loss, Reach, judge_loss
 from dewridge.policy.suspects import (
-    HOLD,
-    MOST_SUSPECTS,
+    MAX_SUSPECTS,
+    QUARANTINE_PERIOD,
     End,
     Suspect,
     SuspectLedger,
@@ -81,7 +81,7 @@
         if self._ledger.is_empty:
             return None
         digest = name_request(account, service, operation, content)
-        left = self._ledger.find_hold_left(digest, self._shared.clock())
+        left = self._ledger.find_quarantine_left(digest, self._shared.clock())
         if left <= 0:
             return None
         self._shared.metrics.add("requests_set_aside_total", service=service)
@@ -123,7 +123,7 @@
             operation=record.operation,
             server=attempt.server,
         ).warning("server ended under request")
-        is_full = len(self._ledger.list_all()) >= MOST_SUSPECTS
+        is_full = len(self._ledger.list_all()) >= MAX_SUSPECTS
         if is_full and self._ledger.find(digest) is None:
             # Under an attack with many such requests rumors must not grow on.
             return
@@ -139,8 +139,8 @@
         suspect = self._ledger.find(digest)
         if suspect is None:
             return
-        for server in suspect.ends.keys() - suspect.cleared:
-            end = suspect.ends[server]
+        for server in suspect.crashes.keys() - suspect.cleared:
+            end = suspect.crashes[server]
             payload = EndPayload(account, record.service, end.at, end.sent_at)
             self._spread(digest, server, CLEARED, payload)
 
@@ -153,7 +153,9 @@
     ) -> None:
         subject = f"{digest}/{server}"
         content = msgspec.json.encode(payload)
-        self._rumors.spread(Rumor(KIND_ENDED, subject, version, content, lifetime=HOLD))
+        self._rumors.spread(
+            Rumor(KIND_ENDED, subject, version, content, lifetime=QUARANTINE_PERIOD)
+        )
 
     def _hear(self, rumor: Rumor) -> None:
         try:
@@ -176,10 +178,10 @@
 
     def _take(self, suspect: Suspect) -> None:
         now = self._shared.clock()
-        before = self._ledger.find_hold_left(suspect.digest, now)
-        self._ledger.forget_old(now)
+        before = self._ledger.find_quarantine_left(suspect.digest, now)
+        self._ledger.drop_expired(now)
         self._ledger.merge(suspect, now)
-        left = self._ledger.find_hold_left(suspect.digest, now)
+        left = self._ledger.find_quarantine_left(suspect.digest, now)
         if left > 0 and before <= 0:
             log.bind(
                 digest=suspect.digest,
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -24,7 +24,13 @@
 from dewridge.ids import BackendServerId, RequestDigest
 from dewridge.platform.store import Listing
 from dewridge.policy.losses import YOUNG, Loss, Reach
-from dewridge.policy.suspects import HOLD, MOST_SUSPECTS, End, Suspect, SuspectLedger
+from dewridge.policy.suspects import (
+    MAX_SUSPECTS,
+    QUARANTINE_PERIOD,
+    End,
+    Suspect,
+    SuspectLedger,
+)
 from dewridge.tests.gateway.memorystore import MemoryStore, StoreData
 from dewridge.tests.gateway.world import (
     ACCOUNT,
@@ -114,7 +120,7 @@
             await trio.sleep(YOUNG + 0.3)
             for number in range(SENDINGS):
                 await send_crashing(world, f"r-{number}")
-        held = world.state.suspects.list_held(trio.current_time())
+        held = world.state.suspects.list_quarantined(trio.current_time())
     assert [answer.status for answer in answers] == [200] * 6
     assert all(answer.is_whole for answer in answers)
     assert len(held) == 1
@@ -165,7 +171,7 @@
             for server in servers[: SERVERS // 2]:
                 server.end()
     assert statuses == [200] * SERVERS
-    assert world.state.suspects.list_held(trio.current_time()) == []
+    assert world.state.suspects.list_quarantined(trio.current_time()) == []
 
 
 async def test_a_lost_answer_of_a_server_that_lives_blames_no_request() -> None:
@@ -234,14 +240,14 @@
     for news in told:
         wire = msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=SuspectNews)
         ledger.merge(decode_suspect(wire, 500.0), 500.0)
-    assert ledger.find_hold_left(DIGEST, 500.0) > 0
+    assert ledger.find_quarantine_left(DIGEST, 500.0) > 0
 
 
 async def test_news_of_many_suspects_stays_small() -> None:
     """Guards against reports that swell with each request a server's end touches."""
     state = make_state(make_configuration())
     now = trio.current_time()
-    for number in range(MOST_SUSPECTS):
+    for number in range(MAX_SUSPECTS):
         ends = {
             BackendServerId(f"i-{number}{one}-0123456789"): End(now - one, now - one)
             for one in range(3)
@@ -249,9 +255,9 @@
         digest = RequestDigest(f"{number:016x}")
         state.suspects.merge(Suspect(digest, ACCOUNT, ENGINE, ends), now)
     list_news = make_news_list(state)
-    turns = [list_news(turn) for turn in range(MOST_SUSPECTS)]
+    turns = [list_news(turn) for turn in range(MAX_SUSPECTS)]
     assert max(len(msgspec.msgpack.encode(news)) for news in turns) < 1_500
-    assert len({one.digest for news in turns for one in news}) == MOST_SUSPECTS
+    assert len({one.digest for news in turns for one in news}) == MAX_SUSPECTS
 
 
 @pytest.mark.parametrize("is_down_first", [False, True])
@@ -282,7 +288,10 @@
     listing = await MemoryStore(data).list_items(PREFIX)
     assert isinstance(listing, Listing)
     after.hosts.replace(listing)
-    assert after.suspects.find_hold_left(DIGEST, trio.current_time()) > HOLD - 10
+    assert (
+        after.suspects.find_quarantine_left(DIGEST, trio.current_time())
+        > QUARANTINE_PERIOD - 10
+    )
     assert store.calls <= 12
 
 
@@ -401,7 +410,7 @@
             await trio.sleep(0.01)
             leaving.cancel_scope.cancel()
         suspects = world.state.suspects.list_all()
-    assert [one.ends.keys() for one in suspects] == [{record.id}]
+    assert [one.crashes.keys() for one in suspects] == [{record.id}]
 
 
 async def test_an_answer_takes_earlier_ends_back() -> None:
@@ -414,9 +423,9 @@
                 server.script = answer_events
         answer = await send_crashing(world, "r-2")
         suspect = world.state.suspects.list_all()[0]
-        counted = suspect.list_ends(trio.current_time())
+        counted = suspect.list_crash_times(trio.current_time())
     assert answer.status == 200
-    assert len(suspect.ends) == 2
+    assert len(suspect.crashes) == 2
     assert counted == []
 
 
@@ -436,7 +445,7 @@
         await add_crashing_servers(world)
         for number in range(2):
             await send_crashing(world, f"r-{number}")
-        used = world.state.ledger.totals[ACCOUNT]
+        used = world.state.ledger.usage_totals[ACCOUNT]
         answer = await send_crashing(world, "r-9")
     assert answer.status == 503
-    assert world.state.ledger.totals[ACCOUNT] == used
+    assert world.state.ledger.usage_totals[ACCOUNT] == used
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -208,7 +208,7 @@
     """Connect a host's sharing to its rollouts and start a trial."""
     state.sharing = Sharing(
         state.host,
-        state.ledger.note,
+        state.ledger.record,
         on_outcomes=state.rollouts.add_remote_count,
         is_outcome_open=state.rollouts.is_outcome_open,
     )
--- a/dewridge/tests/gateway/telling_tests.py
+++ b/dewridge/tests/gateway/telling_tests.py
@@ -178,7 +178,7 @@
         metrics = (await world.ask("/metrics")).body.decode()
         path = f"/suspects/{suspect['digest']}"
         statuses = [(await world.ask(path, method="DELETE")).status for _ in range(2)]
-        held = world.state.suspects.list_held(trio.current_time())
+        held = world.state.suspects.list_quarantined(trio.current_time())
     story = "\n".join(explain_request(read_lines(lines.open()), "r-2"))
     assert suspect["account"] == "account-1"
     assert suspect["ends_counted"] == 3
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -29,7 +29,12 @@
 from dewridge.platform.cloud import Tenure
 from dewridge.platform.store import Item
 from dewridge.policy.pacing import LINK_SHARE, Pace
-from dewridge.policy.suspects import ENDS_BORNE, SAME_MOMENT, End, Suspect
+from dewridge.policy.suspects import (
+    CRASH_THRESHOLD,
+    SIMULTANEOUS_CRASH_WINDOW,
+    End,
+    Suspect,
+)
 from dewridge.tests.gateway.duties_tests import AlwaysHolder, RecordingCloud
 from dewridge.tests.gateway.memorystore import MemoryStore
 from dewridge.tests.gateway.state_tests import make_record
@@ -314,21 +319,21 @@
             await host.start(nursery)
             host.work()
         await trio.sleep(2.0)
-        for number in range(ENDS_BORNE):
+        for number in range(CRASH_THRESHOLD):
             host = fleet[7 + 17 * number]
             beside = [RequestDigest(f"beside-{number}-{n}") for n in range(30)]
             for digest in [*beside, cause]:
                 note_seen_end(host, digest, SERVERS[number])
             host.state.on_suspects()
-            await trio.sleep(2 * SAME_MOMENT)
-        await trio.sleep(SUSPECTS_KNOWN_WITHIN - 2 * SAME_MOMENT)
+            await trio.sleep(2 * SIMULTANEOUS_CRASH_WINDOW)
+        await trio.sleep(SUSPECTS_KNOWN_WITHIN - 2 * SIMULTANEOUS_CRASH_WINDOW)
         now = trio.current_time()
         unaware = [
             host.id
             for host in fleet
-            if host.state.suspects.find_hold_left(cause, now) <= 0
+            if host.state.suspects.find_quarantine_left(cause, now) <= 0
         ]
-        wrongly = [len(host.state.suspects.list_held(now)) - 1 for host in fleet]
+        wrongly = [len(host.state.suspects.list_quarantined(now)) - 1 for host in fleet]
         nursery.cancel_scope.cancel()
     assert not unaware
     assert not any(wrongly)
--- a/dewridge/tests/gateway/world.py
+++ b/dewridge/tests/gateway/world.py
@@ -134,7 +134,7 @@
         configuration=ConfigurationState(trusted_for=4.0),
         servers=ServerTable(),
         hosts=HostTable(HOST),
-        sharing=Sharing(HOST, ledger.note),
+        sharing=Sharing(HOST, ledger.record),
         ledger=ledger,
         pool=ConnectionPool(),
         ingress=IngressState(Limits(), connection_limit=100),
--- a/dewridge/tests/policy/cells_tests.py
+++ b/dewridge/tests/policy/cells_tests.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dewridge.ids import FailureDomain, HostId
-from dewridge.policy.cells import Cells, deal_cells, find_cell, list_receivers
+from dewridge.policy.cells import Cells, assign_cells, find_cell, list_receivers
 
 
 def make_hosts(count: int, domains: int) -> dict[HostId, FailureDomain]:
@@ -27,7 +27,7 @@
 
 
 def test_a_small_fleet_is_one_cell() -> None:
-    cells = deal_cells(make_hosts(9, 4))
+    cells = assign_cells(make_hosts(9, 4))
     assert len(cells) == 1
     assert list_receivers(cells, HostId("host-0"), 1) == []
 
@@ -36,7 +36,7 @@
 def test_every_host_hears_of_every_other_cell_each_round(
     count: int, domains: int
 ) -> None:
-    cells = deal_cells(make_hosts(count, domains))
+    cells = assign_cells(make_hosts(count, domains))
     for number in (1, 2):
         told = list_told_cells(cells, number)
         for host in make_hosts(count, domains):
@@ -49,7 +49,7 @@
     If it alone told some hosts, these would believe the whole cell dead and keep
     its accounts to a smaller share.
     """
-    cells = deal_cells(make_hosts(85, 4))
+    cells = assign_cells(make_hosts(85, 4))
     host = HostId("host-3")
     for name, members in cells.items():
         if host in members or len(members) < 2:
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize(("count", "most"), [(85, 30), (440, 70)])
 def test_messages_a_round_grow_like_the_square_root(count: int, most: int) -> None:
-    cells = deal_cells(make_hosts(count, 4))
+    cells = assign_cells(make_hosts(count, 4))
     for host in make_hosts(count, 4):
         cell = find_cell(cells, host)
         assert cell is not None
@@ -73,7 +73,7 @@
 
 def test_a_host_that_goes_leaves_the_others_in_their_cells() -> None:
     hosts = make_hosts(85, 4)
-    before = deal_cells(hosts)
+    before = assign_cells(hosts)
     del hosts[HostId("host-11")]
-    after = deal_cells(hosts)
+    after = assign_cells(hosts)
     assert all(find_cell(before, host) == find_cell(after, host) for host in hosts)
--- a/dewridge/tests/policy/quota_tests.py
+++ b/dewridge/tests/policy/quota_tests.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from dewridge.ids import ClientAccount, HostId
-from dewridge.policy.quota import FleetView, Quota, QuotaLedger, set_quota
+from dewridge.policy.quota import FleetView, Quota, QuotaLedger, make_quota
 
 ACCOUNT = ClientAccount("account-1")
 WINDOW = 8.0
@@ -42,7 +42,7 @@
         self._pending.append((self.now + self.delay, name, amount, used))
         if wait > 0:
             return False
-        self.ledgers[name].note(name, ACCOUNT, amount, self.now)
+        self.ledgers[name].record(name, ACCOUNT, amount, self.now)
         self.used.append((self.now, amount))
         return True
 
@@ -59,8 +59,8 @@
         for _, source, asked, used in due:
             for other in self.names:
                 if other != source and not {source, other} & self.cut:
-                    self.ledgers[other].note(source, ACCOUNT, used, self.now)
-                    self.ledgers[other].note_asked(ACCOUNT, asked, self.now)
+                    self.ledgers[other].record(source, ACCOUNT, used, self.now)
+                    self.ledgers[other].record_remote_demand(ACCOUNT, asked, self.now)
 
     def kill_all(self) -> None:
         """Kill all processes and start them again, with nothing remembered."""
@@ -193,9 +193,9 @@
 
 def test_totals_only_count_own_use() -> None:
     ledger = QuotaLedger(HostId("a"))
-    ledger.note(HostId("b"), ACCOUNT, 5.0, 1.0)
-    ledger.note(HostId("a"), ACCOUNT, 3.0, 1.0)
-    assert ledger.totals == defaultdict(float, {ACCOUNT: 3.0})
+    ledger.record(HostId("b"), ACCOUNT, 5.0, 1.0)
+    ledger.record(HostId("a"), ACCOUNT, 3.0, 1.0)
+    assert ledger.usage_totals == defaultdict(float, {ACCOUNT: 3.0})
 
 
 def test_a_request_larger_than_the_burst_can_still_run() -> None:
@@ -241,7 +241,7 @@
     Operators tolerate that much in each window. With the tolerance given as a burst it
     is gone after the first second, and callers are refused for the rest of the day.
     """
-    tolerated = set_quota(1000.0, 1000.0, overrun=0.1, slack=4000.0, window=WINDOW)
+    tolerated = make_quota(1000.0, 1000.0, overrun=0.1, slack=4000.0, window=WINDOW)
     as_burst = Quota(1060.0, 1060.0 + 2400.0)
     served, most = serve_steadily(tolerated, 1600.0)
     served_by_burst, _ = serve_steadily(as_burst, 1600.0)
@@ -253,7 +253,7 @@
 def test_a_bucket_never_exceeds_what_operators_tolerate(
     rate: float, burst: float, overrun: float, slack: float
 ) -> None:
-    quota = set_quota(rate, burst, overrun, slack, WINDOW)
+    quota = make_quota(rate, burst, overrun, slack, WINDOW)
     tolerated = (rate * WINDOW + burst) * (1 + overrun) + slack
     used = quota.burst + WINDOW * quota.rate
     assert used <= tolerated * (1 + 1e-9)
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -24,9 +24,9 @@
     TARGET_LOAD,
     DomainBounds,
     Load,
-    find_needed,
-    find_start_need,
-    find_total,
+    count_needed_servers,
+    count_reclaimable_servers,
+    estimate_initial_need,
     plan_servers,
 )
 from dewridge.policy.serverhealth import (
@@ -300,9 +300,9 @@
     for step in range(1000):
         now = step * 0.01
         budget = rng.choice(budgets)
-        budget.note_first(now)
+        budget.record_first_attempt(now)
         firsts += 1
-        repeats += budget.take(now, hosts)
+        repeats += budget.acquire(now, hosts)
     assert 0 < repeats <= 0.2 * firsts + 54
 
 
@@ -318,7 +318,7 @@
     """Return the lasting servers wanted when these reclaimable ones serve."""
     known = {FailureDomain(name): n for name, n in serving.items()}
     plan = plan_servers(DOMAINS, known, 12, needed, is_reclaiming=is_reclaiming)
-    return sum(wanted.lasting for wanted in plan.values())
+    return sum(wanted.on_demand for wanted in plan.values())
 
 
 def test_lasting_servers_replace_what_the_demand_lacks() -> None:
@@ -352,9 +352,9 @@
 def test_lasting_servers_come_where_they_are_cheapest() -> None:
     serving = dict.fromkeys(DOMAINS, 2) | {FailureDomain("a"): 0}
     plan = plan_servers(DOMAINS, serving, 12, 12)
-    assert plan[FailureDomain("b")].lasting == 2
-    assert plan[FailureDomain("d")].lasting == 1
-    assert plan[FailureDomain("c")].lasting == 1
+    assert plan[FailureDomain("b")].on_demand == 2
+    assert plan[FailureDomain("d")].on_demand == 1
+    assert plan[FailureDomain("c")].on_demand == 1
 
 
 def replay_demand(rates: list[float]) -> list[int]:
@@ -365,8 +365,8 @@
         for part in range(10):
             meter.add(rate / 10, second + part / 10)
         now = second + 1.0
-        needed = find_needed(Load(meter.find_rate(now)))
-        totals.append(find_total(needed, totals[-1] if totals else 0, 4))
+        needed = count_needed_servers(Load(meter.find_rate(now)))
+        totals.append(count_reclaimable_servers(needed, totals[-1] if totals else 0, 4))
     return totals
 
 
@@ -377,8 +377,8 @@
     the next crest.
     """
     totals = replay_demand([90_000.0] * 30 + [480_000.0] * 10 + [90_000.0] * 40)
-    calm = find_total(find_needed(Load(90_000.0)), 0, 4)
-    full = 0.9 * find_total(find_needed(Load(480_000.0)), 0, 4)
+    calm = count_reclaimable_servers(count_needed_servers(Load(90_000.0)), 0, 4)
+    full = 0.9 * count_reclaimable_servers(count_needed_servers(Load(480_000.0)), 0, 4)
     assert totals[0] >= 4
     assert totals[29] == calm
     assert totals[33] > 2 * calm
@@ -394,7 +394,7 @@
     """
     for needed in range(1, 40):
         for domains in (2, 3, 7):
-            total = find_total(needed, 0, domains)
+            total = count_reclaimable_servers(needed, 0, domains)
             largest = math.ceil(total / domains)
             assert total - largest >= needed - 1
             assert total <= 1.34 * needed * domains / (domains - 1) + domains
@@ -413,7 +413,9 @@
         waited = rng.random() < 0.05
         fast.add(tokens, tokens / 60_000 + waited)
         slow.add(tokens, tokens / 20_000 + waited)
-    needed = [find_needed(Load(100_000.0, pace.find())) for pace in (fast, slow)]
+    needed = [
+        count_needed_servers(Load(100_000.0, pace.find())) for pace in (fast, slow)
+    ]
     assert needed[0] == 4
     assert 8 <= needed[1] <= 12
     assert ReadingPace().find() == USUAL_PACE
@@ -436,7 +438,7 @@
 
     Counted by what is read alone one server would do, and the rest would queue.
     """
-    assert find_needed(Load(1_000.0, USUAL_PACE, in_flight=96, slots=32)) == 5
+    assert count_needed_servers(Load(1_000.0, USUAL_PACE, in_flight=96, slots=32)) == 5
 
 
 def test_a_wave_does_not_move_servers_up_and_down() -> None:
@@ -458,10 +460,10 @@
     """
     quotas = 3_000_000.0
     asked = math.ceil(0.33 * quotas / (USUAL_PACE * TARGET_LOAD))
-    assert find_start_need(20, quotas, 0.0, None) == asked
-    assert find_start_need(20, quotas, 5.0, None) == asked
-    assert find_start_need(20, 0.0, 5.0, None) == 16
-    assert find_start_need(20, 3_000_000.0, 13.0, None) == 0
+    assert estimate_initial_need(20, quotas, 0.0, None) == asked
+    assert estimate_initial_need(20, quotas, 5.0, None) == asked
+    assert estimate_initial_need(20, 0.0, 5.0, None) == 16
+    assert estimate_initial_need(20, 3_000_000.0, 13.0, None) == 0
 
 
 def test_a_restart_of_all_hosts_keeps_to_the_demand_before_it() -> None:
@@ -470,7 +472,7 @@
     Planned from the quotas, it would order servers for twice the demand, most of them
     lasting ones while reclaims leave no others.
     """
-    assert find_start_need(20, 3_000_000.0, 2.0, needed_before=23) == 23
+    assert estimate_initial_need(20, 3_000_000.0, 2.0, needed_before=23) == 23
 
 
 def test_the_least_urgent_work_is_shed_first_and_by_degrees() -> None:
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -9,10 +9,10 @@
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest, ServiceName
 from dewridge.policy.losses import YOUNG, Loss, Reach, ServerVerdict, judge_loss
 from dewridge.policy.suspects import (
-    ENDS_BORNE,
-    HOLD,
+    CRASH_THRESHOLD,
+    MAX_SUSPECTS,
     MOST_ENDS,
-    MOST_SUSPECTS,
+    QUARANTINE_PERIOD,
     End,
     Suspect,
     SuspectLedger,
@@ -35,10 +35,12 @@
 def test_ends_that_three_hosts_saw_set_a_request_aside() -> None:
     """Guards against each host counting to three by itself."""
     ledger = SuspectLedger()
-    for number in range(ENDS_BORNE):
-        assert ledger.find_hold_left(CAUSE, 1.0 + number) == 0
+    for number in range(CRASH_THRESHOLD):
+        assert ledger.find_quarantine_left(CAUSE, 1.0 + number) == 0
         ledger.merge(make_suspect({f"s{number}": 1.0 + number}), 1.0 + number)
-    assert ledger.find_hold_left(CAUSE, 3.0) == pytest.approx(HOLD - 2.0)
+    assert ledger.find_quarantine_left(CAUSE, 3.0) == pytest.approx(
+        QUARANTINE_PERIOD - 2.0
+    )
 
 
 def test_an_end_that_several_hosts_tell_of_counts_once() -> None:
@@ -46,7 +48,7 @@
     ledger = SuspectLedger()
     for at in (1.0, 1.2, 1.4, 1.6):
         ledger.merge(make_suspect({"s0": at}), at)
-    assert ledger.count_ends(CAUSE, 2.0) == 1
+    assert ledger.count_crashes(CAUSE, 2.0) == 1
 
 
 def test_servers_that_end_together_count_once() -> None:
@@ -54,18 +56,18 @@
     ledger = SuspectLedger()
     ends = {f"s{number}": 1.0 + number * RUN_TIME / 8 for number in range(4)}
     ledger.merge(make_suspect(ends), 1.1)
-    assert ledger.find_hold_left(CAUSE, 1.2) == 0
+    assert ledger.find_quarantine_left(CAUSE, 1.2) == 0
 
 
 def test_quick_ends_one_after_the_other_count_each() -> None:
     """Guards against taking the repeats of one request for the loss of a domain."""
     ledger = SuspectLedger()
-    for number in range(ENDS_BORNE):
+    for number in range(CRASH_THRESHOLD):
         sent_at = 1.0 + number * 0.01
         suspect = make_suspect({})
-        suspect.ends = {BackendServerId(f"s{number}"): End(sent_at + 0.005, sent_at)}
+        suspect.crashes = {BackendServerId(f"s{number}"): End(sent_at + 0.005, sent_at)}
         ledger.merge(suspect, sent_at)
-    assert ledger.find_hold_left(CAUSE, 1.1) > 0
+    assert ledger.find_quarantine_left(CAUSE, 1.1) > 0
 
 
 def test_a_request_that_is_answered_is_cleared_for_all_hosts() -> None:
@@ -77,28 +79,28 @@
     told = ledger.find(CAUSE)
     assert told is not None
     other.merge(told, 3.1)
-    assert other.find_hold_left(CAUSE, 3.2) == 0
-    assert other.count_ends(CAUSE, 3.2) == 1
+    assert other.find_quarantine_left(CAUSE, 3.2) == 0
+    assert other.count_crashes(CAUSE, 3.2) == 1
 
 
 def test_a_request_let_through_again_ends_one_server() -> None:
     """Guards against three more servers lost each time a hold ends."""
     ledger = SuspectLedger()
     ledger.merge(make_suspect({"s0": 0.0, "s1": 10.0, "s2": 20.0}), 20.0)
-    assert ledger.find_hold_left(CAUSE, HOLD - 1) > 0
-    assert ledger.find_hold_left(CAUSE, HOLD + 1) == 0
-    ledger.merge(make_suspect({"s3": HOLD + 2}), HOLD + 2)
-    assert ledger.find_hold_left(CAUSE, HOLD + 3) > 0
+    assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD - 1) > 0
+    assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD + 1) == 0
+    ledger.merge(make_suspect({"s3": QUARANTINE_PERIOD + 2}), QUARANTINE_PERIOD + 2)
+    assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD + 3) > 0
 
 
 def test_an_attack_with_many_requests_displaces_none_that_is_set_aside() -> None:
     """Guards against lost holds and growing memory under many crashing requests."""
     ledger = SuspectLedger()
     ledger.merge(make_suspect({"s0": 1.0, "s1": 2.0, "s2": 3.0}), 3.0)
-    for number in range(MOST_SUSPECTS * 2):
+    for number in range(MAX_SUSPECTS * 2):
         ledger.merge(make_suspect({"s9": 4.0 + number / 100}, f"d{number}"), 4.0)
-    assert len(ledger.list_all()) == MOST_SUSPECTS
-    assert ledger.find_hold_left(CAUSE, 30.0) > 0
+    assert len(ledger.list_all()) == MAX_SUSPECTS
+    assert ledger.find_quarantine_left(CAUSE, 30.0) > 0
 
 
 def test_ends_of_one_request_are_bounded() -> None:
@@ -107,16 +109,16 @@
         ledger.merge(make_suspect({f"s{number}": float(number)}), float(number))
     known = ledger.find(CAUSE)
     assert known is not None
-    assert len(known.ends) == MOST_ENDS
+    assert len(known.crashes) == MOST_ENDS
     assert not ledger.merge(make_suspect({"s0": 0.0}), 40.0)
 
 
 def test_what_does_not_count_any_more_is_forgotten() -> None:
     ledger = SuspectLedger()
     ledger.merge(make_suspect({"s0": 1.0}), 1.0)
-    ledger.forget_old(HOLD)
+    ledger.drop_expired(QUARANTINE_PERIOD)
     assert not ledger.is_empty
-    ledger.forget_old(HOLD + 2)
+    ledger.drop_expired(QUARANTINE_PERIOD + 2)
     assert ledger.is_empty
 
 
@@ -145,7 +147,7 @@
             for other in ledgers:
                 if told is not None and other is not ledgers[teller]:
                     other.merge(told, 50.0)
-    counted = {tuple(one.list_ends(50.0)) for one in _find_all(ledgers)}
+    counted = {tuple(one.list_crash_times(50.0)) for one in _find_all(ledgers)}
     assert len(counted) <= 1
 
 
