--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -179,9 +179,9 @@
     ) -> None:
         health = self._state.find_health(server.id)
         if whole.head.status >= 500:
-            health.note_failure(trio.current_time(), is_hard=False)
+            health.record_failure(trio.current_time(), is_hard=False)
         else:
-            health.note_success(trio.current_time())
+            health.record_success(trio.current_time())
             note_answered(self._state, job)
         headers = clean_answer_headers(whole.head.headers)
         await out.send_whole(whole.head.status, headers, whole.body)
@@ -217,7 +217,7 @@
             self._state.streams.close(server.id, stream)
             answer.close()
         job.next_step = None
-        self._state.find_health(server.id).note_success(trio.current_time())
+        self._state.find_health(server.id).record_success(trio.current_time())
         if splitter.rest:
             return Lost(Loss.CUT_OFF, "ended within an event")
         if not out.has_begun:
--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -92,9 +92,9 @@
             case ServerVerdict.FULL:
                 health.full_until = now + FULL_FOR
             case ServerVerdict.FAILED:
-                health.note_failure(now, is_hard=False)
+                health.record_failure(now, is_hard=False)
             case ServerVerdict.GONE:
-                health.note_failure(now, is_hard=True)
+                health.record_failure(now, is_hard=True)
 
     def _tell(
         self,
--- a/dewridge/tests/gateway/restarts_tests.py
+++ b/dewridge/tests/gateway/restarts_tests.py
@@ -148,7 +148,7 @@
         first = world.state.servers.list_all()[0]
         for _ in range(5):
             health = world.state.find_health(first.id)
-            health.note_failure(trio.current_time(), is_hard=True)
+            health.record_failure(trio.current_time(), is_hard=True)
         start_again(world)
         second = world.state.servers.list_all()[0]
         now = trio.current_time()
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -117,7 +117,7 @@
             self.state.work.tokens[server] = 4_000 + place
             health = self.state.find_health(server)
             for _ in range(3):
-                health.note_success(trio.current_time())
+                health.record_success(trio.current_time())
         for place, account in enumerate(ACCOUNTS):
             self.state.began[WINDOW][account] += 1 + place % 4
 
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -240,9 +240,9 @@
         chosen = 0 if 0 in usable else rng.choice(usable or [0, 1, 2, 3])
         sent[chosen] += 1
         if chosen == 0 and rng.random() < 0.5:
-            healths[0].note_failure(now, is_hard=False)
+            healths[0].record_failure(now, is_hard=False)
         else:
-            healths[chosen].note_success(now)
+            healths[chosen].record_success(now)
     assert sent[0] < 150
 
 
@@ -255,9 +255,9 @@
         now = turn + 1
         health = healths[turn % 4]
         if rng.random() < 0.14:
-            health.note_failure(float(now), is_hard=False)
+            health.record_failure(float(now), is_hard=False)
         else:
-            health.note_success(float(now))
+            health.record_success(float(now))
         median = sorted(one.failure_share for one in healths)[2]
         rested += sum(
             not one.is_usable(float(now + 4), None, median) for one in healths
@@ -472,7 +472,7 @@
     Planned from the quotas, it would order servers for twice the demand, most of them
     lasting ones while reclaims leave no others.
     """
-    assert estimate_initial_need(20, 3_000_000.0, 2.0, needed_before=23) == 23
+    assert estimate_initial_need(20, 3_000_000.0, 2.0, previous_need=23) == 23
 
 
 def test_the_least_urgent_work_is_shed_first_and_by_degrees() -> None:
