--- a/dewridge/policy/mergedtotals.py
+++ b/dewridge/policy/mergedtotals.py
@@ -1,4 +1,4 @@
-"""One running total told by several hosts, each counting from its own start."""
+"""Merges reports of the same running total, each counted from its own start."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,61 +8,72 @@
 
 Name = TypeVar("Name", bound=str)
 Source = tuple[HostId, int]
-"""A start of a host."""
+"""A host and the boot number of its process: each process counts from zero."""
 
 
 @dataclass
-class _Base(Generic[Name]):
-    """Where a source stood when it was first heard, and the totals then."""
+class _Baseline(Generic[Name]):
+    """The first totals that a source reported, and the merged totals at that time."""
 
-    told: dict[Name, float]
+    reported: dict[Name, float]
     totals: dict[Name, float]
 
 
 @dataclass
 class MergedTotals(Generic[Name]):
-    """The furthest that any source has come, counted once.
+    """Running totals merged from several sources without counting anything twice.
 
-    Two hosts tell the same sum, so that the death of one leaves no gap. Their counts
-    began at different times: each is laid on the total as of its first word, and only
-    what goes beyond the total counts as growth.
+    Two hosts report the same sums, so that the crash of one leaves no gap. Their counts
+    began at different times: the first report of each source is aligned with the merged
+    totals, and a later one adds only what exceeds them.
     """
 
     totals: dict[Name, float] = field(default_factory=dict)
-    _bases: dict[Source, _Base[Name]] = field(default_factory=dict)
-
-    def record(self, source: Source, told: Mapping[Name, float]) -> dict[Name, float]:
-        """Take over a source's totals; returns the growth by name."""
-        base = self._bases.get(source)
-        if base is None:
-            self._drop_earlier_starts(source)
-            self._bases[source] = _Base(dict(told), dict(self.totals))
+    _baselines: dict[Source, _Baseline[Name]] = field(default_factory=dict)
+
+    def record(
+        self, source: Source, reported: Mapping[Name, float]
+    ) -> dict[Name, float]:
+        """Merge a source's totals; returns the growth of the merged totals by name.
+
+        The first report of a source sets its baseline and adds nothing.
+        """
+        baseline = self._baselines.get(source)
+        if baseline is None:
+            self._drop_earlier_boots(source)
+            self._baselines[source] = _Baseline(dict(reported), dict(self.totals))
             return {}
         growth = {}
-        for name, value in told.items():
-            reached = base.totals.get(name, 0.0) + value - base.told.get(name, 0.0)
-            grown = reached - self.totals.get(name, 0.0)
-            if grown > 0:
-                self.totals[name] = reached
-                growth[name] = grown
+        for name, value in reported.items():
+            aligned = (
+                baseline.totals.get(name, 0.0)
+                + value
+                - baseline.reported.get(name, 0.0)
+            )
+            increase = aligned - self.totals.get(name, 0.0)
+            if increase > 0:
+                self.totals[name] = aligned
+                growth[name] = increase
         return growth
 
-    def _drop_earlier_starts(self, source: Source) -> None:
+    def _drop_earlier_boots(self, source: Source) -> None:
         host, _ = source
-        self._bases = {key: base for key, base in self._bases.items() if key[0] != host}
+        self._baselines = {
+            key: baseline for key, baseline in self._baselines.items() if key[0] != host
+        }
 
     def reset_baselines(self) -> None:
-        """Count no growth up to each source's next word."""
-        self._bases.clear()
+        """Drop all baselines, so that the next report of each source adds nothing."""
+        self._baselines.clear()
 
 
 def find_growth(
-    now: Mapping[Name, float], before: Mapping[Name, float]
+    current: Mapping[Name, float], previous: Mapping[Name, float]
 ) -> dict[Name, float]:
-    """Return by how much totals have grown; those that have not are left out."""
+    """Return by how much each total has grown; totals without growth are left out."""
     growth = {}
-    for name, value in now.items():
-        grown = value - before.get(name, 0.0)
-        if grown > 0:
-            growth[name] = grown
+    for name, value in current.items():
+        increase = value - previous.get(name, 0.0)
+        if increase > 0:
+            growth[name] = increase
     return growth
--- a/dewridge/policy/quota.py
+++ b/dewridge/policy/quota.py
@@ -1,10 +1,11 @@
-"""Quotas of client accounts over all entry hosts: one token bucket, kept by each host.
-
-Every host keeps the whole bucket and takes its own use and, a little later, the
-others' out of it. Two things keep the sum below the limit without a call to anybody:
-when all hosts together are asked for more than the bucket holds until their next news,
-each lets only that part of the requests pass, by chance; and a host that is not heard
-keeps its even share.
+"""Quotas of client accounts over all entry hosts: a token bucket replicated on each.
+
+Every host has a replica of the full bucket. It subtracts its own usage at once, and the
+usage at other hosts when they report it. Two rules keep the total below the limit
+without a call to another host: while all hosts together have more demand than the
+bucket holds until their next reports, each request is accepted only with a probability
+that fits the level; and a host uses only the even shares of the hosts that it receives
+reports from, itself included.
 """
 
 from collections import defaultdict, deque
@@ -12,37 +13,39 @@
 
 from dewridge.ids import ClientAccount, HostId
 
-USED_TOLERANCE = 0.6
-"""Part of the tolerance that operators allow over a quota which this system uses: the
-rest is for requests that are on their way in two hosts at once."""
-BURST_SLACK = 0.1
-"""Part of the used slack that goes to the burst: an account without a burst of its own
-needs some room for a single request."""
-SHORTEST_WAIT = 0.1
-"""Seconds after which a refused caller may come back at the earliest: one report."""
-LONGEST_WAIT = 8.0
-"""Seconds after which a refused caller is asked back at the latest."""
-ASKED_SPAN = 1.0
-"""Seconds over which the rate asked for is taken: shorter, single long prompts make it
-jump; longer, an account that begins to send many times its usual is seen late."""
-EARLY_KEPT = 30.0
-"""Seconds for which others' use of an account that was not asked for here is kept; an
-account that goes on using its quota so long has a bucket nearly as empty as any."""
-OWN_SPEAKS_FOR = 8
-"""Hosts at the most for which what is asked here stands as well, until their news
-come. Callers spread over all hosts, so that a rise shows here at once; for a whole
-large fleet one long prompt here would stand for one at each host."""
+USABLE_TOLERANCE_SHARE = 0.6
+"""Share of the tolerance that operators allow over a quota which the buckets use. The
+rest covers requests that are being accepted by two hosts at once."""
+BURST_SLACK_SHARE = 0.1
+"""Share of the usable slack that is added to the burst: an account with no burst of its
+own needs some room for a single request."""
+MIN_RETRY_WAIT = 0.1
+"""Shortest wait in seconds that a refused caller is given: the interval of reports."""
+MAX_RETRY_WAIT = 8.0
+"""Longest wait in seconds that a refused caller is given."""
+DEMAND_WINDOW = 1.0
+"""Seconds over which a demand rate is averaged. Over less, single long prompts make it
+jump; over more, an account that begins to send many times its usual demand is detected
+late."""
+EARLY_USAGE_RETENTION = 30.0
+"""Seconds for which usage by other hosts is stored for an account without a bucket
+here. An account that goes on using its quota for longer has a nearly empty bucket
+anyway."""
+MAX_EXTRAPOLATED_HOSTS = 8
+"""Other hosts, at most, that are assumed to have the same demand as this host until
+their reports arrive. Callers spread over all hosts, so that a rise shows here at once;
+assumed of all hosts of a large fleet, one long prompt here would count at each host."""
 
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """An account's limit: in any time t no more than `burst + rate * t` units."""
+    """Limit of an account: at most `burst + rate * t` units in any t seconds."""
 
     rate: float
     burst: float
-    after_restart: float = 0.0
-    """Units in the bucket of a host that does not know what was used before: what the
-    judged limit leaves over the bucket's own."""
+    level_after_restart: float = 0.0
+    """Initial units in the bucket of a host that does not know the earlier usage: the
+    part of the tolerated slack that the bucket itself does not use."""
 
 
 def make_quota(
@@ -50,38 +53,38 @@
 ) -> Quota:
     """Return the bucket that keeps an account within what operators tolerate.
 
-    They judge by windows: in any of them an account may use what its rate and its burst
-    give, `overrun` more, and `slack` units besides. A bucket uses its burst once and
-    its rate for the whole window, so that slack given as rate serves an account that
-    asks for a little more than its quota all the time, and one whose quota was just
-    lowered. Given as burst it was gone after the first second: one request in twenty of
-    a calm day was refused within what operators allow.
+    Operators check usage by windows: in any window an account may use what its rate and
+    its burst give, `overrun` more, and `slack` units besides. A bucket spends its burst
+    once but its rate during the whole window. Slack added to the rate therefore serves
+    an account that constantly asks for a little more than its quota, or whose quota was
+    just lowered. Slack added to the burst was used up after the first second: one
+    request in twenty of an ordinary day was refused although operators tolerate it.
 
     Args:
-        rate: the account's, in units a second.
-        burst: the account's, in units.
-        overrun: part of the quota by which it may be exceeded.
+        rate: the account's rate in units per second.
+        burst: the account's burst in units.
+        overrun: share of the quota by which it may be exceeded.
         slack: units beyond that in a window.
-        window: seconds.
+        window: length of the window in seconds.
     """
-    tolerance = 1 + overrun * USED_TOLERANCE
-    usable = slack * USED_TOLERANCE
-    kept_for_bursts = usable * BURST_SLACK
+    tolerance = 1 + overrun * USABLE_TOLERANCE_SHARE
+    usable_slack = slack * USABLE_TOLERANCE_SHARE
+    burst_slack = usable_slack * BURST_SLACK_SHARE
     return Quota(
-        rate * tolerance + (usable - kept_for_bursts) / window,
-        burst * tolerance + kept_for_bursts,
-        after_restart=slack - usable,
+        rate * tolerance + (usable_slack - burst_slack) / window,
+        burst * tolerance + burst_slack,
+        level_after_restart=slack - usable_slack,
     )
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What a host knows of the other hosts when it judges.
+    """What a host knows of the fleet when it checks a quota.
 
     Attributes:
-        hosts: entry hosts, this one included.
-        silent: registered hosts that are not heard.
-        staleness: seconds by which the others' news may lag.
+        hosts: number of entry hosts, this one included.
+        silent: number of registered hosts whose reports do not arrive.
+        staleness: seconds by which the reports of the other hosts may lag.
     """
 
     hosts: int
@@ -89,104 +92,104 @@
     staleness: float
 
     @property
-    def heard_part(self) -> float:
-        """Part of the fleet that this host speaks for: itself and the heard ones."""
+    def live_share(self) -> float:
+        """Share of the fleet that is live, this host included."""
         return max(1, self.hosts - self.silent) / max(1, self.hosts)
 
 
-class _Rate:
-    """What is asked for a second, over the last `ASKED_SPAN`."""
+class _RateMeter:
+    """Mean rate of units per second over the last `DEMAND_WINDOW`."""
 
     def __init__(self) -> None:
         self._amounts: deque[tuple[float, float]] = deque()
         self._sum = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count what is asked."""
+        """Count units."""
         self._amounts.append((now, amount))
         self._sum += amount
 
     def read(self, now: float) -> float:
-        """Return units a second."""
-        while self._amounts and self._amounts[0][0] < now - ASKED_SPAN:
+        """Return units per second."""
+        while self._amounts and self._amounts[0][0] < now - DEMAND_WINDOW:
             self._sum -= self._amounts.popleft()[1]
-        return max(0.0, self._sum) / ASKED_SPAN
+        return max(0.0, self._sum) / DEMAND_WINDOW
 
 
 @dataclass
 class _Bucket:
-    """One account's bucket as this host sees it."""
+    """This host's replica of one account's bucket."""
 
     level: float
     filled_at: float
-    heard_part: float = 1.0
+    live_share: float = 1.0
 
-    def fill(self, quota: Quota, heard_part: float, now: float) -> None:
-        """Add what came in since the last look; give silent hosts their share."""
-        if heard_part < self.heard_part and self.level > 0:
-            # A host that was just cut off has the same level before its eyes, and
+    def fill(self, quota: Quota, live_share: float, now: float) -> None:
+        """Add the units since the last call, without the shares of silent hosts."""
+        if live_share < self.live_share and self.level > 0:
+            # A host that has just been cut off has a replica with the same level, and
             # both sides would spend it.
-            self.level *= heard_part / self.heard_part
-        self.heard_part = heard_part
-        grown = self.level + quota.rate * heard_part * max(0.0, now - self.filled_at)
-        self.level = min(quota.burst * heard_part, grown)
+            self.level *= live_share / self.live_share
+        self.live_share = live_share
+        grown = self.level + quota.rate * live_share * max(0.0, now - self.filled_at)
+        self.level = min(quota.burst * live_share, grown)
         self.filled_at = now
 
 
 class QuotaLedger:
-    """The buckets of all accounts as one host keeps them.
+    """One host's replicas of the buckets of all accounts.
 
     Attributes:
-        usage_totals: units that each account used here since the start.
-        demand_totals: units that each account asked for here since the start.
+        usage_totals: units that each account used at this host since the start.
+        demand_totals: units that each account asked for at this host since the start.
     """
 
     def __init__(
         self,
-        own: HostId,
+        local_host: HostId,
         *,
         starts_full: bool = True,
         started_at: float = float("inf"),
     ) -> None:
-        """Open the ledger.
+        """Create a ledger without buckets.
 
         Args:
-            own: this host.
-            starts_full: whether nothing can have been used before. After a restart
-                nobody may remember what was; a bucket that starts nearly empty can't
-                give an account its burst twice.
-            started_at: steady time from which buckets fill; by default each one's
-                first use.
+            local_host: this host.
+            starts_full: whether there can't have been any usage before. After a restart
+                possibly no host knows the earlier usage; a bucket that starts nearly
+                empty can't give an account its burst twice.
+            started_at: monotonic time from which buckets fill; by default, each fills
+                from its first use.
         """
-        self._own = own
+        self._local_host = local_host
         self._starts_full = starts_full
         self._started_at = started_at
         self._buckets: dict[ClientAccount, _Bucket] = {}
         self.usage_totals: dict[ClientAccount, float] = defaultdict(float)
         self.demand_totals: dict[ClientAccount, float] = defaultdict(float)
-        self._early: dict[ClientAccount, deque[tuple[float, float]]] = defaultdict(
-            deque
+        self._early_usage: dict[ClientAccount, deque[tuple[float, float]]] = (
+            defaultdict(deque)
         )
-        self._asked_here: dict[ClientAccount, _Rate] = defaultdict(_Rate)
-        self._asked_elsewhere: dict[ClientAccount, _Rate] = defaultdict(_Rate)
+        self._local_demand: dict[ClientAccount, _RateMeter] = defaultdict(_RateMeter)
+        self._remote_demand: dict[ClientAccount, _RateMeter] = defaultdict(_RateMeter)
 
     def record(
         self, host: HostId, account: ClientAccount, amount: float, now: float
     ) -> None:
-        """Take use, this host's own or another's, out of the bucket."""
+        """Subtract usage at this or another host from the account's bucket."""
         bucket = self._buckets.get(account)
         if bucket is None:
-            self._note_early(account, amount, now)
+            self._record_early_usage(account, amount, now)
         else:
             bucket.level -= amount
-        if host == self._own:
+        if host == self._local_host:
             self.usage_totals[account] += amount
 
     def record_remote_demand(
         self, account: ClientAccount, amount: float, now: float
     ) -> None:
-        """Count what an account asked for at other hosts."""
-        self._asked_elsewhere[account].add(amount, now)
+        """Count units that an account asked for at other hosts."""
+        self._remote_demand[account].add(amount, now)
 
     def find_wait(
         self,
@@ -197,25 +200,25 @@
         fleet: FleetView,
         draw: float,
     ) -> float:
-        """Return 0 if the use fits, else the seconds until it may.
+        """Return 0 if an account may use some units now, else the seconds to wait.
 
-        Made for an account that sends many times its usual over all hosts at once:
-        unchecked it would take the engines from the others; checked by each host
-        alone, it would get as many quotas as there are hosts. While more is asked at
-        all hosts than the bucket holds until the next news, each request passes with
-        the part that fits as its chance: all hosts see the same level, and would
-        spend it all at once otherwise. Setting aside what the others may have used
-        refused one request in fifty of accounts far below their quotas, since a long
-        prompt here stood for one at every host.
+        An account may suddenly send many times its usual demand to all hosts at once.
+        Without a quota it would take the engines from the other accounts; limited by
+        each host alone, it would get one quota per host. While the demand at all hosts
+        exceeds what the bucket holds until the next reports, each request is accepted
+        with a probability equal to the part that fits: all hosts see the same level and
+        would otherwise each spend it. Reserving what the other hosts may have used
+        refused one request in fifty of accounts far below their quotas, since one long
+        prompt here counted as one at every host.
 
-        A request larger than the burst is let through a full bucket: else it could
-        never run.
+        A request larger than the burst is accepted when the bucket is full, as it could
+        otherwise never run.
 
         Args:
-            account: who asks.
-            amount: units.
-            quota: the account's.
-            now: steady time.
+            account: the account that asks.
+            amount: units that it asks for.
+            quota: the account's quota.
+            now: monotonic time.
             fleet: what is known of the other hosts.
             draw: a random number from 0 up to 1.
         """
@@ -223,28 +226,28 @@
         bucket = self._buckets.get(account)
         if bucket is None:
             bucket = self._open_bucket(account, quota, now)
-        bucket.fill(quota, fleet.heard_part, now)
-        unheard = self._find_asked_rate(account, fleet, now) * fleet.staleness
-        self._asked_here[account].add(amount, now)
-        needed = min(amount, quota.burst * fleet.heard_part)
+        bucket.fill(quota, fleet.live_share, now)
+        unreported = self._estimate_remote_demand(account, fleet, now) * fleet.staleness
+        self._local_demand[account].add(amount, now)
+        needed = min(amount, quota.burst * fleet.live_share)
         left = bucket.level - needed
-        if left >= 0 and left >= draw * unheard:
+        if left >= 0 and left >= draw * unreported:
             return 0.0
-        rate = max(quota.rate * fleet.heard_part, 1.0)
-        missing = max(draw * unheard, 0.0) - left
-        return min(LONGEST_WAIT, max(SHORTEST_WAIT, missing / rate))
+        rate = max(quota.rate * fleet.live_share, 1.0)
+        missing = max(draw * unreported, 0.0) - left
+        return min(MAX_RETRY_WAIT, max(MIN_RETRY_WAIT, missing / rate))
 
-    def _find_asked_rate(
+    def _estimate_remote_demand(
         self, account: ClientAccount, fleet: FleetView, now: float
     ) -> float:
-        """Return the units a second that the other heard hosts are asked for."""
+        """Return the estimated demand at the other live hosts, in units per second."""
         others = max(0, fleet.hosts - 1 - fleet.silent)
-        here = self._asked_here[account].read(now)
-        told = self._asked_elsewhere[account].read(now)
-        return max(told, here * min(others, OWN_SPEAKS_FOR))
+        local = self._local_demand[account].read(now)
+        reported = self._remote_demand[account].read(now)
+        return max(reported, local * min(others, MAX_EXTRAPOLATED_HOSTS))
 
     def describe(self) -> dict[str, dict[str, float]]:
-        """Return each account's bucket, for a dump."""
+        """Return each account's bucket, for a dump of the state."""
         return {
             account: {
                 "level": round(bucket.level, 1),
@@ -254,25 +257,28 @@
         }
 
     def find_level(self, account: ClientAccount) -> float:
-        """Return the level of an account's bucket as of the last look."""
+        """Return the level of an account's bucket when it was last filled."""
         bucket = self._buckets.get(account)
         return 0.0 if bucket is None else bucket.level
 
-    def _note_early(self, account: ClientAccount, amount: float, now: float) -> None:
-        early = self._early[account]
+    def _record_early_usage(
+        self, account: ClientAccount, amount: float, now: float
+    ) -> None:
+        early = self._early_usage[account]
         early.append((now, amount))
-        while early[0][0] < now - EARLY_KEPT:
+        while early[0][0] < now - EARLY_USAGE_RETENTION:
             early.popleft()
 
     def _open_bucket(self, account: ClientAccount, quota: Quota, now: float) -> _Bucket:
-        """Open an account's bucket as it is after the others' use until now.
+        """Create an account's bucket, with the usage by other hosts until now.
 
-        With many hosts an account's first request comes to some of them seconds after
-        its first elsewhere. What was used meanwhile has been filled up again since;
-        taken out of a full bucket at once, the account started with a debt there.
+        In a large fleet an account's first request reaches some hosts seconds after its
+        first request elsewhere, and what it used since has partly been refilled. The
+        usage is therefore replayed in time: subtracted at once from a full bucket, it
+        would start the account with a debt.
         """
-        early = self._early.pop(account, deque())
-        level = quota.burst if self._starts_full else quota.after_restart
+        early = self._early_usage.pop(account, deque())
+        level = quota.burst if self._starts_full else quota.level_after_restart
         opened_at = min(self._started_at, early[0][0] if early else now)
         bucket = self._buckets[account] = _Bucket(level, opened_at)
         for used_at, amount in early:
--- a/dewridge/policy/registry.py
+++ b/dewridge/policy/registry.py
@@ -1,4 +1,4 @@
-"""The policies that operators can choose by name, with their parameters."""
+"""Policies that operators choose by name, their parameters and their validation."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -22,8 +22,8 @@
 
     Attributes:
         description: one line for the operators' guide.
-        low: least value allowed.
-        high: greatest value allowed.
+        low: lowest value allowed.
+        high: highest value allowed.
     """
 
     name: str
@@ -39,7 +39,7 @@
     """A policy as operators see it.
 
     Attributes:
-        is_baseline: a plain policy to compare with, not meant for production.
+        is_baseline: whether it is a simple policy for comparisons, not for production.
     """
 
     kind: PolicyKind
@@ -232,18 +232,18 @@
     PolicyKind.ADMISSION: "fair",
     PolicyKind.RECOVERY: "resume",
 }
-"""Stand in for a name that this release does not know. A newer release may have
-published it; a host that stopped serving over it would turn a rolling upgrade
-into an outage."""
+"""Policies used in place of a name that this release does not know. A newer release may
+have published it; a host that stopped serving because of it would turn a rolling
+upgrade into an outage."""
 
 
 def list_policies() -> Sequence[PolicySpec]:
-    """Return all policies, for the docs and the command line."""
+    """Return all policies, for the documentation and the command line."""
     return _SPECS
 
 
 def find_policy(kind: PolicyKind, name: str) -> PolicySpec | None:
-    """Return a policy by its name."""
+    """Return a policy by its name, or None if there is none."""
     for spec in _SPECS:
         if spec.kind is kind and spec.name == name:
             return spec
@@ -253,7 +253,7 @@
 def resolve_policy(
     kind: PolicyKind, choice: PolicyChoice
 ) -> tuple[PolicySpec, dict[str, float]]:
-    """Return the policy to run and all its parameters, within their bounds."""
+    """Return the policy to run and all its parameters, clamped to their bounds."""
     spec = find_policy(kind, choice.name) or find_policy(kind, DEFAULT_NAMES[kind])
     assert spec is not None
     values = {}
@@ -264,7 +264,7 @@
 
 
 def check_profile(profile: Profile) -> list[str]:
-    """Return every problem of a profile, each with its place; empty if sound."""
+    """Return all problems of a profile, each with its path; empty if it is valid."""
     problems = []
     for kind in PolicyKind:
         choice: PolicyChoice = getattr(profile, kind.value)
@@ -282,15 +282,15 @@
     problems = []
     parameters = {parameter.name: parameter for parameter in spec.parameters}
     for name, value in choice.parameters.items():
-        place = f"{kind.value}.parameters.{name}"
+        path = f"{kind.value}.parameters.{name}"
         parameter = parameters.get(name)
         if parameter is None:
-            problems.append(f"{place}: {_describe_unknown(name, list(parameters))}")
-        # Written so that a NaN, which compares false with everything, is caught.
+            problems.append(f"{path}: {_describe_unknown(name, list(parameters))}")
+        # Written as a negation because every comparison with a NaN is false.
         elif not parameter.low <= value <= parameter.high:
             unit = f" {parameter.unit}" if parameter.unit else ""
             problems.append(
-                f"{place}: {value:g} is not within "
+                f"{path}: {value:g} is not within "
                 f"{parameter.low:g} to {parameter.high:g}{unit}"
             )
     return problems
@@ -309,7 +309,7 @@
 
 
 def _describe_unknown(name: str, known: list[str]) -> str:
-    close = get_close_matches(name, known, n=1, cutoff=0.5)
-    hint = f"; did you mean {close[0]!r}?" if close else ""
+    matches = get_close_matches(name, known, n=1, cutoff=0.5)
+    hint = f"; did you mean {matches[0]!r}?" if matches else ""
     listed = ", ".join(known) or "none"
     return f"{name!r} is not known{hint} (known: {listed})"
--- a/dewridge/policy/retrybudget.py
+++ b/dewridge/policy/retrybudget.py
@@ -1,52 +1,51 @@
-"""The budget for sending a request to a second server, shared by all hosts."""
+"""Budget for sending requests to a second server, split among all hosts."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
-OWN_PART = 0.8
-"""Part of this host's allowance that it uses: windows of different hosts and servers'
-counts don't line up to the second."""
+USABLE_SHARE = 0.8
+"""Share of its allowance that a host uses. The windows of different hosts, and those by
+which servers count, are not aligned to the second."""
 
 
 @dataclass
 class RetryBudget:
-    """Counts first sendings and repeats of one service over a sliding window.
+    """Counts first attempts and retries of one service over a sliding window.
 
-    Made for the moment when a service begins to fail: each failed request sent once
-    more doubles the load just when capacity is least, and the service stays down
-    through its retries alone. Each host earns repeats by its own first sendings, so
-    that the sum keeps to the ratio without a word between hosts; the fixed slack is
-    split evenly.
+    When a service begins to fail, a retry of each failed request would double the load
+    just when capacity is lowest, and the retries alone would keep the service down.
+    Each host earns retries by its own first attempts, so that the total stays within
+    the ratio without coordination; the fixed slack is split evenly.
 
     Attributes:
-        ratio: repeats for each first sending, over all hosts.
-        slack: repeats beyond that in a window, over all hosts.
-        window: seconds of the window.
+        ratio: retries per first attempt, over all hosts.
+        slack: additional retries in a window, over all hosts.
+        window: length of the window in seconds.
     """
 
     ratio: float
     slack: float
     window: float
-    _first: deque[float] = field(default_factory=deque)
-    _repeats: deque[float] = field(default_factory=deque)
+    _first_attempts: deque[float] = field(default_factory=deque)
+    _retries: deque[float] = field(default_factory=deque)
 
     def record_first_attempt(self, now: float) -> None:
-        """Count a first sending."""
-        self._first.append(now)
+        """Count a first attempt."""
+        self._first_attempts.append(now)
         self._prune(now)
 
-    def acquire(self, now: float, hosts: int) -> bool:
-        """Take one repeat out of the budget if it has one."""
+    def acquire(self, now: float, host_count: int) -> bool:
+        """Use one retry of the budget; returns False if none is left."""
         self._prune(now)
-        share = self.slack / max(1, hosts)
-        allowed = OWN_PART * (self.ratio * len(self._first) + share)
-        if len(self._repeats) + 1 > allowed:
+        share = self.slack / max(1, host_count)
+        allowed = USABLE_SHARE * (self.ratio * len(self._first_attempts) + share)
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def _prune(self, now: float) -> None:
         oldest = now - self.window
-        for times in (self._first, self._repeats):
+        for times in (self._first_attempts, self._retries):
             while times and times[0] < oldest:
                 times.popleft()
--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -1,4 +1,4 @@
-"""Policy that decides whether a rollout of a server version is completed or reverted.
+"""Decides whether the rollout of a server version is completed or reverted.
 
 Covers versions that fail or slow down at once, after some time, under full load or on
 one route only. A trial sends a small share of the requests to a few servers of the
@@ -24,14 +24,14 @@
 PLANNED_EXPOSURE = 0.5
 """Part of the permitted exposure that a trial is planned to use. The rest covers load
 that falls during the trial and requests sent before a verdict reaches all hosts."""
-MOST_TRIAL_SHARE = 0.25
+MAX_TRIAL_SHARE = 0.25
 """Upper bound on the share of a service's requests that a trial takes."""
 MOVE_TIME = 6.0
 """Seconds before the deadline at which a trial ends: all hosts learn of the move within
 two and a half seconds, and most streams end within four."""
-LEAST_TRIAL_PART = 0.4
+MIN_TRIAL_TIME_SHARE = 0.4
 """Lower bound on the part of the permitted time that a trial takes."""
-LEAST_MOVE_TIME = 4.0
+MIN_MOVE_TIME = 4.0
 """Seconds before the deadline at which a trial that is still undecided is ended on the
 answers so far."""
 PROPAGATION_TIME = 2.5
@@ -42,11 +42,11 @@
 ANSWERS_NEEDED = 20
 """Answers needed in total and on each busy route; enough to detect a version that fails
 a third of them."""
-LEAST_ANSWERS = 10
+MIN_ANSWERS = 10
 """Answers over all routes below which a rollout does not proceed."""
-LEAST_BAD_ANSWERS = 3
+MIN_BAD_ANSWERS = 3
 """Bad answers below which a version is never judged bad."""
-LEAST_BAD_RATE = 0.02
+MIN_BAD_RATE = 0.02
 """Lower bound on the expected share of bad answers."""
 BAD_RATE_MARGIN = 1.3
 """Factor on the old version's share of bad answers, as the requests sent to the two
@@ -61,7 +61,7 @@
     """Stage of a rollout; stages only advance."""
 
     WAITING = "waiting"
-    """Ordered but not yet begun by a holder of the duties."""
+    """Ordered but not yet begun by the duty holder."""
     TRIAL = "trial"
     MOVING = "moving"
     COMPLETED = "completed"
@@ -109,7 +109,7 @@
     for route, tally in evidence.target.items():
         if is_worse(tally, evidence.baseline.get(route, Tally())):
             return Verdict.BAD
-    if target.answers < LEAST_ANSWERS:
+    if target.answers < MIN_ANSWERS:
         return Verdict.UNDECIDED
     for route, tally in evidence.baseline.items():
         seen = evidence.target.get(route, Tally()).answers
@@ -122,10 +122,10 @@
 
 def is_worse(target: Tally, baseline: Tally) -> bool:
     """Whether the target has significantly more bad answers than the baseline."""
-    if target.bad < LEAST_BAD_ANSWERS:
+    if target.bad < MIN_BAD_ANSWERS:
         return False
-    baseline_rate = (baseline.bad + 1) / (baseline.answers + 1 / LEAST_BAD_RATE)
-    rate = min(1.0, max(LEAST_BAD_RATE, baseline_rate * BAD_RATE_MARGIN))
+    baseline_rate = (baseline.bad + 1) / (baseline.answers + 1 / MIN_BAD_RATE)
+    rate = min(1.0, max(MIN_BAD_RATE, baseline_rate * BAD_RATE_MARGIN))
     answers = max(target.answers, target.bad)
     return find_tail_probability(answers, target.bad, rate) < SIGNIFICANCE
 
@@ -145,7 +145,7 @@
 
 def find_trial_end(duration: float) -> float:
     """Return the seconds after the order at which its trial ends."""
-    return max(duration * LEAST_TRIAL_PART, duration - MOVE_TIME)
+    return max(duration * MIN_TRIAL_TIME_SHARE, duration - MOVE_TIME)
 
 
 def find_trial_share(exposure_share: float, duration: float) -> float:
@@ -156,7 +156,7 @@
     decision.
     """
     planned = PLANNED_EXPOSURE * exposure_share * duration / find_trial_end(duration)
-    return min(MOST_TRIAL_SHARE, planned)
+    return min(MAX_TRIAL_SHARE, planned)
 
 
 def choose_trial_servers(
@@ -164,26 +164,27 @@
 ) -> frozenset[BackendServerId]:
     """Return the servers of the target version that a trial uses.
 
-    Few enough that each is as loaded as a server of the old version, so that a version
-    that fails only under load is detected. The choice is deterministic, so that all
-    hosts agree on it without coordination.
+    They are few enough that each is as loaded as a server of the old version, so that a
+    version that fails only under load is detected. The choice is deterministic, so that
+    all hosts agree on it without coordination.
 
     Args:
-        order: the store's revision of the order.
+        order: revision of the rollout order in the store.
         servers: servers of the target version.
         baseline_servers: number of servers of the old version.
-        share: of the requests that the trial takes.
+        share: share of the requests that the trial takes.
     """
     count = max(1, math.ceil(share * baseline_servers))
     ranked = sorted(
-        servers, key=lambda one: xxhash.xxh3_64_intdigest(f"{order}/{one}".encode())
+        servers,
+        key=lambda server: xxhash.xxh3_64_intdigest(f"{order}/{server}".encode()),
     )
     return frozenset(ranked[:count])
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutState:
-    """State of a rollout, as known to the holder of the duties.
+    """State of a rollout, as known to the duty holder.
 
     Attributes:
         stage: the current stage.
@@ -215,28 +216,28 @@
     if rollout.verdict is Verdict.BAD:
         return Stage.REVERTED
     if rollout.stage is Stage.TRIAL:
-        return _end_trial(rollout)
+        return _find_stage_after_trial(rollout)
     if rollout.stage is Stage.MOVING:
-        return _end_move(rollout)
+        return _find_stage_after_move(rollout)
     return Stage.TRIAL
 
 
-def _end_trial(rollout: RolloutState) -> Stage:
+def _find_stage_after_trial(rollout: RolloutState) -> Stage:
     if rollout.elapsed < find_trial_end(rollout.duration):
         return Stage.TRIAL
     # With fewer servers the target could not carry the load of the old version.
     has_capacity = rollout.target_servers >= rollout.baseline_servers
     if rollout.verdict is Verdict.SOUND and has_capacity:
         return Stage.MOVING
-    if rollout.elapsed < rollout.duration - LEAST_MOVE_TIME:
+    if rollout.elapsed < rollout.duration - MIN_MOVE_TIME:
         return Stage.TRIAL
-    is_proved = (
-        rollout.verdict is Verdict.SOUND or rollout.target_answers >= LEAST_ANSWERS
+    has_evidence = (
+        rollout.verdict is Verdict.SOUND or rollout.target_answers >= MIN_ANSWERS
     )
-    return Stage.MOVING if is_proved and rollout.target_servers else Stage.REVERTED
+    return Stage.MOVING if has_evidence and rollout.target_servers else Stage.REVERTED
 
 
-def _end_move(rollout: RolloutState) -> Stage:
+def _find_stage_after_move(rollout: RolloutState) -> Stage:
     if rollout.stage_age < PROPAGATION_TIME:
         return Stage.MOVING
     # Completion stops the servers of the old version and their requests at once.
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -1,4 +1,4 @@
-"""How many backend servers to order in each failure domain, and of which kind."""
+"""Plans how many backend servers to order in each failure domain, and of which kind."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -8,53 +8,58 @@
 from dewridge.policy.capacity import USUAL_PACE
 
 TARGET_LOAD = 0.42
-"""Part of its time that a server is to read prompts at the highest rate of the last
-half minute. Prompts come in bursts, and what comes while one is read waits: with three
-servers at two thirds one answer in six was late, with four at a half one in twenty."""
-SPARE_LOAD = 0.75
-"""Part of that load that reclaimable servers are to have: they are cheap, and beside
-the burst that is measured there is the one that is not."""
-SLOT_LOAD = 0.6
-"""Part of the slots that are to be taken: beyond, answers slow each other down and a
-burst finds none free."""
-BORNE_SHARE = 0.1
-"""Part of the needed servers that may be missing without a replacement: what one of
-them takes on beside its own work. Counted from the plan in place of the need, a small
-fleet replaced servers that it had to spare, for 0.05 of a day's benefit; with a whole
-domain borne, a large one on a day of four waves served 0.75 of its worth."""
-QUOTA_SHARE = 0.33
-"""Part of all accounts' quotas that counts as demand until it is known: quotas leave
-an account about twice its usual, and more for small ones. At a half 90 servers were
-ordered where the measured demand then asked for some 60."""
-START_SHARE = 0.8
-"""Part of the servers found at the start that are kept if accounts have no quotas."""
-DEMAND_KNOWN_AFTER = 12.0
-"""Seconds of work after which the measured demand counts alone: the span of the rate,
-and half a span for traffic that has just begun to rise."""
-SHRINK_STEP = 2
-SHRINK_PART = 0.1
-"""Servers, and part of them, that must be too many before any are given up: a server
-given up ends what it runs, and is ordered again with the next wave."""
+"""Share of its time that a server should spend on reading prompts, at the highest rate
+of the last half minute. Prompts arrive in bursts, and wait while another one is read:
+with three servers at two thirds one answer in six was late, with four at one half one
+in twenty."""
+RECLAIMABLE_LOAD_SHARE = 0.75
+"""Share of `TARGET_LOAD` that reclaimable servers are planned for. They are cheap, and
+the spare capacity serves bursts that exceed the measured ones."""
+TARGET_SLOT_LOAD = 0.6
+"""Share of the slots that should be in use. Above it answers slow each other down, and
+a burst finds no free slots."""
+TOLERATED_DEFICIT_SHARE = 0.1
+"""Share of the needed servers that may be missing without a replacement: what each of
+the others can take on beside its own work. Computed from the planned servers instead of
+the needed ones, a small fleet replaced servers that it had to spare, at 0.05 of a day's
+benefit; where the loss of a whole domain was tolerated, a large fleet served only 0.75
+of the worth of a day with four waves of reclaims."""
+INITIAL_QUOTA_SHARE = 0.33
+"""Share of all accounts' quotas that is taken as the demand until it has been measured.
+Quotas allow an account about twice its usual demand, and small ones more. At one half,
+90 servers were ordered where the measured demand then needed about 60."""
+INITIAL_SERVER_SHARE = 0.8
+"""Share of the servers found at the start that is retained if accounts have no
+quotas."""
+DEMAND_WARM_UP = 12.0
+"""Seconds since the first request after which only the measured demand counts: the time
+over which the rate is measured, and half of that for traffic that only begins to
+rise."""
+MIN_SHRINK_COUNT = 2
+MIN_SHRINK_SHARE = 0.1
+"""Number of servers, and share of them, that must be surplus before any is given up. A
+server that is given up ends the requests it runs, and is ordered again with the next
+wave of demand."""
 
 
 @dataclass(frozen=True, slots=True)
 class DomainBounds:
-    """What may be ordered in one failure domain; both kinds together.
+    """Limits on the servers ordered in one failure domain, for both kinds together.
 
     Attributes:
-        least: servers at least.
-        most: servers at most.
-        price: price of a lasting server's second.
+        min_servers: servers at least.
+        max_servers: servers at most.
+        price: price of an on-demand server per second.
     """
 
-    least: int
-    most: int
+    min_servers: int
+    max_servers: int
     price: float
 
 
 @dataclass(frozen=True, slots=True)
 class WantedServers:
-    """Servers wanted in one failure domain: lasting ones and reclaimable ones."""
+    """Number of servers of each kind wanted in one failure domain."""
 
     on_demand: int
     reclaimable: int
@@ -62,13 +67,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a service's servers have to carry.
+    """Load on a service's servers.
 
     Attributes:
-        rate: prompt tokens a second that come in.
-        pace: prompt tokens a second that a server reads.
-        in_flight: requests at all its servers.
-        slots: requests that one of them works on at once.
+        rate: prompt tokens that arrive per second.
+        pace: prompt tokens that one server reads per second.
+        in_flight: requests at all servers.
+        slots: requests that one server runs at once.
     """
 
     rate: float
@@ -78,52 +83,58 @@
 
 
 def count_needed_servers(load: Load) -> int:
-    """Return how many servers a load needs, by what they read and by their slots."""
+    """Return how many servers a load needs, by prompt tokens and by slots."""
     by_reading = load.rate / (load.pace * TARGET_LOAD)
-    by_slots = load.in_flight / (max(1, load.slots) * SLOT_LOAD)
+    by_slots = load.in_flight / (max(1, load.slots) * TARGET_SLOT_LOAD)
     return math.ceil(max(by_reading, by_slots))
 
 
 def estimate_initial_need(
-    found: int, quotas: float, working_for: float, needed_before: int | None
+    found_servers: int, quota_rate: float, work_age: float, previous_need: int | None
 ) -> int:
-    """Return how many servers to count as needed while the demand is not known.
+    """Return how many servers are assumed to be needed while the demand is unknown.
 
-    Made for a start, and for a restart of all hosts: a rate is measured over eight
-    seconds, and a server takes four to start. Planned from the first requests on,
-    callers got half of their answers in time for the first twenty seconds.
+    This applies at a start, and at a restart of all hosts: a rate is measured over
+    eight seconds, and a server takes four to start. Planned by the measured rate from
+    the first requests on, callers got half of their answers in time in the first twenty
+    seconds.
 
     Args:
-        found: servers of all kinds that were there at the start.
-        quotas: tokens a second that all accounts together may use; 0 for no limit.
-        working_for: seconds since the first request; 0 before it.
-        needed_before: what the last holder of the duties found; None at a first start.
+        found_servers: servers of all kinds that existed at the start.
+        quota_rate: tokens per second that all accounts together may use; 0 for no
+            limit.
+        work_age: seconds since the first request; 0 before it.
+        previous_need: servers needed according to the previous duty holder; None at a
+            first start.
+
+    Returns:
+        Number of servers; 0 once the measured demand counts alone.
     """
-    if working_for > DEMAND_KNOWN_AFTER:
+    if work_age > DEMAND_WARM_UP:
         return 0
-    if needed_before is not None:
-        return needed_before
-    if quotas > 0:
-        return count_needed_servers(Load(QUOTA_SHARE * quotas))
-    return math.ceil(START_SHARE * found)
+    if previous_need is not None:
+        return previous_need
+    if quota_rate > 0:
+        return count_needed_servers(Load(INITIAL_QUOTA_SHARE * quota_rate))
+    return math.ceil(INITIAL_SERVER_SHARE * found_servers)
 
 
-def count_reclaimable_servers(needed: int, before: int, domains: int) -> int:
-    """Return how many reclaimable servers to want over all failure domains.
+def count_reclaimable_servers(needed: int, previous: int, domains: int) -> int:
+    """Return how many reclaimable servers are wanted over all failure domains.
 
-    So many that what is needed is left when one domain is reclaimed: a lasting server
-    in its place costs four to five times as much, and comes seconds later. At least
-    one in each domain stands, so that none is empty when the others go.
+    They are enough for the need when one domain is reclaimed: an on-demand server in
+    their place costs four to five times as much, and starts seconds later. Each domain
+    gets at least one, so that it is not empty when the others are reclaimed.
 
     Args:
-        needed: servers that the demand, or the start, needs.
-        before: what was wanted before; 0 at the start.
-        domains: failure domains.
+        needed: servers needed for the demand, or at the start.
+        previous: result of the previous plan; 0 at the start.
+        domains: number of failure domains.
     """
-    spread = math.ceil(needed / SPARE_LOAD * domains / max(1, domains - 1))
+    spread = math.ceil(needed / RECLAIMABLE_LOAD_SHARE * domains / max(1, domains - 1))
     total = max(domains, spread)
-    step = max(SHRINK_STEP, math.ceil(SHRINK_PART * before))
-    return before if before - step < total < before else total
+    step = max(MIN_SHRINK_COUNT, math.ceil(MIN_SHRINK_SHARE * previous))
+    return previous if previous - step < total < previous else total
 
 
 def plan_servers(
@@ -134,46 +145,54 @@
     *,
     is_reclaiming: bool = False,
 ) -> dict[FailureDomain, WantedServers]:
-    """Want reclaimable servers everywhere, and lasting ones while some are missing.
+    """Spread reclaimable servers over all domains, and add on-demand ones if needed.
 
-    Made for reclaims that come in waves, domain after domain, with no reclaimable
-    servers to be had for ten seconds and more: four waves take the whole fleet.
-    A lasting server costs four to five times as much, so that it is ordered only for
-    what the demand lacks, where it is cheapest, and given up when the others are back.
-    It takes seconds to start, and the next domain goes seconds after the first, so that
-    what that one would leave missing is ordered as soon as the first is gone. Where
-    reclaimable servers are not to be had, lasting ones still are.
+    Reclaims come in waves, domain after domain, and no reclaimable servers are
+    available for ten seconds or more: four waves take the whole fleet. On-demand
+    servers, which are still available then, cost four to five times as much. They are
+    ordered only for the part of the demand that the serving reclaimable ones can't
+    take, where they are cheapest, and are given up when the reclaimable ones are back.
+    They take seconds to start, and the next domain is reclaimed seconds after the
+    first: the servers that its loss would leave missing are therefore ordered as soon
+        as the first is lost.
 
     Args:
-        domains: what may be ordered where.
-        serving: reclaimable servers that serve now.
-        total: reclaimable servers wanted over all failure domains.
-        needed: servers that the demand needs; 0 before there is work.
-        is_reclaiming: whether a domain was reclaimed just now.
+        domains: limits of each failure domain.
+        serving: reclaimable servers that serve now, by domain.
+        total: reclaimable servers wanted over all domains.
+        needed: servers needed for the demand; 0 before the first request.
+        is_reclaiming: whether a domain was reclaimed recently.
     """
     cheapest = sorted(domains, key=lambda domain: (domains[domain].price, domain))
-    spread = _spread(total, cheapest)
-    lasting = _spread(count_lasting(serving, needed, is_reclaiming), cheapest)
+    reclaimable = _spread(total, cheapest)
+    on_demand = _spread(
+        count_on_demand_servers(serving, needed, is_reclaiming), cheapest
+    )
     return {
         domain: WantedServers(
-            on_demand=min(lasting[domain], bounds.most),
-            reclaimable=max(0, min(spread[domain], bounds.most - lasting[domain])),
+            on_demand=min(on_demand[domain], bounds.max_servers),
+            reclaimable=max(
+                0, min(reclaimable[domain], bounds.max_servers - on_demand[domain])
+            ),
         )
         for domain, bounds in domains.items()
     }
 
 
-def count_lasting(
+def count_on_demand_servers(
     serving: Mapping[FailureDomain, int], needed: int, is_reclaiming: bool
 ) -> int:
-    """Return how many lasting servers the demand needs beside the reclaimable ones."""
+    """Return how many on-demand servers are needed beside the reclaimable ones.
+
+    During reclaims, the domain with the most servers counts as lost already.
+    """
     left = sum(serving.values())
     if is_reclaiming:
         left -= max(serving.values(), default=0)
-    return max(0, math.ceil(needed - left - BORNE_SHARE * needed))
+    return max(0, math.ceil(needed - left - TOLERATED_DEFICIT_SHARE * needed))
 
 
 def _spread(count: int, domains: Sequence[FailureDomain]) -> dict[FailureDomain, int]:
-    """Spread servers evenly, the odd ones over the first domains."""
-    each, odd = divmod(count, max(1, len(domains)))
-    return {domain: each + (n < odd) for n, domain in enumerate(domains)}
+    """Spread servers evenly; the first domains get the remainder."""
+    each, remainder = divmod(count, max(1, len(domains)))
+    return {domain: each + (n < remainder) for n, domain in enumerate(domains)}
--- a/dewridge/policy/serverhealth.py
+++ b/dewridge/policy/serverhealth.py
@@ -1,31 +1,31 @@
-"""Which backend servers to spare, judged by this host's and all hosts' attempts."""
+"""Health of backend servers, by the recent attempts of this host and of all hosts."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 MIN_COOLDOWN = 0.5
-"""Seconds that a server rests after its first failure in a row: some twenty plain
-answers, long enough for a busy moment to pass."""
+"""Seconds of cooldown after a first failure, doubled for each further one in a row:
+about the time of twenty plain answers, long enough for a short overload to pass."""
 MAX_COOLDOWN = 4.0
-"""Seconds that a failing server rests at the longest; a restart takes about that."""
+"""Longest cooldown of a failing server in seconds; a restart takes about as long."""
 COOLDOWN_FAILURES = 2
-"""Failures in a row before a server rests: one may be the request's own fault."""
+"""Failures in a row that start a cooldown; a single one may be the request's fault."""
 OUTCOME_WEIGHT = 0.15
 """Weight of the newest outcome in the failure share: about the last dozen count."""
 MAX_EXCESS_FAILURE_SHARE = 0.25
-"""How far a server's failure share may lie above the median of its service. Some
-services fail a part of their requests by nature; a grey server stands out."""
+"""How far a server's failure share may exceed the median of its service. Some services
+regularly fail part of their requests; a partially failing server stands out."""
 OUTCOME_HALF_LIFE = 2.0
-"""Seconds after which an attempt counts half: a server that came back is tried again
-after some three of them, and one that fails part of its requests is still seen."""
+"""Seconds after which an attempt counts half. A server that recovered is tried again
+after about three half-lives, and one that fails part of its requests is still found."""
 MIN_ATTEMPTS = 4.0
-"""Recent attempts by all hosts from which their share of failures is believed. Below,
-one request's own fault would shed a server."""
+"""Recent attempts by all hosts from which their failure share is used. With fewer, a
+failure that a single request caused would exclude a server."""
 
 
 @dataclass
 class OutcomeMeter:
-    """Recent attempts at one server; the older ones count less."""
+    """Recent attempts at one server and their failures, with exponential decay."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -39,32 +39,33 @@
         self.failures += has_failed
 
     def read(self, now: float) -> tuple[float, float]:
-        """Return what the attempts and their failures count now."""
-        part = 0.5 ** (max(0.0, now - self.updated_at) / OUTCOME_HALF_LIFE)
-        return self.attempts * part, self.failures * part
+        """Return the attempts and the failures, decayed up to now."""
+        decay = 0.5 ** (max(0.0, now - self.updated_at) / OUTCOME_HALF_LIFE)
+        return self.attempts * decay, self.failures * decay
 
 
 def find_failure_share(attempts: float, failures: float) -> float | None:
-    """Return the share of failed attempts; None where there are too few."""
+    """Return the share of failed attempts, or None if there were too few attempts."""
     return failures / attempts if attempts >= MIN_ATTEMPTS else None
 
 
 def find_median(shares: Iterable[float]) -> float:
-    """Return the median of shares; 0 of none."""
-    known = sorted(shares)
-    return known[len(known) // 2] if known else 0.0
+    """Return the median of the shares, or 0 if there are none."""
+    ordered = sorted(shares)
+    return ordered[len(ordered) // 2] if ordered else 0.0
 
 
 @dataclass
 class ServerHealth:
-    """What own attempts saw of one server.
+    """Results of this host's own attempts at one server.
 
     Attributes:
-        consecutive_failures: failures in a row.
+        consecutive_failures: failures since the last success.
         failure_share: smoothed share of failed attempts.
-        cooldown_until: steady time until which it gets no work if others can.
-        full_until: steady time until which it counts as full.
-        recent: recent attempts, as the other hosts are told.
+        cooldown_until: monotonic time until which it gets no work if others can take
+            it.
+        full_until: monotonic time until which it counts as full.
+        recent: recent attempts, as reported to the other hosts.
     """
 
     consecutive_failures: int = 0
@@ -74,37 +75,43 @@
     recent: OutcomeMeter = field(default_factory=OutcomeMeter)
 
     def record_success(self, now: float) -> None:
-        """Note a good answer."""
+        """Record a successful attempt."""
         self.recent.add(now, has_failed=False)
         self.consecutive_failures = 0
         self.failure_share *= 1 - OUTCOME_WEIGHT
 
     def record_failure(self, now: float, *, is_hard: bool) -> None:
-        """Note a failed attempt; hard ones say that the server may be gone."""
+        """Record a failed attempt.
+
+        Args:
+            now: monotonic time.
+            is_hard: whether the failure suggests that the server has crashed or left;
+                it then starts a cooldown by itself.
+        """
         self.recent.add(now, has_failed=True)
         self.failure_share += (1 - self.failure_share) * OUTCOME_WEIGHT
         self.consecutive_failures += 1
         if is_hard or self.consecutive_failures >= COOLDOWN_FAILURES:
             doublings = min(self.consecutive_failures - 1, 4)
-            rest = min(MAX_COOLDOWN, MIN_COOLDOWN * 2.0**doublings)
-            self.cooldown_until = now + rest
+            cooldown = min(MAX_COOLDOWN, MIN_COOLDOWN * 2.0**doublings)
+            self.cooldown_until = now + cooldown
 
     def is_usable(
         self, now: float, fleet_share: float | None, median_share: float
     ) -> bool:
-        """Whether the server may get work while others can take it too.
+        """Whether the server may get work while other servers can take it too.
 
-        Made for a server that fails a part of its requests while its health check
-        passes: it answers failures fast, looks idle, and least-loaded placement
-        would send it ever more. With many hosts each one's own attempts at a server
-        are seconds apart, so that a failing one is known by all hosts' attempts
-        together long before any host knows it alone.
+        A server that fails part of its requests may still pass its health check. It
+        fails fast and looks idle, so that least-loaded placement would send it more and
+        more. In a large fleet the attempts of one host at a server are seconds apart:
+        the attempts of all hosts together reveal a failing server long before those of
+        any single host.
 
         Args:
-            now: steady time.
-            fleet_share: share of all hosts' recent attempts that failed; None if
-                there were too few to tell.
-            median_share: median of the service's servers.
+            now: monotonic time.
+            fleet_share: share of all hosts' recent attempts that failed; None if there
+                were too few.
+            median_share: median failure share of the service's servers.
         """
         if now < self.cooldown_until or now < self.full_until:
             return False
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that one entry host sends a service's work to."""
+"""Backend servers that one entry host sends a service's requests to."""
 
 import random
 from collections.abc import Sequence
@@ -12,24 +12,40 @@
 from dewridge.policy.credits import LEAST_LIMIT, Health, ServerCredits
 from dewridge.policy.model import AttemptOutcome, ServerView, WorkClass
 from dewridge.policy.reserve import Reserve
-from dewridge.policy.subsets import choose_subset, find_sharers
-from dewridge.policy.usual import Usual
+from dewridge.policy.subsets import choose_subset, find_hosts_per_server
+from dewridge.policy.usual import LatencyModel
 
-REFRESH = 0.1
-"""Seconds between two looks at all servers of the subset. A slow server keeps
-getting work for this long at most; each look costs some tens of microseconds."""
+REFRESH_INTERVAL = 0.1
+"""Seconds between two checks of all servers of the subset. A server that turned slow
+gets work for this long at most; a check costs some tens of microseconds."""
 
-OVERDRAFT = 0.5
-"""Part of the credits that interactive work may go beyond them, while background
-work holds as many. More would only move the queue into the engines."""
+MAX_OVERDRAFT_SHARE = 0.5
+"""Share by which interactive work may exceed the credits, as far as background work
+holds them. A larger one would only move the queue into the engines."""
 
-NOTICE_MEMORY = 60.0
-"""Seconds that a failure domain counts as under notice after its last notice.
-Reclaims come in waves, so the next is likely where the last one was."""
+NOTICE_PERIOD = 60.0
+"""Seconds for which a failure domain counts as under notice after its last reclaim
+notice. Reclaims come in waves, so that the next one is likely where the last one
+was."""
 
 
 class Servers:
-    """Views of the whole fleet, and credits for the subset that is in use."""
+    """Views of all servers of a service, and credits for the subset in use.
+
+    Attributes:
+        records: credits by server, for the subset and for other servers in use.
+        subset: records of the servers that this host uses.
+        fleet: views of all servers that are not leaving.
+        latency_model: typical latencies of the subset.
+        mean_in_flight: mean of this host's requests per healthy server of the subset.
+        total_limit: sum of the credits of the healthy servers of the subset.
+        has_suspended: whether a server of the subset is suspended.
+        newly_slow: servers that turned slow since the last `pop_slow_servers`.
+        in_flight: this host's requests at all servers.
+        background: those of them that are background work.
+        reserve: estimates the credits to reserve for interactive work.
+        min_price: lowest price of a slot in the subset.
+    """
 
     def __init__(
         self, targets: LatencyTargets, is_plain: bool, rng: random.Random
@@ -37,71 +53,71 @@
         self.records: dict[BackendServerId, ServerCredits] = {}
         self.subset: list[ServerCredits] = []
         self.fleet: list[ServerView] = []
-        self.latency_model = Usual(targets, is_plain)
+        self.latency_model = LatencyModel(targets, is_plain)
         self.mean_in_flight = 0.0
         self.total_limit = 0.0
         self.has_suspended = False
-        self.turned_slow: list[BackendServerId] = []
+        self.newly_slow: list[BackendServerId] = []
         self.in_flight = 0
         self.background = 0
         self.reserve = Reserve()
         self._rng = rng
         self._host_index = 0
         self._host_count = 1
-        self._most = 12
-        self._sharers = 1.0
+        self._target_subset_size = 12
+        self._hosts_per_server = 1.0
         self._views: dict[BackendServerId, ServerView] = {}
-        self._member_ids: frozenset[BackendServerId] = frozenset()
+        self._available_ids: frozenset[BackendServerId] = frozenset()
         self._notices: dict[FailureDomain, float] = {}
         self._refresh_at = 0.0
         self.min_price = 0.0
 
-    def configure(self, targets: LatencyTargets, most: int) -> None:
-        """Take over a profile's targets and size of the subset."""
+    def configure(self, targets: LatencyTargets, target_size: int) -> None:
+        """Apply a profile's latency targets and subset size."""
         self.latency_model.set_targets(targets)
-        if most != self._most:
-            self._most = most
+        if target_size != self._target_subset_size:
+            self._target_subset_size = target_size
             self._choose_subset()
 
     def set_hosts(self, host_index: int, host_count: int) -> None:
-        """Say which of how many entry hosts this is."""
+        """Set this host's index among the entry hosts, and their number."""
         if (host_index, host_count) != (self._host_index, self._host_count):
             self._host_index = host_index
             self._host_count = host_count
             self._choose_subset()
 
     def update(self, views: Sequence[ServerView], now: float) -> None:
-        """Replace what is known of the fleet.
+        """Replace the views of all servers.
 
-        A server known to be leaving stays so, whatever an older, lagging list
-        says: new work sent there would be lost.
+        A server known to be leaving stays marked as such, also when an older, lagging
+        list does not say so: new requests sent there would be lost.
         """
-        fresh = {}
+        updated = {}
         for view in views:
             known = self._views.get(view.id)
             if view.leaving_at is not None and (
                 known is None or known.leaving_at is None
             ):
                 self._notices[view.failure_domain] = now
-            fresh[view.id] = view
+            updated[view.id] = view
             if known is not None and known.leaving_at is not None:
-                fresh[view.id] = _mark_leaving(view, known.leaving_at)
+                updated[view.id] = _mark_leaving(view, known.leaving_at)
             record = self.records.get(view.id)
             if record is not None:
-                record.view = fresh[view.id]
-        for gone in self._views.keys() - fresh.keys():
-            self._forget(gone)
-        self._views = fresh
-        self.fleet = [view for view in fresh.values() if view.leaving_at is None]
-        members = frozenset(view.id for view in self.fleet)
-        if members != self._member_ids:
-            self._member_ids = members
+                record.view = updated[view.id]
+        for removed in self._views.keys() - updated.keys():
+            self._drop_record(removed)
+        self._views = updated
+        self.fleet = [view for view in updated.values() if view.leaving_at is None]
+        available = frozenset(view.id for view in self.fleet)
+        if available != self._available_ids:
+            self._available_ids = available
             self._choose_subset()
 
     def handle_leaving(
         self, server: BackendServerId, leaving_at: float, now: float
     ) -> None:
-        """Give a server no new work from now on."""
+        """Stop sending new requests to a server that is leaving."""
         view = self._views.get(server)
         if view is None:
             return
@@ -112,11 +128,11 @@
         if record is not None:
             record.view = view
         self.fleet = [other for other in self.fleet if other.id != server]
-        self._member_ids -= {server}
+        self._available_ids -= {server}
         self._choose_subset()
 
     def find(self, server: BackendServerId) -> ServerCredits | None:
-        """Return a server's record; one outside the subset is made when known."""
+        """Return a server's record, created if only its view is known."""
         record = self.records.get(server)
         view = self._views.get(server)
         if record is None and view is not None:
@@ -130,7 +146,7 @@
         work_class: WorkClass,
         now: float,
     ) -> None:
-        """Use a credit for a dispatch."""
+        """Use a credit of a server for a dispatch."""
         record.take(request, work_class, now)
         self.in_flight += 1
         self.background += work_class is WorkClass.BACKGROUND
@@ -138,7 +154,7 @@
     def release(
         self, record: ServerCredits, request: RequestId, work_class: WorkClass
     ) -> None:
-        """Free the credit of a request that ended."""
+        """Free the credit of a request that completed or failed."""
         record.give_back(request, work_class)
         self.in_flight -= 1
         self.background -= work_class is WorkClass.BACKGROUND
@@ -146,31 +162,35 @@
     def has_credit(self, work_class: WorkClass, share: float) -> bool:
         """Whether this host may send one more request of a class at all.
 
-        Credits are fractions, and a server gets their number rounded up; this
-        bound on their sum keeps many hosts from rounding up at once. What is
-        kept for interactive work is counted over all servers too: with few
-        credits to a server, no whole one could be kept on each.
+        Credits are fractions, and rounded up for each server; this limit on their sum
+        keeps many hosts from rounding up at once. The reserve for interactive work is
+        taken from the sum as well: with few credits per server, no full credit could be
+        reserved on each.
         """
         total = max(1.0, self.total_limit)
         if work_class is WorkClass.BACKGROUND:
-            kept = self.find_reserved_share(share) * total
-            most = max(1.0, total - kept)
-            return self.in_flight < total and self.background < most
-        # Drafts may hold all credits of this host while those of others lie
-        # idle. Engines put questions first, so a few beyond the credits find a
-        # place sooner than the next draft here would end.
-        extra = min(OVERDRAFT * total, self.background)
+            reserved = self.find_reserved_share(share) * total
+            max_background = max(1.0, total - reserved)
+            return self.in_flight < total and self.background < max_background
+        # Background requests may hold all credits of this host while those of other
+        # hosts are unused. Engines run interactive requests first, so that a few beyond
+        # the credits start sooner than the next background request here would end.
+        extra = min(MAX_OVERDRAFT_SHARE * total, self.background)
         return self.in_flight < total + extra
 
     def find_reserved_share(self, share: float) -> float:
-        """Return the part of the credits to keep for interactive work now."""
+        """Return the share of the credits to reserve for interactive work.
+
+        Args:
+            share: upper limit of the result.
+        """
         total = max(1.0, self.total_limit)
         return self.reserve.find_credits(share * total) / total
 
     def is_under_notice(self, domain: FailureDomain, now: float) -> bool:
-        """Whether servers of a failure domain were reclaimed lately."""
+        """Whether a reclaim was recently announced for a server of a domain."""
         noticed_at = self._notices.get(domain)
-        return noticed_at is not None and now - noticed_at < NOTICE_MEMORY
+        return noticed_at is not None and now - noticed_at < NOTICE_PERIOD
 
     def record_first_token(
         self,
@@ -179,16 +199,16 @@
         work_class: WorkClass,
         now: float,
     ) -> None:
-        """Learn from the first token of a request."""
+        """Update latencies and credits by the first token of a request."""
         record = self.records.get(server)
         if record is None:
             return
         sample = record.note_first_token(request, work_class, now)
         if sample is None:
             return
-        self.latency_model.note_sample(now)
+        self.latency_model.record_sample(now)
         if record.probe == request:
-            self._judge_probe(record, sample, now)
+            self._handle_probe_result(record, sample, now)
         elif record.health is Health.GOOD:
             self.latency_model.adjust_credits(record, sample, work_class, now)
 
@@ -199,7 +219,7 @@
         outcome: AttemptOutcome,
         now: float,
     ) -> None:
-        """Learn from how an attempt ended."""
+        """Update a server's record by the outcome of an attempt."""
         if outcome is AttemptOutcome.LOST:
             record.note_failure(now, self._rng.random())
         elif outcome is AttemptOutcome.NOT_STARTED:
@@ -208,12 +228,12 @@
             record.drop_probe(request)
 
     def refresh(self, now: float) -> None:
-        """Look at all servers of the subset, at most once in REFRESH seconds."""
+        """Check all servers of the subset, at most once per `REFRESH_INTERVAL`."""
         if now < self._refresh_at:
             return
-        self._refresh_at = now + REFRESH
-        self._learn(now)
-        # One server alone has none to be slower than, and nobody to take over.
+        self._refresh_at = now + REFRESH_INTERVAL
+        self._update_estimates(now)
+        # A single server has no others to be compared with, or to take over its work.
         if len(self.subset) > 1:
             self._suspend_slow(now)
         healths = [record.health for record in self.subset]
@@ -224,17 +244,17 @@
             is_suspended = record.health is Health.SUSPENDED
             if not is_suspended and self.latency_model.is_slow(record, now):
                 record.suspend(now, self._rng.random())
-                self.turned_slow.append(record.view.id)
+                self.newly_slow.append(record.view.id)
 
     def pop_slow_servers(self) -> list[BackendServerId]:
-        """Return the servers that turned slow since the last call."""
-        if not self.turned_slow:
+        """Return and clear the servers that turned slow since the last call."""
+        if not self.newly_slow:
             return []
-        slow, self.turned_slow = self.turned_slow, []
+        slow, self.newly_slow = self.newly_slow, []
         return slow
 
     def find_probe_time(self, now: float) -> float | None:
-        """Return when a suspended server may be tried again, if one is to be."""
+        """Return when the next suspended server may be probed, or None."""
         times = [
             record.retry_at
             for record in self.subset
@@ -243,7 +263,7 @@
         return min(times, default=None)
 
     def describe(self) -> dict[str, Any]:
-        """Return what is known of each server of the subset."""
+        """Return the state of each server of the subset, for a dump."""
         return {
             record.view.id: {
                 "health": record.health.value,
@@ -256,24 +276,28 @@
             for record in self.subset
         }
 
-    def _learn(self, now: float) -> None:
+    def _update_estimates(self, now: float) -> None:
         good = [r for r in self.subset if r.health is Health.GOOD]
-        self.latency_model.learn(good)
+        self.latency_model.update(good)
         self.total_limit = sum(r.limit for r in good)
         self.mean_in_flight = sum(r.in_flight for r in good) / max(1, len(good))
         self.reserve.settle(now)
 
-    def _judge_probe(self, record: ServerCredits, sample: float, now: float) -> None:
+    def _handle_probe_result(
+        self, record: ServerCredits, sample: float, now: float
+    ) -> None:
         if self.latency_model.is_good(sample):
             record.recover(sample)
         else:
             record.suspend(now, self._rng.random())
-            self.turned_slow.append(record.view.id)
+            self.newly_slow.append(record.view.id)
 
     def _choose_subset(self) -> None:
-        self._sharers = find_sharers(self.fleet, self._host_count, self._most)
+        self._hosts_per_server = find_hosts_per_server(
+            self.fleet, self._host_count, self._target_subset_size
+        )
         views = choose_subset(
-            self.fleet, self._host_index, self._host_count, self._most
+            self.fleet, self._host_index, self._host_count, self._target_subset_size
         )
         self.subset = [self.records.get(v.id) or self._make_record(v) for v in views]
         for record in self.subset:
@@ -281,14 +305,14 @@
         self._refresh_at = 0.0
         prices = [find_slot_price(view) for view in views]
         self.min_price = min(prices, default=0.0)
-        kept = {view.id for view in views}
+        chosen = {view.id for view in views}
         for server, record in list(self.records.items()):
-            if server not in kept and record.in_flight == 0:
+            if server not in chosen and record.in_flight == 0:
                 del self.records[server]
 
     def _make_record(self, view: ServerView) -> ServerCredits:
-        # The first guess is this host's part of the server's capacity, so that
-        # all hosts together start at what the server can run and not above it.
+        # The initial limit is this host's share of the server's capacity, so that all
+        # hosts together start at what the server can run and not above it.
         share = self._find_share(view)
         record = ServerCredits(
             view, share, share, xxhash.xxh3_64_intdigest(view.id.encode())
@@ -297,9 +321,9 @@
         return record
 
     def _find_share(self, view: ServerView) -> float:
-        return max(LEAST_LIMIT, view.capacity / self._sharers)
+        return max(LEAST_LIMIT, view.capacity / self._hosts_per_server)
 
-    def _forget(self, server: BackendServerId) -> None:
+    def _drop_record(self, server: BackendServerId) -> None:
         record = self.records.get(server)
         if record is not None and record.in_flight == 0:
             del self.records[server]
--- a/dewridge/policy/suspects.py
+++ b/dewridge/policy/suspects.py
@@ -1,34 +1,36 @@
-"""Requests under which servers ended, and which of them are not sent any more."""
+"""Requests under which backend servers crashed, and which of them are quarantined."""
 
 from dataclasses import dataclass, field
 
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest, ServiceName
 
 CRASH_THRESHOLD = 3
-"""Ends of servers under a request until it is set aside. One or two happen to requests
-that only run beside the cause."""
+"""Crashes under a request at which it is quarantined. One or two also happen to
+requests that only run on the same server as the request that causes them."""
 QUARANTINE_PERIOD = 600.0
-"""Seconds for which an end counts. A request that is let through again ends one more
-server, and is set aside at once."""
+"""Seconds for which a crash counts. A request that was released from quarantine is
+quarantined again after one more crash."""
 SIMULTANEOUS_CRASH_WINDOW = 0.3
-"""Seconds within which servers count as ended together, if they had the request at the
-same time. News takes tenths over weak links, so that hosts see such ends apart."""
-MOST_ENDS = 12
-"""Ends that are remembered of one request, the newest ones: a few times what sets it
-aside, so that those that were answered since don't displace those that count."""
+"""Seconds within which crashes count as one, if the servers had the request at the same
+time. Messages take tenths of a second over weak links, so that hosts notice such
+crashes at different times."""
+MAX_CRASHES = 12
+"""Crashes stored per request, the newest ones: a few times the threshold, so that those
+that no longer count, since the request was answered later, don't displace the
+others."""
 MAX_SUSPECTS = 512
-"""Requests that are remembered, in half a megabyte. Past this, the one with the fewest
-ends goes first, the oldest among equals: whoever sends many different ones has to end
-three servers for each that displaces one that is set aside."""
+"""Requests stored, in half a megabyte. Beyond that, the one with the fewest crashes is
+evicted, the oldest among equals: a caller who sends many different requests has to
+crash three servers for each of them that evicts a quarantined one."""
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """A server's end under a request; steady times of this host.
+    """Crash of a server while it ran a request, in monotonic times of this host.
 
     Attributes:
-        at: when it was noticed.
-        sent_at: when the request had been sent there.
+        at: when the crash was noticed.
+        sent_at: when the request had been sent to the server.
     """
 
     at: float
@@ -37,17 +39,17 @@
 
 @dataclass
 class Suspect:
-    """A request under which servers ended; times are steady times of this host.
+    """A request under which servers crashed, with monotonic times of this host.
 
     Attributes:
-        digest: names its content.
-        account: whose it is; empty on an anonymous route.
-        service: whose servers ended.
-        crashes: the end of each server.
-        cleared: servers whose ends count no more: the request was answered in full
-            since, or an operator lets it through. Named and not dated, so that hosts
-            with different clocks agree.
-        updated_at: when something new was last learned of it.
+        digest: identifies the request's content.
+        account: the client account; empty on an anonymous route.
+        service: the service whose servers crashed.
+        crashes: the crash of each server.
+        cleared: servers whose crashes no longer count, because the request was answered
+            completely since, or an operator released it from quarantine. Identified by
+            server and not by time, so that hosts with different clocks agree.
+        updated_at: when anything new about it was last learned.
     """
 
     digest: RequestDigest
@@ -58,31 +60,32 @@
     updated_at: float = float("-inf")
 
     @property
-    def last_end(self) -> float:
-        """When the last of the servers ended."""
-        return max(end.at for end in self.crashes.values())
+    def last_crash_at(self) -> float:
+        """Time of the latest crash."""
+        return max(crash.at for crash in self.crashes.values())
 
     def list_crash_times(self, now: float) -> list[float]:
-        """Return when servers ended, as far as it counts.
+        """Return the times of the crashes that count, in order.
 
-        Servers of one failure domain end together, and copies of a common request may
-        be at all of them: those ends count once. A request that was sent again after
-        one end and meets the next is another matter, however quickly it does.
+        Servers of one failure domain crash together, and copies of a common request may
+        be running on all of them: such crashes count once. If the request was sent to a
+        server only after the previous crash, the crash of that server counts
+        separately, however soon it follows.
         """
-        open_ends = [
-            end
-            for server, end in self.crashes.items()
-            if server not in self.cleared and end.at > now - QUARANTINE_PERIOD
+        open_crashes = [
+            crash
+            for server, crash in self.crashes.items()
+            if server not in self.cleared and crash.at > now - QUARANTINE_PERIOD
         ]
         counted: list[float] = []
-        for end in sorted(open_ends, key=lambda one: one.at):
+        for crash in sorted(open_crashes, key=lambda crash: crash.at):
             last = counted[-1] if counted else float("-inf")
-            if end.sent_at >= last or end.at - last > SIMULTANEOUS_CRASH_WINDOW:
-                counted.append(end.at)
+            if crash.sent_at >= last or crash.at - last > SIMULTANEOUS_CRASH_WINDOW:
+                counted.append(crash.at)
         return counted
 
     def find_quarantine_left(self, now: float) -> float:
-        """Return the seconds for which it is set aside; 0 if it is not."""
+        """Return the seconds of quarantine left; 0 if it is not quarantined."""
         if len(self.crashes) - len(self.cleared) < CRASH_THRESHOLD:
             return 0.0
         counted = self.list_crash_times(now)
@@ -90,85 +93,93 @@
             return 0.0
         return counted[-CRASH_THRESHOLD] + QUARANTINE_PERIOD - now
 
-    def merge(self, news: "Suspect") -> bool:
-        """Take over ends and clearances; returns whether any was new."""
-        oldest = min((end.at for end in self.crashes.values()), default=float("-inf"))
-        is_full = len(self.crashes) >= MOST_ENDS
-        fresh = {
-            server: end
-            for server, end in news.crashes.items()
-            if server not in self.crashes and not (is_full and end.at <= oldest)
+    def merge(self, update: "Suspect") -> bool:
+        """Add crashes and clearances from an update; returns whether any was new."""
+        oldest = min(
+            (crash.at for crash in self.crashes.values()), default=float("-inf")
+        )
+        is_full = len(self.crashes) >= MAX_CRASHES
+        added = {
+            server: crash
+            for server, crash in update.crashes.items()
+            if server not in self.crashes and not (is_full and crash.at <= oldest)
         }
-        self.crashes.update(fresh)
-        while len(self.crashes) > MOST_ENDS:
-            del self.crashes[min(self.crashes, key=lambda one: self.crashes[one].at)]
-        cleared = (news.cleared & self.crashes.keys()) - self.cleared
+        self.crashes.update(added)
+        while len(self.crashes) > MAX_CRASHES:
+            del self.crashes[min(self.crashes, key=lambda key: self.crashes[key].at)]
+        cleared = (update.cleared & self.crashes.keys()) - self.cleared
         self.cleared = (self.cleared | cleared) & self.crashes.keys()
-        return bool(fresh or cleared)
+        return bool(added or cleared)
 
 
 @dataclass
 class SuspectLedger:
-    """What all hosts together know of requests under which servers ended.
+    """What this host and its peers know of requests under which servers crashed.
 
-    Made for one request that comes again and again, at any host and under new ids:
-    each host sees a part of the ends, and set aside by its own count alone it would
-    end three servers for each host. What is learned is merged by server, so that
-    an end that several hosts tell of counts once.
+    A request that crashes servers may come again and again, at any host and under new
+    ids. Each host sees only some of the crashes; if it counted only these, the request
+    could crash three servers for each host. Reports are merged by server, so that a
+    crash that several hosts report counts once.
     """
 
     _suspects: dict[RequestDigest, Suspect] = field(default_factory=dict)
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is suspected, so that no digest is needed."""
+        """Whether there are no suspects, so that no request needs a digest."""
         return not self._suspects
 
     def find(self, digest: RequestDigest) -> Suspect | None:
-        """Return what is known of a request."""
+        """Return a suspect by its digest."""
         return self._suspects.get(digest)
 
     def count_crashes(self, digest: RequestDigest, now: float) -> int:
-        """Return under how many ends of servers a request stands."""
+        """Return the number of crashes that count for a request."""
         suspect = self._suspects.get(digest)
         return 0 if suspect is None else len(suspect.list_crash_times(now))
 
     def find_quarantine_left(self, digest: RequestDigest, now: float) -> float:
-        """Return the seconds for which a request is set aside; 0 if it is not."""
+        """Return the seconds of quarantine left; 0 if it is not quarantined."""
         suspect = self._suspects.get(digest)
         return 0.0 if suspect is None else suspect.find_quarantine_left(now)
 
     def list_quarantined(self, now: float) -> list[Suspect]:
-        """Return the requests that are set aside."""
+        """Return the requests that are quarantined."""
         return [
-            one for one in self._suspects.values() if one.find_quarantine_left(now) > 0
+            suspect
+            for suspect in self._suspects.values()
+            if suspect.find_quarantine_left(now) > 0
         ]
 
     def list_all(self) -> list[Suspect]:
-        """Return all that is known."""
+        """Return all suspects."""
         return list(self._suspects.values())
 
     def list_updated_since(self, begin: float) -> list[Suspect]:
-        """Return those of which something new was learned, the newest first."""
-        fresh = [one for one in self._suspects.values() if one.updated_at >= begin]
-        return sorted(fresh, key=lambda one: one.updated_at, reverse=True)
+        """Return the suspects that were updated at or after a time, newest first."""
+        updated = [
+            suspect
+            for suspect in self._suspects.values()
+            if suspect.updated_at >= begin
+        ]
+        return sorted(updated, key=lambda suspect: suspect.updated_at, reverse=True)
 
-    def merge(self, news: Suspect, now: float) -> bool:
-        """Take over what was seen or told; returns whether any of it was new."""
-        known = self._suspects.get(news.digest)
+    def merge(self, update: Suspect, now: float) -> bool:
+        """Merge a local observation or a peer's report; returns whether any was new."""
+        known = self._suspects.get(update.digest)
         if known is None:
-            if not news.crashes:
+            if not update.crashes:
                 return False
-            self._make_room(now)
-            known = Suspect(news.digest, news.account, news.service)
-            self._suspects[news.digest] = known
-        is_new = known.merge(news)
+            self._evict_if_full(now)
+            known = Suspect(update.digest, update.account, update.service)
+            self._suspects[update.digest] = known
+        is_new = known.merge(update)
         if is_new:
             known.updated_at = now
         return is_new
 
     def clear(self, digest: RequestDigest, now: float) -> bool:
-        """Count the ends so far no more; returns whether any counted."""
+        """Stop counting a request's crashes so far; returns whether any counted."""
         suspect = self._suspects.get(digest)
         if suspect is None or not suspect.list_crash_times(now):
             return False
@@ -177,22 +188,25 @@
         return True
 
     def drop_expired(self, now: float) -> None:
-        """Drop what does not count any more."""
+        """Remove suspects whose crashes are all older than `QUARANTINE_PERIOD`."""
         for digest in [
             digest
-            for digest, one in self._suspects.items()
-            if one.last_end < now - QUARANTINE_PERIOD
+            for digest, suspect in self._suspects.items()
+            if suspect.last_crash_at < now - QUARANTINE_PERIOD
         ]:
             del self._suspects[digest]
 
-    def _make_room(self, now: float) -> None:
+    def _evict_if_full(self, now: float) -> None:
         if len(self._suspects) < MAX_SUSPECTS:
             return
         self.drop_expired(now)
         if len(self._suspects) >= MAX_SUSPECTS:
-            first = min(self._suspects.values(), key=lambda one: _rank(one, now))
-            del self._suspects[first.digest]
+            evicted = min(
+                self._suspects.values(),
+                key=lambda suspect: _make_eviction_key(suspect, now),
+            )
+            del self._suspects[evicted.digest]
 
 
-def _rank(suspect: Suspect, now: float) -> tuple[int, float]:
-    return len(suspect.list_crash_times(now)), suspect.last_end
+def _make_eviction_key(suspect: Suspect, now: float) -> tuple[int, float]:
+    return len(suspect.list_crash_times(now)), suspect.last_crash_at
--- a/dewridge/policy/usage.py
+++ b/dewridge/policy/usage.py
@@ -1,4 +1,4 @@
-"""What a profile cost and lost on this host."""
+"""Counters of what a profile cost and lost on this host."""
 
 from collections import defaultdict
 
@@ -9,7 +9,7 @@
 
 
 class UsageLedger:
-    """Counts answers, money and losses; the sums only grow."""
+    """Counts answers, costs and losses; the counters never decrease."""
 
     def __init__(self) -> None:
         self._counters: dict[str, float] = defaultdict(float)
@@ -30,7 +30,7 @@
         outcome: AttemptOutcome,
         now: float,
     ) -> float:
-        """Count an attempt that ended; returns the money that it took."""
+        """Count an attempt that completed or failed; returns its cost."""
         cost = 0.0
         if outcome is not AttemptOutcome.NOT_STARTED:
             cost = attempt.price * max(0.0, now - attempt.sent_at)
@@ -43,13 +43,17 @@
     def count_answer(
         self, attempt: RunningAttempt, targets: LatencyTargets, now: float
     ) -> None:
-        """Count a whole answer, in its target or late."""
+        """Count a complete answer as in time or late.
+
+        An answer is late after its deadline; an interactive one also if it takes longer
+        than the profile's target.
+        """
         work = attempt.entry.work
-        in_time = now <= work.deadline
+        is_in_time = now <= work.deadline
         if work.work_class is WorkClass.INTERACTIVE:
-            in_time = in_time and now - work.arrival <= targets.whole_answer
+            is_in_time = is_in_time and now - work.arrival <= targets.whole_answer
         self.count("answered")
-        self.count("answered_in_target" if in_time else "answered_late")
+        self.count("answered_in_target" if is_in_time else "answered_late")
 
     def read(self) -> Usage:
         """Return all counters."""
--- a/dewridge/policy/usual.py
+++ b/dewridge/policy/usual.py
@@ -1,4 +1,4 @@
-"""What answers usually take, and which servers fall behind it."""
+"""Typical latencies of a service's servers, and detection of slow servers by them."""
 
 from collections.abc import Sequence
 from math import inf
@@ -9,38 +9,39 @@
 from dewridge.policy.model import Work, WorkClass
 
 SLOW_FACTOR = 4.0
-"""Multiple of the median at which a server counts as slow. Twice happens from
-chance and from long prompts; ten times must be caught in its first answers."""
+"""Multiple of the median at which a server counts as slow. A factor of two occurs by
+chance and with long prompts; a factor of ten must be detected in the first answers."""
 
-QUEUED_FACTOR = 1.5
-"""Multiple of an idle server's time to a first token from which requests must be
-waiting in the server's own queue, where neither deadlines nor shares count."""
+QUEUEING_FACTOR = 1.5
+"""Multiple of an idle server's time to first token above which requests must be waiting
+in the server's own queue, where neither deadlines nor fair shares apply."""
 
-BASE_RISE = 1.0005
-"""Factor on the idle server's time in each look: doubles it in some two minutes."""
+BASE_GROWTH_FACTOR = 1.0005
+"""Factor by which the estimate for an idle server grows at each update: it doubles in
+about two minutes."""
 
-PATIENCE = 0.5
-"""Part of the target under which no answer counts as slow, whatever the others
-take: suspending a server that meets the target would only cost capacity."""
+SLOW_FLOOR_SHARE = 0.5
+"""Share of the latency target below which no answer counts as slow, however fast other
+servers are: suspending a server that meets the target would only cost capacity."""
 
-SILENCE = 2.0
-"""Multiple of the first token's target after which a silent engine counts as hung.
-A place in a full batch may take a second to come free while nothing of this
-host's happens to stream there."""
+SILENCE_FACTOR = 2.0
+"""Multiple of the target time to first token after which a silent engine counts as
+hung. In a full batch, a slot may take a second to become free while no other request of
+this host receives tokens from there."""
 
 PRIOR_SHARE = 0.25
-"""Part of the targets that an answer is reckoned to take before any came. Low on
-purpose: reckoning high would refuse the very work that teaches the truth."""
+"""Share of the latency targets that is assumed before any answer was measured. It is
+low on purpose: a high one would refuse the very requests that provide measurements."""
 
 
-FRESH = 10.0
-"""Seconds since the last answer for which the times are believed. Believed for
-ever, times learned in a bad moment could have every short deadline refused, and
-with nothing sent no answer would ever correct them."""
+MAX_SAMPLE_AGE = 10.0
+"""Seconds since the last answer for which the latencies are used. Used for ever,
+latencies of a bad moment could cause every request with a short deadline to be refused,
+and with nothing sent no answer would ever correct them."""
 
 
-class Usual:
-    """Times that the servers of a subset have in common, and judgements by them.
+class LatencyModel:
+    """Typical latencies over the servers of a subset, and checks against them.
 
     Attributes:
         first_token: median seconds from a dispatch to the first token.
@@ -57,42 +58,44 @@
         self.token_time = PRIOR_SHARE * targets.between_tokens
 
     def set_targets(self, targets: LatencyTargets) -> None:
-        """Take over a profile's targets."""
+        """Apply a profile's latency targets."""
         self._targets = targets
 
-    def note_sample(self, now: float) -> None:
+    def record_sample(self, now: float) -> None:
         """Record that an answer began."""
         self._sampled_at = now
 
     def find_duration(self, work: Work, now: float) -> float:
-        """Return the expected seconds of an attempt, or 0 if that is not known."""
-        if now - self._sampled_at > FRESH:
+        """Return the expected seconds of an attempt, or 0 without recent answers."""
+        if now - self._sampled_at > MAX_SAMPLE_AGE:
             return 0.0
         return self.predict_duration(work)
 
-    def learn(self, records: Sequence[ServerCredits]) -> None:
-        """Learn from servers in good health."""
+    def update(self, records: Sequence[ServerCredits]) -> None:
+        """Update the latencies from the servers in good health."""
         firsts = [r.first_token for r in records if r.first_token]
         betweens = [r.token_time for r in records if r.token_time]
         if firsts:
             self.first_token = median(firsts)
-            self._learn_base(min(firsts))
+            self._update_base(min(firsts))
         if betweens:
             self.token_time = median(betweens)
 
-    def _learn_base(self, least: float) -> None:
-        # The least in recent time is what an idle server needs. It rises slowly,
-        # so that prompts which grow longer are learned in minutes, while a queue
-        # that builds up in seconds does not pass for normal.
-        if least < self.base_first_token:
-            self.base_first_token = least
+    def _update_base(self, shortest: float) -> None:
+        # The shortest recent time is taken as that of an idle server. The estimate
+        # rises slowly, so that it follows longer prompts within minutes, while a queue
+        # that builds up in seconds is not taken as normal.
+        if shortest < self.base_first_token:
+            self.base_first_token = shortest
         else:
-            self.base_first_token = min(least, self.base_first_token * BASE_RISE)
+            self.base_first_token = min(
+                shortest, self.base_first_token * BASE_GROWTH_FACTOR
+            )
 
     def predict_duration(
         self, work: Work, record: ServerCredits | None = None
     ) -> float:
-        """Return the seconds that an attempt is expected to take."""
+        """Return the expected seconds of an attempt, at a given server or at any."""
         first = self.first_token
         between = self.token_time
         if record is not None:
@@ -103,7 +106,7 @@
         return first + between * max(0, work.expected_tokens - work.tokens_done - 1)
 
     def is_slow(self, record: ServerCredits, now: float) -> bool:
-        """Whether a server is far behind the others, or silent."""
+        """Whether a server is much slower than the others, or silent."""
         if record.health is Health.PROBING:
             sent_at = record.waiting.get(record.probe, now) if record.probe else now
             return not self.is_good(now - sent_at)
@@ -111,29 +114,32 @@
             return True
         if self._is_plain:
             return not self.is_good(record.find_first_token(now))
-        # An engine that is full makes new requests wait but still streams, and
-        # loses credits for it; only one that says nothing at all is suspended.
-        limit = max(SILENCE * self._targets.first_token, SLOW_FACTOR * self.first_token)
+        # A full engine lets new requests wait but still streams tokens, and it loses
+        # credits for that. Only an engine that sends nothing at all is suspended.
+        limit = max(
+            SILENCE_FACTOR * self._targets.first_token, SLOW_FACTOR * self.first_token
+        )
         return record.find_silence(now) > limit
 
     def is_good(self, sample: float) -> bool:
-        """Whether a time to a first token is no sign of a slow server."""
-        return sample <= max(self._patience, SLOW_FACTOR * self.first_token)
+        """Whether a time to first token gives no sign of a slow server."""
+        return sample <= max(self._slow_floor, SLOW_FACTOR * self.first_token)
 
     def adjust_credits(
         self, record: ServerCredits, sample: float, work_class: WorkClass, now: float
     ) -> None:
-        """Change a server's credits by the time that a first token took."""
-        # Up to its even part of the capacity a host needs hard evidence to give
-        # credits up: a question that waited for half of the target. A draft may
-        # wait, and does behind others' questions. Above its part a host works
-        # with credits that others do not use at the moment, and answers that
-        # take longer than they do on an idle server say that they do again.
-        longest = max(self._patience, QUEUED_FACTOR * self.base_first_token)
-        is_late = work_class is WorkClass.INTERACTIVE and sample > longest
+        """Adjust a server's credits to the time that a first token took."""
+        # Up to its even share of the capacity, a host gives up credits only on strong
+        # evidence: an interactive request that waited for half of the target.
+        # Background requests may wait, and do so behind other hosts' interactive ones.
+        # Above its share, a host uses credits that other hosts do not need at the
+        # moment; answers that take longer than on an idle server show that they need
+        # them again.
+        max_wait = max(self._slow_floor, QUEUEING_FACTOR * self.base_first_token)
+        is_late = work_class is WorkClass.INTERACTIVE and sample > max_wait
         if is_late or record.token_time > self._targets.between_tokens:
             record.cut(now)
-        elif record.first_token > QUEUED_FACTOR * self.base_first_token:
+        elif record.first_token > QUEUEING_FACTOR * self.base_first_token:
             record.yield_borrowed(now)
         else:
             record.note_success()
@@ -146,5 +152,5 @@
         return self._targets.first_token
 
     @property
-    def _patience(self) -> float:
-        return PATIENCE * self._first_target
+    def _slow_floor(self) -> float:
+        return SLOW_FLOOR_SHARE * self._first_target
--- a/dewridge/tests/policy/quota_tests.py
+++ b/dewridge/tests/policy/quota_tests.py
@@ -258,4 +258,4 @@
     used = quota.burst + WINDOW * quota.rate
     assert used <= tolerated * (1 + 1e-9)
     # A host that starts anew knows nothing of what was used right before.
-    assert used + quota.after_restart <= tolerated * (1 + 1e-9)
+    assert used + quota.level_after_restart <= tolerated * (1 + 1e-9)
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -10,8 +10,8 @@
 from dewridge.policy.losses import YOUNG, Loss, Reach, ServerVerdict, judge_loss
 from dewridge.policy.suspects import (
     CRASH_THRESHOLD,
+    MAX_CRASHES,
     MAX_SUSPECTS,
-    MOST_ENDS,
     QUARANTINE_PERIOD,
     End,
     Suspect,
@@ -105,11 +105,11 @@
 
 def test_ends_of_one_request_are_bounded() -> None:
     ledger = SuspectLedger()
-    for number in range(MOST_ENDS * 3):
+    for number in range(MAX_CRASHES * 3):
         ledger.merge(make_suspect({f"s{number}": float(number)}), float(number))
     known = ledger.find(CAUSE)
     assert known is not None
-    assert len(known.crashes) == MOST_ENDS
+    assert len(known.crashes) == MAX_CRASHES
     assert not ledger.merge(make_suspect({"s0": 0.0}), 40.0)
 
 
