--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -63,7 +63,9 @@
     WAITING = "waiting"
     """Ordered but not yet begun by the duty holder."""
     TRIAL = "trial"
+    """A share of the requests goes to some servers of the target version."""
     MOVING = "moving"
+    """All new requests go to the target version."""
     COMPLETED = "completed"
     REVERTED = "reverted"
 
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -132,7 +132,7 @@
         self._choose_subset()
 
     def find(self, server: BackendServerId) -> ServerCredits | None:
-        """Return a server's record, created if only its view is known."""
+        """Return a server's record, created if missing; None for an unknown server."""
         record = self.records.get(server)
         view = self._views.get(server)
         if record is None and view is not None:
--- a/dewridge/tests/policy/cells_tests.py
+++ b/dewridge/tests/policy/cells_tests.py
@@ -1,4 +1,4 @@
-"""Cells: every host hears of every other one at a cost that grows slowly."""
+"""Tests cells: reports reach every host, at a cost that grows slowly with the fleet."""
 
 from collections import defaultdict
 
@@ -16,14 +16,14 @@
     }
 
 
-def list_told_cells(cells: Cells, number: int) -> dict[HostId, set[str]]:
-    """Return the cells whose word each host hears in a round."""
-    told: dict[HostId, set[str]] = defaultdict(set)
+def list_received_cells(cells: Cells, number: int) -> dict[HostId, set[str]]:
+    """Return the cells whose sums each host receives in a round."""
+    received: dict[HostId, set[str]] = defaultdict(set)
     for name, members in cells.items():
         for member in members:
             for host in list_receivers(cells, member, number):
-                told[host].add(name)
-    return told
+                received[host].add(name)
+    return received
 
 
 def test_a_small_fleet_is_one_cell() -> None:
@@ -33,36 +33,42 @@
 
 
 @pytest.mark.parametrize(("count", "domains"), [(17, 1), (70, 5), (85, 4), (440, 7)])
-def test_every_host_hears_of_every_other_cell_each_round(
+def test_every_host_receives_the_sums_of_every_other_cell_each_round(
     count: int, domains: int
 ) -> None:
     cells = assign_cells(make_hosts(count, domains))
     for number in (1, 2):
-        told = list_told_cells(cells, number)
+        received = list_received_cells(cells, number)
         for host in make_hosts(count, domains):
-            assert told[host] == set(cells) - {find_cell(cells, host)}
+            assert received[host] == set(cells) - {find_cell(cells, host)}
 
 
-def test_another_member_tells_in_the_next_round() -> None:
-    """A host that told of its cell dies; nobody has noticed yet.
+def test_another_member_sends_in_the_next_round() -> None:
+    """Guards against receivers that depend on a single member of a cell.
 
-    If it alone told some hosts, these would believe the whole cell dead and keep
-    its accounts to a smaller share.
+    If this member crashed, they would count the full cell as silent until the crash is
+    detected, and limit accounts to a smaller share of their quotas.
     """
     cells = assign_cells(make_hosts(85, 4))
     host = HostId("host-3")
     for name, members in cells.items():
         if host in members or len(members) < 2:
             continue
-        tellers = [
-            {one for one in members if host in list_receivers(cells, one, number)}
+        senders = [
+            {
+                member
+                for member in members
+                if host in list_receivers(cells, member, number)
+            }
             for number in (1, 2)
         ]
-        assert tellers[0] != tellers[1], name
+        assert senders[0] != senders[1], name
 
 
 @pytest.mark.parametrize(("count", "most"), [(85, 30), (440, 70)])
-def test_messages_a_round_grow_like_the_square_root(count: int, most: int) -> None:
+def test_messages_per_round_grow_with_the_square_root_of_the_fleet(
+    count: int, most: int
+) -> None:
     cells = assign_cells(make_hosts(count, 4))
     for host in make_hosts(count, 4):
         cell = find_cell(cells, host)
@@ -71,7 +77,7 @@
         assert messages <= most
 
 
-def test_a_host_that_goes_leaves_the_others_in_their_cells() -> None:
+def test_a_departed_host_does_not_move_the_others() -> None:
     hosts = make_hosts(85, 4)
     before = assign_cells(hosts)
     del hosts[HostId("host-11")]
--- a/dewridge/tests/policy/oldnews_tests.py
+++ b/dewridge/tests/policy/oldnews_tests.py
@@ -1,4 +1,4 @@
-"""Prompts placed by many hosts whose news of each other is old."""
+"""Tests the placement of prompts by many hosts with stale reports of each other."""
 
 import math
 import random
@@ -11,20 +11,28 @@
 
 DOMAIN = FailureDomain("domain-a")
 PACE = 41_000.0
-"""Prompt tokens a second that a server reads."""
+"""Prompt tokens per second that a server reads."""
 HOSTS = 60
 SERVERS = 45
-KEPT_FOR = 10.0
-"""Seconds for which a server keeps a shared part after its last use."""
-COPY_COST = 0.1
-"""What a copy of a shared part takes, as a part of its reading."""
+CACHE_LIFETIME = 10.0
+"""Seconds for which a server caches a shared prefix after its last use."""
+COPY_COST_SHARE = 0.1
+"""Time to copy a shared prefix from another server, as a share of reading it."""
 BURST = 6
-"""Prompts of a burst on average, all to one host."""
+"""Mean number of prompts in a burst, all to one host."""
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """Prompts of one kind: sizes in tokens, seconds to be on time, subjects."""
+class PromptKind:
+    """A kind of prompts.
+
+    Attributes:
+        part: share of all prompts.
+        own: mean size in tokens without the shared prefix.
+        shared: size of the shared prefix in tokens.
+        target: seconds after which the prompt is late.
+        subjects: number of different shared prefixes.
+    """
 
     part: float
     own: float
@@ -34,26 +42,34 @@
 
     @property
     def is_copied(self) -> bool:
-        """Whether its shared part is copied from a server that keeps it."""
+        """Whether the shared prefix can be copied from a server that caches it."""
         return self.shared > 1_500
 
     @property
     def cost_elsewhere(self) -> float:
-        """What its shared part costs where it is not kept, as a part of its reading."""
-        return COPY_COST if self.is_copied else 1.0
+        """Cost of the prefix where it is not cached, as a share of reading it."""
+        return COPY_COST_SHARE if self.is_copied else 1.0
 
 
 KINDS = (
-    Kind(0.3, 2_890, 6_300, 0.64, 40 * SERVERS),
-    Kind(0.25, 1_800, 568, 0.48, 12 * SERVERS),
-    Kind(0.45, 543, 172, 0.4, 11 * SERVERS),
+    PromptKind(0.3, 2_890, 6_300, 0.64, 40 * SERVERS),
+    PromptKind(0.25, 1_800, 568, 0.48, 12 * SERVERS),
+    PromptKind(0.45, 543, 172, 0.4, 11 * SERVERS),
 )
 MEAN = sum(kind.part * (kind.own + 0.3 * kind.shared) for kind in KINDS)
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """A prompt that was sent: when, where, by whom, and when it will be read."""
+class SentPrompt:
+    """A prompt that a host sent to a server.
+
+    Attributes:
+        at: when it was sent.
+        server: index of the server.
+        tokens: tokens that the host expects the server to read.
+        host: index of the host.
+        read_at: when the server has read it.
+    """
 
     at: float
     server: int
@@ -62,35 +78,37 @@
     read_at: float
 
 
-def list_known(sent: list[Sent], host: int, now: float, age: float) -> list[Candidate]:
-    """Return the servers as a host knows them: its own prompts, and older news."""
+def list_candidates(
+    sent: list[SentPrompt], host: int, now: float, age: float
+) -> list[Candidate]:
+    """Return the servers as a host sees them: its own prompts, and stale reports."""
     requests = [0] * SERVERS
     unread = [0.0] * SERVERS
-    for one in sent:
-        is_own = one.host == host
-        told_at = now if is_own else now - age
-        if one.read_at > told_at and (is_own or one.at < told_at):
-            requests[one.server] += 1
-            unread[one.server] += one.tokens
+    for prompt in sent:
+        is_own = prompt.host == host
+        known_until = now if is_own else now - age
+        if prompt.read_at > known_until and (is_own or prompt.at < known_until):
+            requests[prompt.server] += 1
+            unread[prompt.server] += prompt.tokens
     return [
         Candidate(BackendServerId(f"s-{n}"), DOMAIN, requests[n], unread[n], 32, True)
         for n in range(SERVERS)
     ]
 
 
-def replay(load: float, age: float, told_age: float, seed: int) -> float:
-    """Replay ten seconds of bursts at many hosts; return the late part.
+def replay(load: float, age: float, assumed_age: float, seed: int) -> float:
+    """Simulate ten seconds of bursts at many hosts; return the share of late prompts.
 
     Args:
-        load: of the servers' pace, as far as it is known beforehand.
-        age: seconds by which the hosts' news lags.
-        told_age: what the placement is told of that.
-        seed: of the draw.
+        load: expected load as a share of what the servers can read.
+        age: seconds by which the hosts' reports lag.
+        assumed_age: lag that the placement is given.
+        seed: seed of the random numbers.
     """
     rng = random.Random(seed)
     free_at = [0.0] * SERVERS
     last_read: dict[tuple[int, str], float] = {}
-    sent: list[Sent] = []
+    sent: list[SentPrompt] = []
     now, late, total = 0.0, 0, 0
     while now < 10.0:
         now += rng.expovariate(load * SERVERS * PACE / (BURST * MEAN))
@@ -99,37 +117,43 @@
             (kind,) = rng.choices(KINDS, [kind.part for kind in KINDS])
             own = min(6 * kind.own, kind.own * math.exp(rng.gauss(-0.5, 1.0)))
             prefix = f"{kind.shared}/{rng.randrange(kind.subjects)}"
-            known = list_known(sent, host, now, age)
+            candidates = list_candidates(sent, host, now, age)
             size = int(own) + kind.shared
             placement = place_prompt(
-                known,
+                candidates,
                 prefix,
                 kind.shared,
                 size,
                 rng,
                 can_copy=kind.is_copied,
-                news_age=told_age,
+                news_age=assumed_age,
             )
             assert placement is not None
             server = int(placement.server.removeprefix("s-"))
-            is_kept = last_read.get((server, prefix), -KEPT_FOR) > now - KEPT_FOR
+            is_cached = (
+                last_read.get((server, prefix), -CACHE_LIFETIME) > now - CACHE_LIFETIME
+            )
             last_read[server, prefix] = now
-            again = 0.0 if is_kept else kind.shared * kind.cost_elsewhere
+            prefix_tokens = 0.0 if is_cached else kind.shared * kind.cost_elsewhere
             begins_at = max(now, free_at[server])
-            free_at[server] = begins_at + (own + again) / PACE
+            free_at[server] = begins_at + (own + prefix_tokens) / PACE
             late += free_at[server] - now > kind.target
             total += 1
-            sent.append(Sent(now, server, placement.tokens, host, free_at[server]))
-        sent = [one for one in sent if one.read_at > now - age]
+            sent.append(
+                SentPrompt(now, server, placement.tokens, host, free_at[server])
+            )
+        sent = [prompt for prompt in sent if prompt.read_at > now - age]
     return late / total
 
 
 @pytest.mark.parametrize("age", [0.5, 0.9])
-def test_many_hosts_with_old_news_do_not_meet_at_the_same_servers(age: float) -> None:
-    """Bursts come to sixty hosts before forty-five servers; news is half a second old.
+def test_many_hosts_with_stale_reports_do_not_choose_the_same_servers(
+    age: float,
+) -> None:
+    """Guards against all hosts choosing the servers that stale reports show as idle.
 
-    Each host took the servers for the least busy that it knew nothing of, all the same
-    ones: prompts waited there while other servers were idle.
+    With reports half a second old at sixty hosts before forty-five servers, prompts
+    waited at these servers while others were idle.
     """
     seeds = (1, 2)
     before = sum(replay(0.7, age, 0.0, seed) for seed in seeds)
@@ -137,15 +161,15 @@
     assert after < 0.6 * before
 
 
-def test_fresh_news_is_used_for_all_servers() -> None:
-    """With news of a tenth of a second the least busy server is known."""
-    known = list_known([], host=0, now=1.0, age=0.1)
+def test_fresh_reports_are_used_for_all_servers() -> None:
+    """Reports 0.15 s old are fresh enough to choose the least busy server."""
+    known = list_candidates([], host=0, now=1.0, age=0.1)
     busy = [
-        Candidate(one.id, DOMAIN, 9, 90_000.0, 32, True)
-        for one in known
-        if one.id != "s-7"
+        Candidate(server.id, DOMAIN, 9, 90_000.0, 32, True)
+        for server in known
+        if server.id != "s-7"
     ]
-    idle = [one for one in known if one.id == "s-7"]
+    idle = [server for server in known if server.id == "s-7"]
     placement = place_prompt(
         [*busy, *idle], "p", 0, 500, random.Random(1), news_age=0.15
     )
@@ -153,17 +177,18 @@
     assert placement.server == "s-7"
 
 
-def test_old_news_still_tells_the_servers_that_fail() -> None:
-    """Both homes of a prefix rest after failures; the prompt goes to others."""
-    known = list_known([], host=0, now=1.0, age=0.1)
-    homes = {
+def test_stale_reports_still_exclude_servers_in_cooldown() -> None:
+    """Guards against prompts sent to a prefix's cache holders during their cooldown."""
+    known = list_candidates([], host=0, now=1.0, age=0.1)
+    placements = {
         place_prompt(known, "p", 0, 500, random.Random(n), news_age=1.0)
         for n in range(20)
     }
-    resting = {one.server for one in homes if one is not None}
+    in_cooldown = {chosen.server for chosen in placements if chosen is not None}
     candidates = [
-        Candidate(one.id, DOMAIN, 0, 0.0, 32, one.id not in resting) for one in known
+        Candidate(server.id, DOMAIN, 0, 0.0, 32, server.id not in in_cooldown)
+        for server in known
     ]
     placement = place_prompt(candidates, "p", 0, 500, random.Random(1), news_age=1.0)
     assert placement is not None
-    assert placement.server not in resting
+    assert placement.server not in in_cooldown
--- a/dewridge/tests/policy/quota_tests.py
+++ b/dewridge/tests/policy/quota_tests.py
@@ -1,4 +1,4 @@
-"""Quotas over all hosts, replayed without sockets: the sum must hold, always."""
+"""Tests quotas over all hosts by simulation: the total must stay within the limit."""
 
 import random
 from collections import defaultdict
@@ -11,13 +11,15 @@
 
 ACCOUNT = ClientAccount("account-1")
 WINDOW = 8.0
+"""Seconds of a window by which usage is checked."""
 STEP = 0.05
+"""Seconds of one step of the simulation."""
 LIMIT = 9000.0
-"""Units that the quota of these tests allows in one window."""
+"""Units that the quota of most tests allows in one window."""
 
 
 class Fleet:
-    """Hosts that hear each other's use after a delay, but for those cut off."""
+    """Hosts that receive each other's usage after a delay, except those cut off."""
 
     def __init__(self, count: int, quota: Quota, *, delay: float = 0.15) -> None:
         self.names = [HostId(f"host-{number}") for number in range(count)]
@@ -31,7 +33,7 @@
         self.rng = random.Random(99)
 
     def ask(self, name: HostId, amount: float) -> bool:
-        """Let a host judge one request."""
+        """Let a host accept or refuse one request."""
         silent = len(self._list_silent(name))
         fleet = FleetView(len(self.names), silent, self.delay * 1.5)
         ledger = self.ledgers[name]
@@ -52,10 +54,10 @@
         return [other for other in self.cut if other != name]
 
     def step(self) -> None:
-        """Let time pass and news arrive."""
+        """Advance time by one step and deliver the reports that are due."""
         self.now += STEP
-        due = [news for news in self._pending if news[0] <= self.now]
-        self._pending = [news for news in self._pending if news[0] > self.now]
+        due = [report for report in self._pending if report[0] <= self.now]
+        self._pending = [report for report in self._pending if report[0] > self.now]
         for _, source, asked, used in due:
             for other in self.names:
                 if other != source and not {source, other} & self.cut:
@@ -63,14 +65,14 @@
                     self.ledgers[other].record_remote_demand(ACCOUNT, asked, self.now)
 
     def kill_all(self) -> None:
-        """Kill all processes and start them again, with nothing remembered."""
+        """Restart all hosts without any state."""
         self.ledgers = {
             name: QuotaLedger(name, starts_full=False) for name in self.names
         }
         self._pending = []
 
     def find_peak(self) -> float:
-        """Return the most that was used in any window."""
+        """Return the highest usage in any window."""
         peak = 0.0
         for begin, _ in self.used:
             total = sum(n for at, n in self.used if begin <= at <= begin + WINDOW)
@@ -81,7 +83,7 @@
 def run_demand(
     fleet: Fleet, seconds: float, per_second: float, size: float, rng: random.Random
 ) -> tuple[int, int]:
-    """Send requests to random hosts; returns how many were asked and served."""
+    """Send requests to random hosts; returns how many were sent and accepted."""
     asked = served = 0
     for _ in range(int(seconds / STEP)):
         expected = per_second * STEP
@@ -94,10 +96,10 @@
 
 
 def test_a_greedy_account_gets_its_quota_and_no_more() -> None:
-    """One account sends eight times its quota to all hosts at once.
+    """Guards against each host granting the full quota.
 
-    Each host alone would let a whole quota pass, and the engines would be the
-    greedy account's. With the tolerance of a tenth the sum must hold.
+    An account that sends eight times its quota to all hosts would then take the
+    engines. The total must stay within the quota and a tolerance of a tenth.
     """
     quota = Quota(rate=1000.0, burst=1000.0)
     fleet = Fleet(7, quota)
@@ -113,11 +115,11 @@
 
 
 def test_a_large_fleet_refuses_hardly_more_than_one_bucket_would() -> None:
-    """An account sends long prompts, few to each of 85 hosts, at half of its quota.
+    """Guards against refusals of an account that uses half of its quota.
 
-    Each host sees one now and then. Taken for one at every other host too, or set off
-    against a full bucket without what came in since, the next one there was refused,
-    though the account was far below its quota.
+    It sends long prompts to 85 hosts, few to each. A host refused the second one if it
+    assumed the first one at every other host too, or if it subtracted earlier remote
+    usage from a full bucket without the units refilled since.
     """
     quota = Quota(rate=60_000.0, burst=60_000.0)
     fleet = Fleet(85, quota, delay=0.25)
@@ -128,9 +130,10 @@
 
 
 def test_a_greedy_account_at_a_large_fleet_gets_its_quota_and_no_more() -> None:
-    """An account sends eight times its quota in long prompts to all of 85 hosts.
+    """Guards against exceeding the quota in a large fleet.
 
-    News between so many hosts are old, and each host is asked only now and then.
+    An account sends eight times its quota in long prompts to all of 85 hosts; reports
+    between so many hosts are stale, and each host sees few of the prompts.
     """
     quota = Quota(rate=60_000.0, burst=60_000.0)
     fleet = Fleet(85, quota, delay=0.25)
@@ -139,10 +142,10 @@
     assert 0.8 * limit <= fleet.find_peak() <= 1.1 * limit
 
 
-def test_hosts_that_are_cut_off_keep_to_their_share() -> None:
-    """Three of seven hosts lose the others; both sides go on serving callers.
+def test_hosts_that_are_cut_off_use_only_their_share() -> None:
+    """Guards against both sides of a network partition spending the full quota.
 
-    The sum over both sides must still hold, though neither hears the other.
+    Three of seven hosts lose contact to the others, and both sides continue to serve.
     """
     quota = Quota(rate=1000.0, burst=1000.0)
     fleet = Fleet(7, quota)
@@ -153,11 +156,11 @@
     assert fleet.find_peak() <= 1.1 * LIMIT
 
 
-def test_use_before_all_hosts_were_killed_still_counts() -> None:
-    """All processes are killed at once while an account uses its whole quota.
+def test_usage_before_a_restart_of_all_hosts_still_counts() -> None:
+    """Guards against nearly two quotas in one window.
 
-    Nobody remembers what was used. Counted from zero, the account would get nearly
-    two quotas within one window.
+    All hosts are killed at once while an account uses its full quota, and none of them
+    knows the earlier usage after the restart.
     """
     quota = Quota(rate=1000.0, burst=1000.0)
     fleet = Fleet(7, quota)
@@ -170,7 +173,7 @@
 
 @settings(max_examples=15, deadline=None)
 @given(st.integers(2, 12), st.floats(0.5, 6.0), st.integers(0, 1000))
-def test_any_fleet_under_any_demand_holds_the_sum(
+def test_any_fleet_under_any_demand_stays_within_the_quota(
     count: int, demand: float, seed: int
 ) -> None:
     quota = Quota(rate=1000.0, burst=1000.0)
@@ -180,9 +183,9 @@
 
 
 def test_one_large_request_does_not_lock_its_account_out() -> None:
-    """An account sends one long dossier and then short questions, at one host.
+    """Guards against assuming the large request at every other host too.
 
-    The host must not take it that the same dossier came to every other host too.
+    An account sends one long prompt to a host, and then a short one.
     """
     quota = Quota(rate=1000.0, burst=2000.0)
     fleet = Fleet(7, quota)
@@ -191,7 +194,7 @@
     assert fleet.ask(fleet.names[0], 10.0)
 
 
-def test_totals_only_count_own_use() -> None:
+def test_usage_totals_only_count_local_usage() -> None:
     ledger = QuotaLedger(HostId("a"))
     ledger.record(HostId("b"), ACCOUNT, 5.0, 1.0)
     ledger.record(HostId("a"), ACCOUNT, 3.0, 1.0)
@@ -199,9 +202,9 @@
 
 
 def test_a_request_larger_than_the_burst_can_still_run() -> None:
-    """A dossier is larger than what an account may use at once.
+    """Guards against refusing a request that exceeds the burst forever.
 
-    It must run when the account has rested, and be paid off afterwards.
+    It must be accepted when the bucket is full, and its units delay later requests.
     """
     quota = Quota(rate=1000.0, burst=1000.0)
     fleet = Fleet(3, quota)
@@ -212,41 +215,42 @@
 
 
 def serve_steadily(quota: Quota, asked_rate: float) -> tuple[float, float]:
-    """Let nine hosts judge bursts of three requests for forty seconds.
+    """Send bursts of three requests to nine hosts for forty seconds.
 
     Returns:
-        Part of the requests that passed, and the most units used in a window.
+        Share of the requests that were accepted, and the highest usage in a window.
     """
     fleet = Fleet(9, quota)
     rng = random.Random(7)
-    asked = passed = 0
+    asked = accepted = 0
     next_burst = fleet.now
     while fleet.now < 140.0:
         while next_burst <= fleet.now:
             for _ in range(3):
                 asked += 1
-                passed += fleet.ask(rng.choice(fleet.names), rng.uniform(20.0, 180.0))
+                accepted += fleet.ask(rng.choice(fleet.names), rng.uniform(20.0, 180.0))
             next_burst += rng.expovariate(asked_rate / 300.0)
         fleet.step()
-    most = max(
+    peak = max(
         sum(amount for at, amount in fleet.used if begin <= at < begin + WINDOW)
         for begin, _ in fleet.used
     )
-    return passed / asked, most
+    return accepted / asked, peak
 
 
-def test_an_account_that_asks_a_little_more_all_the_time_is_served() -> None:
-    """An operator lowers a quota below what its account goes on asking for.
+def test_an_account_that_constantly_asks_for_a_little_more_is_served() -> None:
+    """Guards against refusing what operators tolerate in each window.
 
-    Operators tolerate that much in each window. With the tolerance given as a burst it
-    is gone after the first second, and callers are refused for the rest of the day.
+    An operator lowers a quota below the demand of its account, which does not change.
+    With the tolerance added to the burst, it is used up after the first second, and
+    callers are refused for the rest of the day.
     """
     tolerated = make_quota(1000.0, 1000.0, overrun=0.1, slack=4000.0, window=WINDOW)
     as_burst = Quota(1060.0, 1060.0 + 2400.0)
-    served, most = serve_steadily(tolerated, 1600.0)
+    served, peak = serve_steadily(tolerated, 1600.0)
     served_by_burst, _ = serve_steadily(as_burst, 1600.0)
     assert served > served_by_burst + 0.05
-    assert most <= (8 * 1000.0 + 1000.0) * 1.1 + 4000.0
+    assert peak <= (8 * 1000.0 + 1000.0) * 1.1 + 4000.0
 
 
 @given(st.floats(0, 1e5), st.floats(0, 1e5), st.floats(0, 0.5), st.floats(0, 2e5))
@@ -257,5 +261,5 @@
     tolerated = (rate * WINDOW + burst) * (1 + overrun) + slack
     used = quota.burst + WINDOW * quota.rate
     assert used <= tolerated * (1 + 1e-9)
-    # A host that starts anew knows nothing of what was used right before.
+    # A restarted host does not know the usage right before its start.
     assert used + quota.level_after_restart <= tolerated * (1 + 1e-9)
--- a/dewridge/tests/policy/registry_tests.py
+++ b/dewridge/tests/policy/registry_tests.py
@@ -1,4 +1,4 @@
-"""Policies by name, and the check of a profile that is published."""
+"""Tests the policies by name, and the validation of a published profile."""
 
 from collections.abc import Collection
 from pathlib import Path
@@ -15,11 +15,11 @@
 from dewridge.tests.policy.builders import make_profile
 
 
-def test_a_sound_profile_has_no_problems() -> None:
+def test_a_valid_profile_has_no_problems() -> None:
     assert check_profile(make_profile()) == []
 
 
-def test_all_problems_are_told_at_once_with_the_nearest_name() -> None:
+def test_all_problems_are_reported_at_once_with_the_nearest_name() -> None:
     profile = Profile(
         name=ProfileName("p"),
         placement=PolicyChoice("cost_awere"),
@@ -39,7 +39,7 @@
     assert "did you mean 'queue_seconds'?" in problems[1]
 
 
-def test_each_policy_can_be_made_and_has_a_baseline_beside_it() -> None:
+def test_each_policy_can_be_made_and_each_kind_has_a_baseline() -> None:
     makers: dict[PolicyKind, Collection[str]] = {
         PolicyKind.PLACEMENT: placement.MAKERS,
         PolicyKind.ADMISSION: admission.MAKERS,
@@ -51,7 +51,7 @@
         assert {spec.is_baseline for spec in specs} == {True, False}
 
 
-def test_the_page_of_policies_tells_each_with_its_parameters() -> None:
+def test_the_page_of_policies_lists_each_with_its_parameters() -> None:
     page = (Path(__file__).parents[3] / "docs" / "policies.md").read_text()
     for spec in list_policies():
         assert f"### `{spec.name}`\n\n{spec.description}" in page
@@ -66,8 +66,8 @@
 
 
 def test_a_policy_of_a_newer_release_does_not_stop_an_older_host() -> None:
-    # During a rolling upgrade an operator publishes a policy that the hosts
-    # still to be upgraded do not know. They go on with the default.
+    # During a rolling upgrade an operator may publish a policy that hosts still to be
+    # upgraded do not know. They continue with the default.
     spec, parameters = resolve_policy(
         PolicyKind.RECOVERY, PolicyChoice("newer", {"attempts": 1e9})
     )
--- a/dewridge/tests/policy/rollouts_tests.py
+++ b/dewridge/tests/policy/rollouts_tests.py
@@ -27,13 +27,15 @@
 EXPOSURE_SHARE = 0.1
 EXPOSURE_SLACK = 50
 STEP = 0.25
+"""Seconds of one step of the simulation."""
 PROPAGATION_DELAY = 1.5
 """Seconds until answers have reached all hosts, and the same for decisions."""
 BOOT_TIME = 1.0
+"""Seconds until the servers of the target version have started."""
 STREAM_TIME = 2.0
 """Seconds that a request runs."""
 RATES = {"draft": 41.0, "chat": 90.0, "check": 65.0}
-"""Requests a second by route."""
+"""Requests per second by route."""
 SERVERS = 45
 
 
@@ -53,7 +55,7 @@
 
     Attributes:
         fault: kind of its fault.
-        share: of its answers that are bad while the fault is active.
+        share: share of its answers that are bad while the fault is active.
         begins_at: seconds after the order at which a fault of kind `LATER` begins.
         route: the route of a fault of kind `ONE_ROUTE`.
         baseline_bad_share: share of bad answers of the old version.
@@ -98,7 +100,14 @@
 
 @dataclass
 class Outcome:
-    """Result of a simulation; `exposed` counts requests sent to the target version."""
+    """Result of a simulation.
+
+    Attributes:
+        stage: the final stage.
+        closed_at: seconds after the order at which the rollout ended.
+        exposed: requests sent to the target version.
+        allowed: requests that may be sent to it if it is bad.
+    """
 
     stage: Stage
     closed_at: float
@@ -133,7 +142,11 @@
     stages: list[tuple[float, Stage]] = [(0.0, stage)]
     while stage not in FINAL and at < version.duration + 10:
         at += STEP
-        known = [one for when, one in stages if when <= at - PROPAGATION_DELAY][-1:]
+        known = [
+            sent_stage
+            for changed_at, sent_stage in stages
+            if changed_at <= at - PROPAGATION_DELAY
+        ][-1:]
         known_stage = known[0] if known else Stage.WAITING
         part = {Stage.TRIAL: share, Stage.MOVING: 1.0}.get(known_stage, 0.0)
         for route, rate in RATES.items():
@@ -155,7 +168,7 @@
             stage_age=at - since,
             duration=version.duration,
             verdict=judge_version(evidence),
-            target_answers=sum(one.answers for one in evidence.target.values()),
+            target_answers=sum(tally.answers for tally in evidence.target.values()),
             target_servers=SERVERS,
             baseline_servers=SERVERS,
             baseline_in_flight=0 if at - since > PROPAGATION_DELAY + STREAM_TIME else 1,
@@ -191,19 +204,19 @@
     return [replay(draw_version(fault, rng), rng, choose) for _ in range(count)]
 
 
-@pytest.mark.parametrize("fault", [one for one in Fault if one is not Fault.NONE])
+@pytest.mark.parametrize("fault", [kind for kind in Fault if kind is not Fault.NONE])
 def test_a_bad_version_is_reverted_within_the_permitted_exposure(fault: Fault) -> None:
     """Guards against missing a fault that is late, rare or occurs only under load."""
     outcomes = run_many(fault, 20, seed=1)
-    assert {one.stage for one in outcomes} == {Stage.REVERTED}
-    assert all(one.exposed <= one.allowed for one in outcomes)
+    assert {outcome.stage for outcome in outcomes} == {Stage.REVERTED}
+    assert all(outcome.exposed <= outcome.allowed for outcome in outcomes)
 
 
 def test_a_sound_version_is_completed_in_time() -> None:
     """Guards against attributing background failures to the target version."""
     outcomes = run_many(Fault.NONE, 40, seed=2)
-    assert sum(one.stage is Stage.COMPLETED for one in outcomes) >= 39
-    assert all(one.closed_at <= 40.0 for one in outcomes)
+    assert sum(outcome.stage is Stage.COMPLETED for outcome in outcomes) >= 39
+    assert all(outcome.closed_at <= 40.0 for outcome in outcomes)
 
 
 def test_failures_common_to_both_versions_do_not_count_against_the_target() -> None:
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -1,4 +1,4 @@
-"""Choosing, sparing, repeating and ordering backend servers, without sockets."""
+"""Tests the choice, exclusion, retries and orders of backend servers."""
 
 import itertools
 import math
@@ -40,7 +40,7 @@
 
 
 def make_candidates(unread: list[float]) -> list[Candidate]:
-    """Return usable servers with so many tokens to read."""
+    """Return usable servers with the given numbers of tokens to read."""
     return [
         Candidate(
             BackendServerId(f"s-{n}"),
@@ -57,14 +57,14 @@
 def place_at(
     candidates: list[Candidate], prefix: str, shared: int = 6_000, seed: int = 1
 ) -> Placement:
-    """Place a prompt of 9,000 tokens; there is a server for it."""
+    """Place a prompt of 9,000 tokens and check that it got a server."""
     rng = random.Random(seed)
     placement = place_prompt(candidates, prefix, shared, 9_000, rng)
     assert placement is not None
     return placement
 
 
-def test_hosts_agree_on_a_prefixs_server_without_a_word() -> None:
+def test_hosts_agree_on_a_prefixs_server_without_coordination() -> None:
     candidates = make_candidates([1.0] * 9)
     shuffled = candidates[::-1]
     for number in range(50):
@@ -79,10 +79,10 @@
     assert min(chosen.values()) > 50
 
 
-def test_a_popular_prefix_does_not_crowd_its_server() -> None:
-    """Nearly all requests are about one dossier.
+def test_a_popular_prefix_does_not_overload_its_server() -> None:
+    """Guards against sending all requests of one prefix to its cache holders.
 
-    Its server would get nearly all work while the others stand idle.
+    With nearly all requests about one document, the other servers would be idle.
     """
     unread = [0.0] * 9
     for number in range(180):
@@ -91,31 +91,33 @@
     assert max(unread) <= 2 * min(unread) + 2 * 6_000 + 9_000 + NEAR_TOKENS
 
 
-def test_a_short_question_is_not_kept_waiting_for_what_it_shares() -> None:
-    """A long prompt is being read at the home of a short question's shared part.
+def test_a_short_prompt_does_not_wait_for_its_cached_prefix() -> None:
+    """Guards against a short prompt waiting at a cache holder that reads a long one.
 
-    The 200 tokens that it shares are read elsewhere in less time than it would wait;
-    kept to its home, one short question in ten came late on a calm day.
+    Its prefix of 200 tokens is read elsewhere in less time than it would wait. Sent to
+    the cache holder anyway, one short prompt in ten was late on an ordinary day.
     """
-    home = place_at(make_candidates([0.0] * 9), "chat", shared=200).server
+    cache_holder = place_at(make_candidates([0.0] * 9), "chat", shared=200).server
     unread = [0.0] * 9
-    unread[int(home.removeprefix("s-"))] = 9_000.0
+    unread[int(cache_holder.removeprefix("s-"))] = 9_000.0
     chosen = {
         place_at(make_candidates(unread), "chat", shared=200, seed=seed).server
         for seed in range(60)
     }
-    assert home not in chosen
+    assert cache_holder not in chosen
 
 
-def keep_home(candidates: list[Candidate], prefix: str, shared: int) -> Placement:
-    """Keep a prefix to its home until this has three requests more than the mean."""
-    bound = 1.3 * sum(one.requests for one in candidates) / len(candidates) + 3
-    with_room = [one for one in candidates if one.requests <= bound]
+def place_at_cache_holder(
+    candidates: list[Candidate], prefix: str, shared: int
+) -> Placement:
+    """Place at the cache holder, unless it has 1.3 times the mean plus 3 requests."""
+    bound = 1.3 * sum(server.requests for server in candidates) / len(candidates) + 3
+    with_room = [server for server in candidates if server.requests <= bound]
     return Placement(list_homes(with_room, prefix)[0].id, 0)
 
 
 def place_soonest(candidates: list[Candidate], prefix: str, shared: int) -> Placement:
-    """Place as gateways do."""
+    """Place at the server that reads the prompt soonest, as gateways do."""
     rng = random.Random(prefix)
     placement = place_prompt(candidates, prefix, shared, shared + 1_500, rng)
     assert placement is not None
@@ -125,10 +127,10 @@
 def replay_bursts(
     choose: Callable[[list[Candidate], str, int], Placement], bursts: float
 ) -> float:
-    """Replay bursts of prompts over nine servers; return the late part.
+    """Simulate bursts of prompts over nine servers; return the share of late ones.
 
-    A caller's burst is about one subject. Each server reads 41 tokens a millisecond in
-    order of arrival; hosts know what was sent until 100 ms before.
+    The prompts of a burst share a subject. Each server reads 41 tokens per millisecond,
+    in order of arrival; hosts know what was sent up to 100 ms ago.
     """
     rng = random.Random(3)
     free_at = [0.0] * 9
@@ -143,14 +145,14 @@
             is_long = rng.random() < 0.3
             shared, own, target = (6_300, 2_900, 0.8) if is_long else (200, 550, 0.5)
             prefix = f"{is_long}{subject}"
-            known = [one for one in sent if one[0] < now - 0.1 or number]
+            known = [prompt for prompt in sent if prompt[0] < now - 0.1 or number]
             candidates = [
                 replace(
-                    one,
+                    candidate,
                     requests=sum(server == n for _, server, _ in known),
                     unread_tokens=sum(size for _, server, size in known if server == n),
                 )
-                for n, one in enumerate(make_candidates([0.0] * 9))
+                for n, candidate in enumerate(make_candidates([0.0] * 9))
             ]
             placement = choose(candidates, prefix, shared)
             server = int(placement.server.removeprefix("s-"))
@@ -160,44 +162,49 @@
             sent.append((now, server, tokens))
             late += free_at[server] - now > target
             total += 1
-        sent = [one for one in sent if free_at[one[1]] > now]
+        sent = [prompt for prompt in sent if free_at[prompt[1]] > now]
     return late / total
 
 
 def test_a_burst_of_mixed_prompts_is_answered_in_time() -> None:
-    """Callers send long and short prompts about one subject in bursts.
+    """Guards against prompts that wait for each other while other servers are idle.
 
-    Kept to the subject's home, they wait for each other while other servers are idle.
+    This happens when bursts of long and short prompts about one subject are all sent to
+    the cache holder of the subject.
     """
     busy = 35.0
-    assert replay_bursts(place_soonest, busy) < 0.5 * replay_bursts(keep_home, busy)
+    assert replay_bursts(place_soonest, busy) < 0.5 * replay_bursts(
+        place_at_cache_holder, busy
+    )
 
 
-def test_bursts_that_servers_hardly_keep_up_with_are_not_read_twice() -> None:
-    """Callers send nearly as much as the servers can read.
+def test_bursts_near_full_load_are_not_read_twice() -> None:
+    """Guards against reading prefixes again when servers are nearly at full load.
 
-    Sent wherever the wait is shortest, each subject is read at server after server, and
-    what is read twice makes all the others late.
+    Sent to the server with the shortest wait, each subject is read at one server after
+    another, and the repeated reading makes all other prompts late.
     """
     heavy = 40.0
-    assert replay_bursts(place_soonest, heavy) < 1.5 * replay_bursts(keep_home, heavy)
+    assert replay_bursts(place_soonest, heavy) < 1.5 * replay_bursts(
+        place_at_cache_holder, heavy
+    )
 
 
-def test_a_busy_home_is_not_waited_for_where_its_part_can_be_copied() -> None:
-    """A long prompt is being read at another's home while all other servers are idle.
+def test_a_prompt_does_not_wait_for_a_prefix_that_can_be_copied() -> None:
+    """Guards against waiting at a busy cache holder while all other servers are idle.
 
-    Waiting, the other comes 0.2 s later; copied, its shared part is there at once.
+    Waiting takes 0.2 s; a copy of the shared prefix is available elsewhere at once.
     """
-    home = place_at(make_candidates([0.0] * 9), "plan").server
+    cache_holder = place_at(make_candidates([0.0] * 9), "plan").server
     unread = [0.0] * 9
-    unread[int(home.removeprefix("s-"))] = 9_000.0
+    unread[int(cache_holder.removeprefix("s-"))] = 9_000.0
     candidates = make_candidates(unread)
-    assert place_at(candidates, "plan").server == home
+    assert place_at(candidates, "plan").server == cache_holder
     placement = place_prompt(
         candidates, "plan", 6_000, 9_000, random.Random(1), can_copy=True
     )
     assert placement is not None
-    assert placement.server != home
+    assert placement.server != cache_holder
     assert placement.tokens == 3_000
 
 
@@ -213,19 +220,19 @@
     assert moved == 0
 
 
-def test_a_server_that_rests_is_used_when_all_rest() -> None:
-    resting = [
+def test_a_server_in_cooldown_is_used_when_all_are() -> None:
+    in_cooldown = [
         Candidate(BackendServerId("s-1"), DOMAIN, 0, 0.0, 8, is_usable=False),
     ]
-    assert choose_least_loaded(resting, random.Random(1)) is not None
+    assert choose_least_loaded(in_cooldown, random.Random(1)) is not None
     assert choose_least_loaded([], random.Random(1)) is None
-    assert place_at(resting, "p").server == "s-1"
+    assert place_at(in_cooldown, "p").server == "s-1"
 
 
-def test_a_grey_server_is_spared_though_it_looks_idle() -> None:
-    """A server fails half of its requests at once and looks idle all the time.
+def test_a_partially_failing_server_is_excluded_though_it_looks_idle() -> None:
+    """Guards against sending ever more requests to a server that fails half of them.
 
-    Least-loaded placement alone would send it ever more.
+    It fails them at once and always looks idle to least-loaded placement.
     """
     rng = random.Random(5)
     healths = [ServerHealth() for _ in range(4)]
@@ -246,11 +253,11 @@
     assert sent[0] < 150
 
 
-def test_a_service_that_fails_by_nature_keeps_all_servers() -> None:
-    """A seventh of all lookups fails everywhere; no server stands out."""
+def test_a_service_with_regular_failures_keeps_all_servers() -> None:
+    """Guards against excluding servers when each fails a seventh of its requests."""
     rng = random.Random(6)
     healths = [ServerHealth() for _ in range(4)]
-    rested = 0
+    excluded = 0
     for turn in range(400):
         now = turn + 1
         health = healths[turn % 4]
@@ -258,29 +265,33 @@
             health.record_failure(float(now), is_hard=False)
         else:
             health.record_success(float(now))
-        median = sorted(one.failure_share for one in healths)[2]
-        rested += sum(
-            not one.is_usable(float(now + 4), None, median) for one in healths
+        median = sorted(server.failure_share for server in healths)[2]
+        excluded += sum(
+            not server.is_usable(float(now + 4), None, median) for server in healths
         )
-    assert rested < 0.1 * 4 * 400
+    assert excluded < 0.1 * 4 * 400
 
 
-def test_a_server_that_many_hosts_saw_fail_is_spared_by_all() -> None:
-    """Each of 85 hosts tries a failing server once in ten seconds.
+def test_a_server_that_fails_at_many_hosts_is_excluded_by_all() -> None:
+    """Guards against hosts that judge a server only by their own attempts.
 
-    No host sees two failures in a row; unless they tell each other, the server goes
-    on getting its part of all requests and fails them.
+    In a fleet of 85 hosts, each tries a failing server once in ten seconds and sees no
+    two failures in a row. Without the reports of the others, the server would continue
+    to get its share of all requests and fail them.
     """
     meters = [OutcomeMeter() for _ in range(20)]
     for meter in meters:
         meter.add(10.0, has_failed=True)
-    told = [meter.read(10.4) for meter in meters]
-    share = find_failure_share(sum(a for a, _ in told), sum(f for _, f in told))
+    reported = [meter.read(10.4) for meter in meters]
+    share = find_failure_share(
+        sum(attempts for attempts, _ in reported),
+        sum(failures for _, failures in reported),
+    )
     assert share is not None
     assert not ServerHealth().is_usable(10.4, share, 0.0)
 
 
-def test_a_server_that_came_back_is_tried_again_within_seconds() -> None:
+def test_a_server_that_recovered_is_tried_again_within_seconds() -> None:
     meter = OutcomeMeter()
     for _ in range(20):
         meter.add(10.0, has_failed=True)
@@ -288,22 +299,22 @@
     assert find_failure_share(*meter.read(16.0)) is None
 
 
-def test_repeats_of_all_hosts_keep_to_the_shared_budget() -> None:
-    """A service fails every request, and each host would send each once more.
+def test_retries_of_all_hosts_stay_within_the_shared_budget() -> None:
+    """Guards against doubling the load of a service that fails every request.
 
-    The doubled load would hold the service down.
+    Retries of all requests would keep the service down.
     """
     hosts = 7
     budgets = [RetryBudget(0.2, 54, 10.0) for _ in range(hosts)]
     rng = random.Random(7)
-    firsts = repeats = 0
+    first_attempts = retries = 0
     for step in range(1000):
         now = step * 0.01
         budget = rng.choice(budgets)
         budget.record_first_attempt(now)
-        firsts += 1
-        repeats += budget.acquire(now, hosts)
-    assert 0 < repeats <= 0.2 * firsts + 54
+        first_attempts += 1
+        retries += budget.acquire(now, hosts)
+    assert 0 < retries <= 0.2 * first_attempts + 54
 
 
 DOMAINS = {
@@ -312,44 +323,46 @@
 }
 
 
-def plan_lasting(
+def plan_on_demand(
     serving: dict[str, int], needed: int, *, is_reclaiming: bool = False
 ) -> int:
-    """Return the lasting servers wanted when these reclaimable ones serve."""
+    """Return the on-demand servers wanted beside these reclaimable ones."""
     known = {FailureDomain(name): n for name, n in serving.items()}
     plan = plan_servers(DOMAINS, known, 12, needed, is_reclaiming=is_reclaiming)
     return sum(wanted.on_demand for wanted in plan.values())
 
 
-def test_lasting_servers_replace_what_the_demand_lacks() -> None:
-    """Reclaims take one failure domain after the other, and none are to be had.
+def test_on_demand_servers_replace_what_the_demand_lacks() -> None:
+    """Guards against an outage while reclaims take one failure domain after another.
 
-    With nothing in their place no request can be served until the last wave is over.
-    A calm fleet has servers to spare and pays for none in place of them.
+    No reclaimable servers are available meanwhile; without replacements no request
+    could be served until the last wave is over. A fleet with servers to spare pays for
+    none.
     """
     waves = [{"a": 3, "b": 3, "c": 3, "d": 3}, {"a": 0, "b": 3, "c": 3, "d": 3}]
     waves += [{"a": 0, "b": 0, "c": 3, "d": 3}, {"a": 0, "b": 0, "c": 0, "d": 0}]
-    assert [plan_lasting(wave, needed=12) for wave in waves] == [0, 2, 5, 11]
-    assert [plan_lasting(wave, needed=7) for wave in waves] == [0, 0, 1, 7]
+    assert [plan_on_demand(wave, needed=12) for wave in waves] == [0, 2, 5, 11]
+    assert [plan_on_demand(wave, needed=7) for wave in waves] == [0, 0, 1, 7]
 
 
-def test_the_next_wave_finds_lasting_servers_in_place() -> None:
-    """A domain has just been reclaimed, and the next goes before a new server starts.
+def test_on_demand_servers_are_ordered_before_the_next_wave() -> None:
+    """Guards against on-demand servers that start too late for the next reclaim.
 
-    Ordered only when it goes, the lasting servers come four seconds too late, and for
-    that time half of the answers are late.
+    After one domain was reclaimed, the next one follows before a new server has
+    started. Ordered only then, on-demand servers start four seconds too late, and half
+    of the answers in that time are late.
     """
     waves = [{"a": 0, "b": 3, "c": 3, "d": 3}, {"a": 0, "b": 0, "c": 3, "d": 3}]
     waves += [{"a": 0, "b": 0, "c": 0, "d": 0}]
-    planned = [plan_lasting(wave, needed=9, is_reclaiming=True) for wave in waves]
+    planned = [plan_on_demand(wave, needed=9, is_reclaiming=True) for wave in waves]
     assert planned == [3, 6, 9]
 
 
-def test_nothing_is_replaced_before_there_is_work() -> None:
-    assert plan_lasting({"a": 0, "b": 0, "c": 0, "d": 0}, needed=0) == 0
+def test_nothing_is_replaced_before_the_first_request() -> None:
+    assert plan_on_demand({"a": 0, "b": 0, "c": 0, "d": 0}, needed=0) == 0
 
 
-def test_lasting_servers_come_where_they_are_cheapest() -> None:
+def test_on_demand_servers_are_ordered_where_they_are_cheapest() -> None:
     serving = dict.fromkeys(DOMAINS, 2) | {FailureDomain("a"): 0}
     plan = plan_servers(DOMAINS, serving, 12, 12)
     assert plan[FailureDomain("b")].on_demand == 2
@@ -358,7 +371,7 @@
 
 
 def replay_demand(rates: list[float]) -> list[int]:
-    """Return the reclaimable servers wanted second by second."""
+    """Return the reclaimable servers wanted in each second."""
     meter = DemandMeter()
     totals: list[int] = []
     for second, rate in enumerate(rates):
@@ -370,11 +383,11 @@
     return totals
 
 
-def test_servers_follow_a_burst_within_seconds_and_let_go_slowly() -> None:
-    """A calm day doubles its load at once, and falls back after some seconds.
+def test_servers_follow_a_burst_within_seconds_and_shrink_slowly() -> None:
+    """Guards against late growth in a burst, and against shrinking right after it.
 
-    Late servers make callers wait; servers given up in each trough are missing on
-    the next crest.
+    Late servers make callers wait; servers given up in each trough of the load are
+    missing at the next peak.
     """
     totals = replay_demand([90_000.0] * 30 + [480_000.0] * 10 + [90_000.0] * 40)
     calm = count_reclaimable_servers(count_needed_servers(Load(90_000.0)), 0, 4)
@@ -387,10 +400,10 @@
     assert totals[-1] == calm
 
 
-def test_a_fleet_without_a_domain_has_what_is_needed() -> None:
-    """One failure domain is reclaimed while the fleet runs as planned.
+def test_a_fleet_that_loses_a_domain_has_the_needed_servers() -> None:
+    """Guards against an overload after the reclaim of one failure domain.
 
-    Without a spare domain's worth the rest is overloaded until others have started.
+    Without spare servers the others are overloaded until new ones have started.
     """
     for needed in range(1, 40):
         for domains in (2, 3, 7):
@@ -400,11 +413,11 @@
             assert total <= 1.34 * needed * domains / (domains - 1) + domains
 
 
-def test_what_a_server_carries_is_learned_from_its_answers() -> None:
-    """One service's engines read three times as fast as another's.
+def test_the_pace_of_servers_is_learned_from_their_answers() -> None:
+    """Guards against planning for a fixed pace.
 
-    Planned with one figure for both, the first pays for servers that stand idle, or the
-    second's callers wait.
+    The engines of one service may read three times as fast as those of another. Planned
+    with one pace, the first pays for idle servers, or callers of the second wait.
     """
     fast, slow = ReadingPace(), ReadingPace()
     rng = random.Random(2)
@@ -422,9 +435,9 @@
 
 
 def test_a_few_answers_do_not_move_the_plan() -> None:
-    """A new holder of the duties has seen two long prompts that a cache spared.
+    """Guards against halving the fleet after a few answers from cached prompts.
 
-    Believed, they would halve the fleet, and callers would wait for it to come back.
+    A new duty holder has seen only these; callers would wait until servers are back.
     """
     pace = ReadingPace()
     for _ in range(2):
@@ -434,51 +447,53 @@
 
 
 def test_long_answers_need_servers_for_their_slots() -> None:
-    """Prompts are short and answers long: nearly all slots are taken.
+    """Guards against counting only the prompt tokens when answers are long.
 
-    Counted by what is read alone one server would do, and the rest would queue.
+    One server could read the prompts, but most requests would wait for a slot.
     """
     assert count_needed_servers(Load(1_000.0, USUAL_PACE, in_flight=96, slots=32)) == 5
 
 
-def test_a_wave_does_not_move_servers_up_and_down() -> None:
+def test_the_plan_does_not_follow_each_wave_of_the_load() -> None:
     rates = [
         500_000.0 * (1 + 0.3 * math.sin(2 * math.pi * second / 40))
         for second in range(200)
     ]
     totals = replay_demand(rates)[60:]
-    changes = sum(one != next_one for one, next_one in itertools.pairwise(totals))
+    changes = sum(before != after for before, after in itertools.pairwise(totals))
     assert changes <= 8
 
 
-def test_enough_servers_stand_until_the_demand_is_known() -> None:
-    """A fleet starts with 20 servers, sixteen seconds before its callers come.
+def test_enough_servers_are_planned_until_the_demand_is_known() -> None:
+    """Guards against shrinking the fleet before the first requests arrive.
 
-    Without work the plan was the least of twelve. For the first twenty seconds of
-    traffic callers got half of their answers in time. What accounts may use says how
-    much is to come; where they have no limit, what operators put there does.
+    A fleet of 20 servers, started sixteen seconds before its callers, was planned down
+    to the minimum of twelve, and in the first twenty seconds of traffic callers got
+    half of their answers in time. Until the demand is known the quotas of the accounts
+    stand for it, or else the servers that operators started.
     """
-    quotas = 3_000_000.0
-    asked = math.ceil(0.33 * quotas / (USUAL_PACE * TARGET_LOAD))
-    assert estimate_initial_need(20, quotas, 0.0, None) == asked
-    assert estimate_initial_need(20, quotas, 5.0, None) == asked
+    quota_rate = 3_000_000.0
+    expected = math.ceil(0.33 * quota_rate / (USUAL_PACE * TARGET_LOAD))
+    assert estimate_initial_need(20, quota_rate, 0.0, None) == expected
+    assert estimate_initial_need(20, quota_rate, 5.0, None) == expected
     assert estimate_initial_need(20, 0.0, 5.0, None) == 16
     assert estimate_initial_need(20, 3_000_000.0, 13.0, None) == 0
 
 
-def test_a_restart_of_all_hosts_keeps_to_the_demand_before_it() -> None:
-    """All hosts lose power, and the new holder of the duties has seen no request yet.
+def test_a_restart_of_all_hosts_uses_the_need_before_it() -> None:
+    """Guards against planning by the quotas after a loss of power at all hosts.
 
-    Planned from the quotas, it would order servers for twice the demand, most of them
-    lasting ones while reclaims leave no others.
+    A new duty holder that has seen no request yet would order servers for twice the
+    demand, most of them on-demand ones while reclaims leave no others.
     """
     assert estimate_initial_need(20, 3_000_000.0, 2.0, previous_need=23) == 23
 
 
-def test_the_least_urgent_work_is_shed_first_and_by_degrees() -> None:
-    """Reclaims leave half of the engines that full traffic needs.
+def test_the_least_urgent_work_is_shed_first_and_gradually() -> None:
+    """Guards against all kinds of work becoming late together in an overload.
 
-    Short checks would wait until their deadlines and long drafts come late with them.
+    After reclaims that leave half of the engines needed, short checks would wait until
+    their deadlines and make long drafts late.
     """
     draws = [number / 100 for number in range(100)]
 
@@ -493,51 +508,51 @@
 
 
 def serve_through_overload(*, sheds: bool) -> tuple[float, float]:
-    """Replay forty seconds in which engines run half of what comes.
+    """Simulate forty seconds in which engines can run half of the requests.
 
     Returns:
-        Parts of the drafts and of the checks that were done within their deadlines.
+        Shares of the drafts and of the checks that were completed in time.
     """
     rng = random.Random(11)
     slots, step = 100, 0.1
     waiting: list[tuple[int, float, float]] = []
     running: list[tuple[float, int, float]] = []
-    asked = Counter[int]()
+    sent = Counter[int]()
     done = Counter[int]()
     for turn in range(400):
         now = turn * step
         for urgency, rate, work, patience in ((1, 60, 2.0, 8.0), (2, 120, 0.6, 3.0)):
             for _ in range(int(rate * step)):
-                asked[urgency] += 1
+                sent[urgency] += 1
                 in_flight = len(waiting) + len(running)
                 if sheds and must_shed(in_flight, slots, urgency, rng.random()):
                     continue
                 waiting.append((urgency, now + patience, work))
         pace = 1.0 if len(waiting) < slots else 0.6
-        running = [(left - step * pace, u, end) for left, u, end in running]
-        for left, urgency, end in running:
-            done[urgency] += left <= 0 and now <= end
-        running = [one for one in running if one[0] > 0 and one[2] > now]
-        waiting = sorted(one for one in waiting if one[1] > now)
+        running = [(left - step * pace, u, deadline) for left, u, deadline in running]
+        for left, urgency, deadline in running:
+            done[urgency] += left <= 0 and now <= deadline
+        running = [entry for entry in running if entry[0] > 0 and entry[2] > now]
+        waiting = sorted(entry for entry in waiting if entry[1] > now)
         while waiting and len(running) < slots:
-            urgency, end, work = waiting.pop(0)
-            running.append((work, urgency, end))
-    return done[1] / asked[1], done[2] / asked[2]
+            urgency, deadline, work = waiting.pop(0)
+            running.append((work, urgency, deadline))
+    return done[1] / sent[1], done[2] / sent[2]
 
 
 def test_shedding_checks_serves_more_drafts() -> None:
-    """Full traffic meets half of the engines, which slow down with what waits.
+    """Guards against a full queue that slows down the engines in an overload.
 
-    What waits is preempted and read again, so that a full queue costs pace. Refused at
-    once, checks leave the drafts their engines.
+    Waiting requests are preempted and read again. Refusing checks at once leaves the
+    engines to the drafts.
     """
     drafts_without, _ = serve_through_overload(sheds=False)
     drafts_with, _ = serve_through_overload(sheds=True)
     assert drafts_with > drafts_without + 0.1
 
 
-def test_a_suspect_goes_to_a_server_that_ended_only_if_all_did() -> None:
-    """Guards against suspects sent to dead servers to keep them apart from others."""
+def test_a_suspect_goes_to_an_unusable_server_only_if_all_are() -> None:
+    """Guards against sending suspects to crashed servers to separate them."""
     live, dead = make_candidates([0.0, 0.0])
     dead = replace(dead, is_usable=False)
     rng = random.Random(1)
@@ -546,8 +561,8 @@
     assert choose_fewest([], set(), rng) is None
 
 
-def test_suspects_are_kept_apart_where_the_fewest_others_run() -> None:
-    busy, idle, taken = make_candidates([0.0, 0.0, 0.0])
+def test_suspects_are_separated_where_the_fewest_others_run() -> None:
+    busy, idle, avoided = make_candidates([0.0, 0.0, 0.0])
     busy = replace(busy, requests=5)
     idle = replace(idle, requests=2)
-    assert choose_fewest([busy, idle, taken], {taken.id}, random.Random(1)) == idle
+    assert choose_fewest([busy, idle, avoided], {avoided.id}, random.Random(1)) == idle
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -1,4 +1,4 @@
-"""Requests that end servers, told from those that run beside them."""
+"""Tests how requests that crash servers are told from those that run beside them."""
 
 import random
 
@@ -21,19 +21,21 @@
 ACCOUNT = ClientAccount("account-1")
 SERVICE = ServiceName("engine")
 RUN_TIME = 0.1
+"""Seconds from the sending of a request until the crash of its server."""
 CAUSE = RequestDigest("cause")
 
 
-def make_suspect(ends: dict[str, float], digest: str = CAUSE) -> Suspect:
-    """Return a request that was sent to servers right before they ended."""
+def make_suspect(crashes: dict[str, float], digest: str = CAUSE) -> Suspect:
+    """Return a suspect that was sent to servers right before they crashed."""
     named = {
-        BackendServerId(server): End(at, at - RUN_TIME) for server, at in ends.items()
+        BackendServerId(server): End(at, at - RUN_TIME)
+        for server, at in crashes.items()
     }
     return Suspect(RequestDigest(digest), ACCOUNT, SERVICE, named)
 
 
-def test_ends_that_three_hosts_saw_set_a_request_aside() -> None:
-    """Guards against each host counting to three by itself."""
+def test_crashes_that_three_hosts_noticed_quarantine_a_request() -> None:
+    """Guards against each host counting only the crashes that it noticed itself."""
     ledger = SuspectLedger()
     for number in range(CRASH_THRESHOLD):
         assert ledger.find_quarantine_left(CAUSE, 1.0 + number) == 0
@@ -43,24 +45,24 @@
     )
 
 
-def test_an_end_that_several_hosts_tell_of_counts_once() -> None:
-    """Guards against setting a request aside for one end that many hosts repeat."""
+def test_a_crash_that_several_hosts_report_counts_once() -> None:
+    """Guards against a quarantine for one crash that many hosts report."""
     ledger = SuspectLedger()
     for at in (1.0, 1.2, 1.4, 1.6):
         ledger.merge(make_suspect({"s0": at}), at)
     assert ledger.count_crashes(CAUSE, 2.0) == 1
 
 
-def test_servers_that_end_together_count_once() -> None:
+def test_servers_that_crash_together_count_once() -> None:
     """Guards against blaming a common request for the loss of a failure domain."""
     ledger = SuspectLedger()
-    ends = {f"s{number}": 1.0 + number * RUN_TIME / 8 for number in range(4)}
-    ledger.merge(make_suspect(ends), 1.1)
+    crashes = {f"s{number}": 1.0 + number * RUN_TIME / 8 for number in range(4)}
+    ledger.merge(make_suspect(crashes), 1.1)
     assert ledger.find_quarantine_left(CAUSE, 1.2) == 0
 
 
-def test_quick_ends_one_after_the_other_count_each() -> None:
-    """Guards against taking the repeats of one request for the loss of a domain."""
+def test_crashes_of_successive_attempts_count_separately() -> None:
+    """Guards against taking crashes by fast retries for the loss of a domain."""
     ledger = SuspectLedger()
     for number in range(CRASH_THRESHOLD):
         sent_at = 1.0 + number * 0.01
@@ -71,20 +73,20 @@
 
 
 def test_a_request_that_is_answered_is_cleared_for_all_hosts() -> None:
-    """Guards against common requests that gather ends over minutes."""
+    """Guards against a quarantine of common requests by crashes minutes apart."""
     ledger, other = SuspectLedger(), SuspectLedger()
     ledger.merge(make_suspect({"s0": 1.0, "s1": 2.0}), 2.0)
     assert ledger.clear(CAUSE, 3.0)
     other.merge(make_suspect({"s0": 1.0, "s1": 2.0, "s2": 2.5}), 3.0)
-    told = ledger.find(CAUSE)
-    assert told is not None
-    other.merge(told, 3.1)
+    reported = ledger.find(CAUSE)
+    assert reported is not None
+    other.merge(reported, 3.1)
     assert other.find_quarantine_left(CAUSE, 3.2) == 0
     assert other.count_crashes(CAUSE, 3.2) == 1
 
 
-def test_a_request_let_through_again_ends_one_server() -> None:
-    """Guards against three more servers lost each time a hold ends."""
+def test_a_released_request_is_quarantined_after_one_more_crash() -> None:
+    """Guards against losing three more servers after each quarantine."""
     ledger = SuspectLedger()
     ledger.merge(make_suspect({"s0": 0.0, "s1": 10.0, "s2": 20.0}), 20.0)
     assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD - 1) > 0
@@ -93,8 +95,8 @@
     assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD + 3) > 0
 
 
-def test_an_attack_with_many_requests_displaces_none_that_is_set_aside() -> None:
-    """Guards against lost holds and growing memory under many crashing requests."""
+def test_an_attack_with_many_requests_evicts_no_quarantined_one() -> None:
+    """Guards against evicted quarantines and unbounded memory under an attack."""
     ledger = SuspectLedger()
     ledger.merge(make_suspect({"s0": 1.0, "s1": 2.0, "s2": 3.0}), 3.0)
     for number in range(MAX_SUSPECTS * 2):
@@ -103,7 +105,7 @@
     assert ledger.find_quarantine_left(CAUSE, 30.0) > 0
 
 
-def test_ends_of_one_request_are_bounded() -> None:
+def test_crashes_stored_per_request_are_bounded() -> None:
     ledger = SuspectLedger()
     for number in range(MAX_CRASHES * 3):
         ledger.merge(make_suspect({f"s{number}": float(number)}), float(number))
@@ -113,7 +115,7 @@
     assert not ledger.merge(make_suspect({"s0": 0.0}), 40.0)
 
 
-def test_what_does_not_count_any_more_is_forgotten() -> None:
+def test_expired_suspects_are_dropped() -> None:
     ledger = SuspectLedger()
     ledger.merge(make_suspect({"s0": 1.0}), 1.0)
     ledger.drop_expired(QUARANTINE_PERIOD)
@@ -128,10 +130,10 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_hosts_that_heard_the_same_agree(
+def test_hosts_with_the_same_reports_agree(
     seen: list[tuple[int, bool, int]], rng: random.Random
 ) -> None:
-    """Guards against hosts that differ by the order in which news came."""
+    """Guards against results that depend on the order in which reports arrive."""
     ledgers = [SuspectLedger() for _ in range(3)]
     for number, (server, is_clear, host) in enumerate(seen):
         at = 1.0 + number
@@ -142,17 +144,19 @@
     for _ in range(4):
         order = list(range(3))
         rng.shuffle(order)
-        for teller in order:
-            told = ledgers[teller].find(CAUSE)
+        for sender in order:
+            reported = ledgers[sender].find(CAUSE)
             for other in ledgers:
-                if told is not None and other is not ledgers[teller]:
-                    other.merge(told, 50.0)
-    counted = {tuple(one.list_crash_times(50.0)) for one in _find_all(ledgers)}
+                if reported is not None and other is not ledgers[sender]:
+                    other.merge(reported, 50.0)
+    counted = {tuple(s.list_crash_times(50.0)) for s in _list_suspects(ledgers)}
     assert len(counted) <= 1
 
 
-def _find_all(ledgers: list[SuspectLedger]) -> list[Suspect]:
-    return [one for ledger in ledgers if (one := ledger.find(CAUSE)) is not None]
+def _list_suspects(ledgers: list[SuspectLedger]) -> list[Suspect]:
+    return [
+        suspect for ledger in ledgers if (suspect := ledger.find(CAUSE)) is not None
+    ]
 
 
 @pytest.mark.parametrize(
@@ -172,7 +176,7 @@
         (Loss.MOVED, None, False, None, False, ServerVerdict.NOTHING),
     ],
 )
-def test_only_the_end_of_a_server_blames_what_it_had_just_begun(
+def test_only_the_crash_of_a_server_blames_what_it_had_just_begun(
     loss: Loss,
     reach: Reach | None,
     is_leaving: bool,
@@ -180,6 +184,6 @@
     blames: bool,
     server: ServerVerdict,
 ) -> None:
-    """Guards against blaming requests for reclaims, cut links and lost answers."""
+    """Guards against blaming requests for reclaims, network cuts and lost answers."""
     verdict = judge_loss(loss, reach, is_leaving=is_leaving, begun_for=begun_for)
     assert (verdict.blames_request, verdict.server) == (blames, server)
