--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -37,9 +37,9 @@
 rise."""
 MIN_SHRINK_COUNT = 2
 MIN_SHRINK_SHARE = 0.1
-"""Number of servers, and share of them, that must be surplus before any is given up. A
-server that is given up ends the requests it runs, and is ordered again with the next
-wave of demand."""
+"""Number of servers, and share of them, that must be surplus before any is given up:
+giving up a server ends the requests that it runs, and with the next wave of demand it
+is ordered again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,8 +153,8 @@
     ordered only for the part of the demand that the serving reclaimable ones can't
     take, where they are cheapest, and are given up when the reclaimable ones are back.
     They take seconds to start, and the next domain is reclaimed seconds after the
-    first: the servers that its loss would leave missing are therefore ordered as soon
-        as the first is lost.
+    first. The servers that its loss would leave missing are therefore ordered as soon
+    as the first is lost.
 
     Args:
         domains: limits of each failure domain.
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -106,7 +106,7 @@
             if record is not None:
                 record.view = updated[view.id]
         for removed in self._views.keys() - updated.keys():
-            self._drop_record(removed)
+            self._drop_idle_record(removed)
         self._views = updated
         self.fleet = [view for view in updated.values() if view.leaving_at is None]
         available = frozenset(view.id for view in self.fleet)
@@ -160,7 +160,7 @@
         self.background -= work_class is WorkClass.BACKGROUND
 
     def has_credit(self, work_class: WorkClass, share: float) -> bool:
-        """Whether this host may send one more request of a class at all.
+        """Whether this host's credits in total allow one more request of a class.
 
         Credits are fractions, and rounded up for each server; this limit on their sum
         keeps many hosts from rounding up at once. The reserve for interactive work is
@@ -323,7 +323,7 @@
     def _find_share(self, view: ServerView) -> float:
         return max(LEAST_LIMIT, view.capacity / self._hosts_per_server)
 
-    def _drop_record(self, server: BackendServerId) -> None:
+    def _drop_idle_record(self, server: BackendServerId) -> None:
         record = self.records.get(server)
         if record is not None and record.in_flight == 0:
             del self.records[server]
--- a/dewridge/tests/policy/oldnews_tests.py
+++ b/dewridge/tests/policy/oldnews_tests.py
@@ -152,8 +152,8 @@
 ) -> None:
     """Guards against all hosts choosing the servers that stale reports show as idle.
 
-    With reports half a second old at sixty hosts before forty-five servers, prompts
-    waited at these servers while others were idle.
+    With bursts at sixty hosts, forty-five servers and reports half a second old, all
+    hosts chose the same servers: prompts waited there while other servers were idle.
     """
     seeds = (1, 2)
     before = sum(replay(0.7, age, 0.0, seed) for seed in seeds)
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -335,9 +335,8 @@
 def test_on_demand_servers_replace_what_the_demand_lacks() -> None:
     """Guards against an outage while reclaims take one failure domain after another.
 
-    No reclaimable servers are available meanwhile; without replacements no request
-    could be served until the last wave is over. A fleet with servers to spare pays for
-    none.
+    No reclaimable servers are available meanwhile: without replacements no request
+    could be served until the last wave is over. A fleet with spare servers orders none.
     """
     waves = [{"a": 3, "b": 3, "c": 3, "d": 3}, {"a": 0, "b": 3, "c": 3, "d": 3}]
     waves += [{"a": 0, "b": 0, "c": 3, "d": 3}, {"a": 0, "b": 0, "c": 0, "d": 0}]
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -1,4 +1,4 @@
-"""Tests how requests that crash servers are told from those that run beside them."""
+"""Tests the detection and quarantine of requests that crash servers."""
 
 import random
 
