--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -53,7 +53,7 @@
             self._state.count_demand(job.service, job.request.sizes.prompt_tokens)
             if is_shed(self._state, job):
                 return self._give_back(job, ResultCode.QUEUE_FULL, "shed: overloaded")
-        self._state.find_budget(job.service).note_first(trio.current_time())
+        self._state.find_budget(job.service).record_first_attempt(trio.current_time())
         while True:
             set_aside = check_set_aside(self._state, job)
             if set_aside is not None:
@@ -179,9 +179,9 @@
     ) -> None:
         health = self._state.find_health(server.id)
         if whole.head.status >= 500:
-            health.note_failure(trio.current_time(), is_hard=False)
+            health.record_failure(trio.current_time(), is_hard=False)
         else:
-            health.note_success(trio.current_time())
+            health.record_success(trio.current_time())
             note_answered(self._state, job)
         headers = clean_answer_headers(whole.head.headers)
         await out.send_whole(whole.head.status, headers, whole.body)
@@ -217,7 +217,7 @@
             self._state.streams.close(server.id, stream)
             answer.close()
         job.next_step = None
-        self._state.find_health(server.id).note_success(trio.current_time())
+        self._state.find_health(server.id).record_success(trio.current_time())
         if splitter.rest:
             return Lost(Loss.CUT_OFF, "ended within an event")
         if not out.has_begun:
@@ -247,7 +247,7 @@
         now = trio.current_time()
         target = choose_target(state, job, server.id, now)
         budget = state.find_budget(job.service)
-        if target is None or not budget.take(now, state.hosts.count()):
+        if target is None or not budget.acquire(now, state.hosts.count()):
             stream.moves_at = float("inf")
             return
         moved = await stop_and_move(server.address, job.request.id, target.address)
@@ -319,9 +319,9 @@
         hosts = self._state.hosts.count()
         if lost.is_not_run and not job.was_moved:
             job.rejections += 1
-            goes_on = job.rejections < REJECTIONS and budget.take(now, hosts)
+            goes_on = job.rejections < REJECTIONS and budget.acquire(now, hosts)
         else:
-            goes_on = self._may_repeat(job) and budget.take(now, hosts)
+            goes_on = self._may_repeat(job) and budget.acquire(now, hosts)
         if goes_on:
             return None
         if job.may_have_run:
