--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -17,7 +17,7 @@
 from dewridge.gateway.model import RouteKind, ServerRecord
 from dewridge.gateway.responder import Responder
 from dewridge.gateway.rollouts import AttemptResult, classify_attempt
-from dewridge.gateway.state import SERVER_SECONDS, GatewayState
+from dewridge.gateway.state import SERVER_ANSWER_TIME_METRIC, GatewayState
 from dewridge.gateway.streams import RunningStream
 from dewridge.gateway.suspects import check_set_aside, note_answered
 from dewridge.gateway.weighing import Choice, choose_server, choose_target, is_shed
@@ -50,7 +50,9 @@
     async def run(self, job: Job, out: Responder) -> Failure | None:
         """Work on a job until it is answered; a failure is still to be told."""
         if job.is_engine:
-            self._state.count_demand(job.service, job.request.sizes.prompt_tokens)
+            self._state.record_local_demand(
+                job.service, job.request.sizes.prompt_tokens
+            )
             if is_shed(self._state, job):
                 return self._give_back(job, ResultCode.QUEUE_FULL, "shed: overloaded")
         self._state.find_budget(job.service).note_first(trio.current_time())
@@ -96,7 +98,7 @@
             self._state.rollouts.note_attempt(job.route.name, server, seconds, result)
 
     def _note_read(self, job: Job, server: ServerRecord) -> None:
-        self._state.work.note_read(server.id, job.unread_tokens)
+        self._state.work.record_prompt_read(server.id, job.unread_tokens)
         job.unread_tokens = 0
 
     async def _exchange(
@@ -150,7 +152,7 @@
         if isinstance(answer, OpenAnswer):
             seconds = trio.current_time() - now
             metrics = self._state.metrics
-            metrics.observe(SERVER_SECONDS, seconds, server=server.id)
+            metrics.observe(SERVER_ANSWER_TIME_METRIC, seconds, server=server.id)
         if isinstance(answer, Lost) and answer.is_not_run:
             job.runs -= 1
         else:
@@ -305,7 +307,7 @@
     def _count(self, job: Job) -> None:
         if not job.is_counted:
             job.is_counted = True
-            self._state.count_began(job.account.name if job.account else None)
+            self._state.count_usage(job.account.name if job.account else None)
 
     def _decide(self, job: Job, lost: Lost, out: Responder) -> Failure | None:
         """Return the failure to tell, or None to try another server."""
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -14,17 +14,17 @@
 from dewridge.gateway.configuration import ConfigurationState
 from dewridge.gateway.datagrams import PacedSocket
 from dewridge.gateway.departures import (
-    note_left,
-    take_left,
-    take_news,
-    take_suspect_report,
+    apply_left_report,
+    apply_peer_update,
+    apply_suspect_report,
+    handle_server_left,
 )
 from dewridge.gateway.directory import Directory
-from dewridge.gateway.duties import Tenancy
+from dewridge.gateway.duties import HolderElection
 from dewridge.gateway.echoes import Echoes
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
 from dewridge.gateway.ingress import IngressState, Serve, handle_caller
-from dewridge.gateway.leaving import leave
+from dewridge.gateway.leaving import leave_fleet
 from dewridge.gateway.measures import count_store_call, time_dependency
 from dewridge.gateway.model import Limits
 from dewridge.gateway.operations import Operations
@@ -40,7 +40,7 @@
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspectkeeping import SuspectKeeper
 from dewridge.gateway.suspects import make_news_list, make_urgent_list
-from dewridge.gateway.upkeep import keep_up
+from dewridge.gateway.upkeep import run_upkeep
 from dewridge.gateway.usage import UsageDuty
 from dewridge.gateway.usagetelling import UsageTeller
 from dewridge.gateway.watching import WATCH_WAIT, StoreWatcher
@@ -103,7 +103,7 @@
             settings,
         )
         self._registration = Registration(self._store, self._make_entry())
-        self._tenancy = Tenancy(
+        self._tenancy = HolderElection(
             self._state.host,
             self._state.boot,
             self._store,
@@ -117,7 +117,7 @@
         self._keeper = SuspectKeeper(
             self._state,
             self._store,
-            lambda: self._tenancy.find_tenure() is not None,
+            lambda: self._tenancy.find_active_term() is not None,
         )
         self._socket = PacedSocket(
             settings.host.address,
@@ -130,7 +130,7 @@
             self._state.hosts,
             self._socket,
             lambda: self._state.find_window(time.time()),
-            lambda: self._state.list_began(REPORTED_WINDOWS),
+            lambda: self._state.list_usage(REPORTED_WINDOWS),
         )
         self._link = SharingLink(
             self._socket,
@@ -143,9 +143,9 @@
             self._state.configuration.confirm_by_peer,
         )
         self._era.on_restored += [
-            self._state.note_restored,
-            self._registration.note_restored,
-            self._tenancy.note_restored,
+            self._state.handle_restore,
+            self._registration.handle_restore,
+            self._tenancy.handle_restore,
             self._keeper.note_restored,
         ]
         self._listeners: list[tuple[trio.SocketListener, Serve]] = []
@@ -226,7 +226,7 @@
                     if number == signal.SIGTERM:
                         break
                     self._file.look_now()
-                await leave(self._state, self._registration, self._tenancy)
+                await leave_fleet(self._state, self._registration, self._tenancy)
             nursery.cancel_scope.cancel()
         log.info("stopped")
 
@@ -239,8 +239,8 @@
             state.servers,
             state.hosts.count,
             self._settings.services.store_reads,
-            state.find_part,
-            state.count_heard,
+            state.find_store_role,
+            state.count_live_peers,
             lambda: state.sharing.readers,
             state.rollouts.apply_order,
         )
@@ -248,15 +248,15 @@
         self._era.on_restored.append(rollouts.note_restored)
         state.sharing.on_outcomes = state.rollouts.add_remote_count
         state.sharing.is_outcome_open = state.rollouts.is_outcome_open
-        state.sharing.on_demand = state.note_demand
-        state.servers.on_left = partial(note_left, state, self._link)
-        state.sharing.on_news = partial(take_news, state, watcher, self._link)
-        self._link.on_left = partial(take_left, state, self._link)
+        state.sharing.on_demand = state.record_remote_demand
+        state.servers.on_left = partial(handle_server_left, state, self._link)
+        state.sharing.on_news = partial(apply_peer_update, state, watcher, self._link)
+        self._link.on_left = partial(apply_left_report, state, self._link)
         self._link.list_left = lambda: state.servers.list_just_left(trio.current_time())
-        self._link.on_suspects = partial(take_suspect_report, state, self._link)
+        self._link.on_suspects = partial(apply_suspect_report, state, self._link)
         self._link.list_suspects = make_urgent_list(state)
         state.list_suspects = make_news_list(state)
-        state.on_suspects = partial(self._link.tell_now, Audience.ALL)
+        state.on_suspects_changed = partial(self._link.tell_now, Audience.ALL)
         state.hosts.on_item = fan_out(self._keeper.take, rollouts.take)
         hosts = HostWatcher(
             self._store,
@@ -280,7 +280,7 @@
             ("usage-out", self._teller.run),
             ("datagrams-out", self._socket.run),
             ("settings", self._file.run),
-            ("upkeep", partial(keep_up, state, self._registration)),
+            ("upkeep", partial(run_upkeep, state, self._registration)),
             *self._list_duties(rollouts),
         ]
         for number, (listener, serve) in enumerate(self._listeners):
@@ -295,7 +295,7 @@
             self._state, self._tenancy, self._store, self._cloud, self._teller.ask
         )
         scaling = ScalingDuty(self._state, self._tenancy, self._store, self._cloud)
-        self._era.on_restored.append(scaling.note_restored)
+        self._era.on_restored.append(scaling.handle_restore)
         return [
             ("tenancy", self._tenancy.run),
             ("usage", usage.run),
--- a/dewridge/gateway/configuration.py
+++ b/dewridge/gateway/configuration.py
@@ -9,14 +9,14 @@
 class ConfigurationState:
     """Holds the newest version seen; never goes back to an older one."""
 
-    def __init__(self, trusted_for: float) -> None:
-        self._trusted_for = trusted_for
+    def __init__(self, trust_period: float) -> None:
+        self._trusted_for = trust_period
         self.current: Configuration | None = None
         self.confirmed_at = float("-inf")
         self.idle_timeout = 15.0
         self._is_store_restored = False
 
-    def trust_for(self, seconds: float) -> None:
+    def set_trust_period(self, seconds: float) -> None:
         """Change how long the version in force is trusted without a confirmation."""
         self._trusted_for = seconds
 
@@ -56,7 +56,7 @@
         if 0 < version <= self.version and is_accepted:
             self.confirm(at)
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Note that the store was restored and may lack the version in force."""
         self._is_store_restored = True
 
--- a/dewridge/gateway/departures.py
+++ b/dewridge/gateway/departures.py
@@ -17,7 +17,7 @@
 from dewridge.ids import BackendServerId, HostId
 
 
-def take_news(
+def apply_peer_update(
     state: GatewayState, watcher: StoreWatcher, link: SharingLink, news: News
 ) -> None:
     """Take over what another host knows of the configuration and of servers."""
@@ -30,14 +30,16 @@
         link.tell_now(Audience.MATES)
 
 
-def take_left(state: GatewayState, link: SharingLink, report: LeftReport) -> None:
+def apply_left_report(
+    state: GatewayState, link: SharingLink, report: LeftReport
+) -> None:
     """Take over which servers leave; what comes from another cell is passed on."""
     is_new = drop_told(state, report.host, report.left)
     if is_new and not report.is_for_mates:
         link.tell_now(Audience.MATES)
 
 
-def take_suspect_report(
+def apply_suspect_report(
     state: GatewayState, link: SharingLink, report: SuspectReport
 ) -> None:
     """Take over under which requests servers ended; pass on another cell's word."""
@@ -65,7 +67,7 @@
     return state.servers.version != before
 
 
-def note_left(
+def handle_server_left(
     state: GatewayState,
     link: SharingLink,
     record: ServerRecord,
--- a/dewridge/gateway/duties.py
+++ b/dewridge/gateway/duties.py
@@ -7,13 +7,13 @@
 
 from dewridge.codes import ResultCode
 from dewridge.gateway.clock import read_boot_clock
-from dewridge.gateway.hosts import LEASE_TTL, PREFIX, HostTable, Registration
+from dewridge.gateway.hosts import LEASE_TTL, SYSTEM_PREFIX, HostTable, Registration
 from dewridge.gateway.reports import Holder
 from dewridge.ids import HostId
 from dewridge.platform.cloud import Tenure
 from dewridge.platform.store import Item, Store, Write
 
-HOLDER_KEY = PREFIX + "holder"
+HOLDER_KEY = SYSTEM_PREFIX + "holder"
 LOOK_PERIOD = 0.5
 """Seconds between two looks at whether somebody holds the duties."""
 CALL_TIME = 0.5
@@ -33,7 +33,7 @@
 to 100,000 eras are exactly representable as doubles."""
 
 
-class Tenancy:
+class HolderElection:
     """This host's claim on the duties.
 
     The holder's key is attached to the registration's lease. The fencing token combines
@@ -67,7 +67,7 @@
         # A start of this host that ended just now may have acted right before.
         self._may_have_acted_at = read_boot_clock()
 
-    def find_tenure(self) -> Tenure | None:
+    def find_active_term(self) -> Tenure | None:
         """Return this host's tenure if it may act now.
 
         A host that was frozen wakes with all its beliefs. The lease's end is on the
@@ -159,7 +159,7 @@
             self._restored_at + LEASE_TTL,
         )
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Give up the duties, since the restored store may lack the holder's key.
 
         A holder that is partitioned from the store keeps acting until its lease ends,
@@ -183,7 +183,7 @@
         tenure = self._tenure
         return {
             "is_holder": tenure is not None,
-            "may_act": self.find_tenure() is not None,
+            "may_act": self.find_active_term() is not None,
             "fence": tenure.fencing_token if tenure else 0,
         }
 
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -14,8 +14,8 @@
 from dewridge.platform.store import Item, Lease, Listing, Store, Write
 from dewridge.sentinels import Failure
 
-PREFIX = "dewridge/"
-HOSTS_PREFIX = PREFIX + "hosts/"
+SYSTEM_PREFIX = "dewridge/"
+HOSTS_PREFIX = SYSTEM_PREFIX + "hosts/"
 LEASE_TTL = 3.0
 """Seconds that a registration outlives its host: callers are sent there meanwhile,
 unless the host's peers miss it sooner."""
@@ -162,7 +162,7 @@
         self.state.valid_until = float("-inf")
         self._written = None
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Register with a new lease; the store may lack the old one or the entry."""
         if self.state.lease is not None:
             self._lose_lease()
@@ -198,7 +198,7 @@
         self.lost_items: dict[str, Item] = {}
         self._restored_at = float("-inf")
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Discard the revision and items; the restored store may lack recent keys.
 
         The items remain available in `lost_items`.
@@ -323,7 +323,7 @@
         """Read all registrations for ever."""
         may_lag = False
         while True:
-            listing = await self._store.list_items(PREFIX, may_lag=may_lag)
+            listing = await self._store.list_items(SYSTEM_PREFIX, may_lag=may_lag)
             if isinstance(listing, Listing):
                 self._table.replace(listing)
             is_restored = False
@@ -341,7 +341,9 @@
                 continue
             revision = self._table.revision
             if self._reads():
-                news = await self._watch_store.watch(PREFIX, revision, self._watch_wait)
+                news = await self._watch_store.watch(
+                    SYSTEM_PREFIX, revision, self._watch_wait
+                )
                 if isinstance(news, Listing):
                     for item in news.items:
                         self._table.update(item)
--- a/dewridge/gateway/leaving.py
+++ b/dewridge/gateway/leaving.py
@@ -4,7 +4,7 @@
 from loguru import logger as log
 
 from dewridge.gateway.directory import find_answer_ttl
-from dewridge.gateway.duties import Tenancy
+from dewridge.gateway.duties import HolderElection
 from dewridge.gateway.hosts import Registration
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.upkeep import update_readiness
@@ -20,8 +20,8 @@
 LOOK_PERIOD = 0.1
 
 
-async def leave(
-    state: GatewayState, registration: Registration, tenancy: Tenancy
+async def leave_fleet(
+    state: GatewayState, registration: Registration, tenancy: HolderElection
 ) -> None:
     """Leave within the grace: serve on while callers may still come.
 
--- a/dewridge/gateway/reloading.py
+++ b/dewridge/gateway/reloading.py
@@ -86,6 +86,6 @@
         if loaded.settings.listen != self._current.listen:
             log.warning("changed addresses take a restart")
         self._current = loaded.settings
-        self._configuration.trust_for(find_trusted_time(loaded.settings))
+        self._configuration.set_trust_period(find_trusted_time(loaded.settings))
         self._apply(loaded.settings)
         log.info("settings reloaded")
--- a/dewridge/gateway/rolloutduty.py
+++ b/dewridge/gateway/rolloutduty.py
@@ -4,8 +4,8 @@
 import trio
 from loguru import logger as log
 
-from dewridge.gateway.duties import Tenancy
-from dewridge.gateway.hosts import PREFIX
+from dewridge.gateway.duties import HolderElection
+from dewridge.gateway.hosts import SYSTEM_PREFIX
 from dewridge.gateway.reports import RolloutProgress
 from dewridge.gateway.rollouts import (
     decode_progress,
@@ -26,7 +26,7 @@
 )
 from dewridge.sentinels import Failure
 
-ROLLOUT_PREFIX = PREFIX + "rollouts/"
+ROLLOUT_PREFIX = SYSTEM_PREFIX + "rollouts/"
 """Lies below the prefix of the host entries, which every host already reads."""
 LOOK_PERIOD = 0.25
 """Seconds between two checks of the rollouts in progress."""
@@ -46,7 +46,9 @@
     it can't overwrite a later decision.
     """
 
-    def __init__(self, state: GatewayState, tenancy: Tenancy, store: Store) -> None:
+    def __init__(
+        self, state: GatewayState, tenancy: HolderElection, store: Store
+    ) -> None:
         self._state = state
         self._tenancy = tenancy
         self._store = store
@@ -75,7 +77,7 @@
             await trio.sleep(LOOK_PERIOD)
 
     async def _step(self, progress: RolloutProgress) -> None:
-        if self._tenancy.find_tenure() is None:
+        if self._tenancy.find_active_term() is None:
             return
         rollout = self._find_rollout_state(progress)
         stage = find_next_stage(rollout)
@@ -124,7 +126,7 @@
         self._state.rollouts.apply_progress(following)
 
     async def _rewrite(self, progress: RolloutProgress) -> None:
-        if self._tenancy.find_tenure() is not None and await self._write(progress):
+        if self._tenancy.find_active_term() is not None and await self._write(progress):
             self._to_rewrite.discard(progress.service)
 
     async def _write(self, progress: RolloutProgress) -> bool:
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -4,7 +4,7 @@
 import trio
 from loguru import logger as log
 
-from dewridge.gateway.duties import Tenancy
+from dewridge.gateway.duties import HolderElection
 from dewridge.gateway.model import Scaling, Service
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import FailureDomain, ServiceName
@@ -51,7 +51,7 @@
     """Gives the orders that the plan wants and that were not accepted yet."""
 
     def __init__(
-        self, state: GatewayState, tenancy: Tenancy, store: Store, cloud: Cloud
+        self, state: GatewayState, tenancy: HolderElection, store: Store, cloud: Cloud
     ) -> None:
         self._state = state
         self._tenancy = tenancy
@@ -70,7 +70,7 @@
         self._lower_since: dict[Place, float] = {}
         self._fence = 0
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Write the needed servers again; the restored store may lack them."""
         self._needed_written.clear()
 
@@ -81,7 +81,7 @@
             await trio.sleep(LOOK_PERIOD)
 
     async def _step(self) -> None:
-        tenure = self._tenancy.find_tenure()
+        tenure = self._tenancy.find_active_term()
         configuration = self._state.configuration.current
         if tenure is None or configuration is None:
             return
@@ -199,7 +199,7 @@
     async def _keep_needed(self) -> None:
         """Write down what is needed for the next holder, if that changed."""
         needed = {name: count for name, count in self._needed.items() if count > 0}
-        if needed == self._needed_written or self._tenancy.find_tenure() is None:
+        if needed == self._needed_written or self._tenancy.find_active_term() is None:
             return
         write = Write(NEEDED_KEY, msgspec.json.encode(needed))
         written = await self._store.change(writes=(write,))
@@ -276,7 +276,7 @@
     async def _give(self, order: Order) -> None:
         place = find_place(order)
         now = trio.current_time()
-        tenure = self._tenancy.find_tenure()
+        tenure = self._tenancy.find_active_term()
         if tenure is None:
             return
         outcome = await self._cloud.order_servers(tenure, order)
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -139,7 +139,7 @@
             bounds.quota_window,
         )
         now = trio.current_time()
-        fleet = state.find_fleet()
+        fleet = state.make_fleet_view()
         draw = state.rng.random()
         wait = state.ledger.find_wait(account.name, amount, quota, now, fleet, draw)
         if wait > 0:
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -51,7 +51,7 @@
 CELL_WINDOWS = 2
 """Usage windows in a report to the own cell of a large fleet, which keeps what a host
 counted until its end: the holder of the duties is told by words of their own."""
-SERVER_SECONDS = "server_answer_seconds"
+SERVER_ANSWER_TIME_METRIC = "server_answer_seconds"
 """Name of the time from a sending until the head of the server's answer."""
 
 
@@ -86,7 +86,7 @@
         if is_suspect:
             self.suspects[server] += 1
 
-    def note_read(self, server: BackendServerId, tokens: int) -> None:
+    def record_prompt_read(self, server: BackendServerId, tokens: int) -> None:
         """Count a prompt as read: its answer has begun, or it never will."""
         self.tokens[server] -= tokens
 
@@ -120,7 +120,7 @@
     streams: RunningStreams = field(default_factory=RunningStreams)
     health: dict[BackendServerId, ServerHealth] = field(default_factory=dict)
     budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
-    began: dict[int, dict[ClientAccount, int]] = field(
+    usage_counts: dict[int, dict[ClientAccount, int]] = field(
         default_factory=lambda: defaultdict(lambda: defaultdict(int))
     )
     demand: dict[ServiceName, DemandMeter] = field(
@@ -134,9 +134,9 @@
     )
     rollouts: RolloutTable = field(default_factory=RolloutTable)
     suspects: SuspectLedger = field(default_factory=SuspectLedger)
-    seen_ending: set[RequestDigest] = field(default_factory=set)
+    observed_crashes: set[RequestDigest] = field(default_factory=set)
     """Requests under which this host saw a server end itself."""
-    on_suspects: Callable[[], None] = lambda: None
+    on_suspects_changed: Callable[[], None] = lambda: None
     """Told when something is new of the requests under which servers ended."""
     list_suspects: Callable[[int], list[SuspectNews]] = lambda turn: []
     """Returns what a report tells of them."""
@@ -152,12 +152,12 @@
         self.settings = settings
         self.budgets.clear()
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Note that the store was restored from a copy and may lack recent writes."""
         self.metrics.add("store_restores")
-        self.configuration.note_restored()
+        self.configuration.handle_restore()
         self.servers.note_outage(trio.current_time())
-        self.hosts.note_restored()
+        self.hosts.handle_restore()
         self.rollouts.note_restored()
 
     def find_health(self, server: BackendServerId) -> ServerHealth:
@@ -175,7 +175,7 @@
             )
         return self.budgets[service]
 
-    def count_demand(self, service: ServiceName, tokens: float) -> None:
+    def record_local_demand(self, service: ServiceName, tokens: float) -> None:
         """Count the prompt tokens of a request that arrived here."""
         self.own_demand[service] += tokens
         self.demand[service].add(tokens, trio.current_time())
@@ -192,7 +192,9 @@
             for one in records
         )
 
-    def note_demand(self, service: ServiceName, tokens: float, now: float) -> None:
+    def record_remote_demand(
+        self, service: ServiceName, tokens: float, now: float
+    ) -> None:
         """Count the prompt tokens that arrived at another host."""
         self.demand[service].add(tokens, now)
 
@@ -200,10 +202,10 @@
         """Return the usage window of a time in seconds since 1970."""
         return int(at // self.settings.bounds.usage_window)
 
-    def count_began(self, account: ClientAccount | None) -> None:
+    def count_usage(self, account: ClientAccount | None) -> None:
         """Count a request of an account that began to run now."""
         if account is not None:
-            self.began[self.find_window(time.time())][account] += 1
+            self.usage_counts[self.find_window(time.time())][account] += 1
 
     def make_report(self, number: int) -> Report:
         """Return this host's running totals for the others."""
@@ -216,7 +218,7 @@
             is_ready=self.is_ready,
             age=now - self.sharing.started_at,
             totals=self._make_totals(now),
-            began=self.list_began(windows),
+            began=self.list_usage(windows),
             version=self.configuration.version,
             left=self.servers.list_just_left(now),
             confirmed_age=self.configuration.age,
@@ -226,11 +228,13 @@
             rollouts=self.rollouts.list_progress(),
         )
 
-    def list_began(self, windows: int) -> UsageCounts:
+    def list_usage(self, windows: int) -> UsageCounts:
         """Return what began here in the newest usage windows."""
         newest = self.find_window(time.time())
         recent = range(newest - windows + 1, newest + 1)
-        return {at: dict(self.began[at]) for at in recent if at in self.began}
+        return {
+            at: dict(self.usage_counts[at]) for at in recent if at in self.usage_counts
+        }
 
     def _make_totals(self, now: float) -> Totals:
         return Totals(
@@ -255,7 +259,7 @@
                 told[server] = totals
         return told
 
-    def find_fleet(self) -> FleetView:
+    def make_fleet_view(self) -> FleetView:
         """Return what this host knows of the others, for quotas."""
         summary = self.sharing.find_summary(trio.current_time())
         peers = self.hosts.list_peers()
@@ -264,17 +268,17 @@
             hosts=len(peers) + 1, silent=silent, news_age=self.sharing.news_age
         )
 
-    def find_part(self) -> Part:
+    def find_store_role(self) -> Part:
         """Return what this host has to read of the store itself."""
         if not self.sharing.has_cells:
             return Part.ALL
         return Part.READER if self.sharing.is_reader else Part.LISTENER
 
-    def count_heard(self) -> int:
+    def count_live_peers(self) -> int:
         """Return how many other hosts are heard."""
         return len(self.sharing.list_heard())
 
-    def list_silent(self) -> list[HostId]:
+    def list_silent_hosts(self) -> list[HostId]:
         """Return the registered hosts that are not heard."""
         heard = self.sharing.list_heard()
         return [peer.id for peer in self.hosts.list_peers() if peer.id not in heard]
@@ -282,15 +286,15 @@
     def forget_old(self) -> None:
         """Drop what is told or known of long past."""
         window = self.find_window(time.time()) - REPORTED_WINDOWS * 2
-        for old in [known for known in self.began if known < window]:
-            del self.began[old]
+        for old in [known for known in self.usage_counts if known < window]:
+            del self.usage_counts[old]
         self.sharing.forget_before(window, trio.current_time())
         gone = [one for one in self.health if self.servers.find(one) is None]
         for server in gone:
             del self.health[server]
-            self.metrics.forget(SERVER_SECONDS, server=server)
+            self.metrics.forget(SERVER_ANSWER_TIME_METRIC, server=server)
         self.suspects.forget_old(trio.current_time())
-        self.seen_ending = {
-            digest for digest in self.seen_ending if self.suspects.find(digest)
+        self.observed_crashes = {
+            digest for digest in self.observed_crashes if self.suspects.find(digest)
         }
         self.pool.drop_old()
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -12,7 +12,7 @@
 import trio
 from loguru import logger as log
 
-from dewridge.gateway.hosts import PREFIX
+from dewridge.gateway.hosts import SYSTEM_PREFIX
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import take_suspects
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest, ServiceName
@@ -20,7 +20,7 @@
 from dewridge.policy.suspects import End, Suspect
 from dewridge.sentinels import Failure
 
-SUSPECTS_PREFIX = PREFIX + "suspects/"
+SUSPECTS_PREFIX = SYSTEM_PREFIX + "suspects/"
 LOOK_PERIOD = 0.25
 """Seconds between two looks at what has to be written."""
 OTHERS_WRITE_FOR = 3.0
@@ -98,7 +98,7 @@
         kept = sum(key.startswith(SUSPECTS_PREFIX) for key in items)
         if kept >= MOST_KEPT or suspect.find_hold_left(now) < SHORTEST_LEASE:
             return False
-        if suspect.digest in self._state.seen_ending:
+        if suspect.digest in self._state.observed_crashes:
             return True
         return self._has_duties() and now - suspect.told_at > OTHERS_WRITE_FOR
 
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -58,7 +58,7 @@
         job.digest, account, job.service, {server: End(ended_at, job.sent_at)}
     )
     state.metrics.add("servers_ended_under_requests_total", service=job.service)
-    state.seen_ending.add(job.digest)
+    state.observed_crashes.add(job.digest)
     is_new = take_suspects(state, [suspect])
     log.bind(
         id=job.request.id,
@@ -69,7 +69,7 @@
         ends=state.suspects.count_ends(job.digest, trio.current_time()),
     ).warning("server ended under request")
     if is_new:
-        state.on_suspects()
+        state.on_suspects_changed()
 
 
 def note_answered(state: GatewayState, job: Job) -> None:
@@ -83,7 +83,7 @@
     if not state.suspects.clear(digest, trio.current_time()):
         return False
     log.bind(digest=digest, reason=reason).info("request cleared")
-    state.on_suspects()
+    state.on_suspects_changed()
     return True
 
 
--- a/dewridge/gateway/upkeep.py
+++ b/dewridge/gateway/upkeep.py
@@ -18,7 +18,7 @@
 """Periods between two clean-ups."""
 
 
-async def keep_up(state: GatewayState, registration: Registration) -> None:
+async def run_upkeep(state: GatewayState, registration: Registration) -> None:
     """Keep readiness, limits in force and memory in order, for ever."""
     rounds = 0
     while not state.is_ready:
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -8,15 +8,15 @@
 from loguru import logger as log
 
 from dewridge.codes import ResultCode
-from dewridge.gateway.duties import Tenancy
-from dewridge.gateway.hosts import PREFIX, HostEntry
+from dewridge.gateway.duties import HolderElection
+from dewridge.gateway.hosts import SYSTEM_PREFIX, HostEntry
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import ClientAccount
 from dewridge.platform.cloud import CallOutcome, Cloud, Tenure
 from dewridge.platform.store import Item, Store, Write
 from dewridge.sentinels import Failure
 
-USAGE_PREFIX = PREFIX + "usage/"
+USAGE_PREFIX = SYSTEM_PREFIX + "usage/"
 LOOK_PERIOD = 0.5
 SETTLE = 2.0
 """Seconds after a window's end before its sum is made: requests that began in it are
@@ -38,7 +38,7 @@
     def __init__(
         self,
         state: GatewayState,
-        tenancy: Tenancy,
+        tenancy: HolderElection,
         store: Store,
         cloud: Cloud,
         ask: Callable[[Iterable[HostEntry]], None] = lambda hosts: None,
@@ -56,7 +56,7 @@
     async def run(self) -> None:
         """Report each window that is due, for ever."""
         while True:
-            tenure = self._tenancy.find_tenure()
+            tenure = self._tenancy.find_active_term()
             if tenure is not None and self._has_settled(tenure):
                 for window in self._list_due():
                     if self._is_complete(window):
@@ -123,7 +123,7 @@
 
     async def _report(self, tenure: Tenure, window: int) -> None:
         counts = await self._fix_counts(window)
-        if counts is None or self._tenancy.find_tenure() != tenure:
+        if counts is None or self._tenancy.find_active_term() != tenure:
             return
         outcome = await self._cloud.report_usage(tenure, window, counts)
         if outcome is CallOutcome.ACCEPTED:
@@ -180,5 +180,5 @@
         return msgspec.json.decode(item.value, type=Counts)
 
     def _sum_counts(self, window: int) -> Counts:
-        own = self._state.began.get(window, {})
+        own = self._state.usage_counts.get(window, {})
         return self._state.sharing.usage.sum(window, own)
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -8,7 +8,7 @@
 import trio.testing
 
 from dewridge.gateway.forwarding import Lost
-from dewridge.gateway.hosts import PREFIX
+from dewridge.gateway.hosts import SYSTEM_PREFIX
 from dewridge.gateway.jobs import Job
 from dewridge.gateway.losses import LossNotes
 from dewridge.gateway.model import AttemptKey, CallerRequest, ServerRecord, Sizes
@@ -269,7 +269,7 @@
         for number in range(3):
             at = trio.current_time()
             server = BackendServerId(f"s-{number}")
-            before.seen_ending.add(DIGEST)
+            before.observed_crashes.add(DIGEST)
             take_suspects(
                 before, [Suspect(DIGEST, ACCOUNT, ENGINE, {server: End(at, at - 0.1)})]
             )
@@ -279,7 +279,7 @@
         nursery.cancel_scope.cancel()
     after = make_state(make_configuration())
     after.hosts.on_item = SuspectKeeper(after, MemoryStore(data), lambda: False).take
-    listing = await MemoryStore(data).list_items(PREFIX)
+    listing = await MemoryStore(data).list_items(SYSTEM_PREFIX)
     assert isinstance(listing, Listing)
     after.hosts.replace(listing)
     assert after.suspects.find_hold_left(DIGEST, trio.current_time()) > HOLD - 10
--- a/dewridge/tests/gateway/duties_tests.py
+++ b/dewridge/tests/gateway/duties_tests.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from dewridge.gateway import duties, hosts
-from dewridge.gateway.duties import Tenancy
+from dewridge.gateway.duties import HolderElection
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
 from dewridge.gateway.usage import UsageDuty
 from dewridge.ids import ClientAccount, FailureDomain, HostId
@@ -33,7 +33,7 @@
         )
         self.table = HostTable(entry.id)
         self.registration = Registration(self.store, entry)
-        self.tenancy = Tenancy(
+        self.tenancy = HolderElection(
             entry.id, 1, self.store, self.registration, self.table, lease=3.0
         )
         self.watch_store = MemoryStore(data)
@@ -57,7 +57,7 @@
             one.start(nursery)
         for _ in range(40):
             await trio.sleep(0.25)
-            holders = [one for one in candidates if one.tenancy.find_tenure()]
+            holders = [one for one in candidates if one.tenancy.find_active_term()]
             assert len(holders) <= 1
         assert len(holders) == 1
         nursery.cancel_scope.cancel()
@@ -77,17 +77,17 @@
         first.start(nursery)
         await trio.sleep(6.0)
         second.start(nursery)
-        held = first.tenancy.find_tenure()
+        held = first.tenancy.find_active_term()
         assert held is not None
         first.store.is_down = True
         last_of_first = first_of_second = 0.0
         for _ in range(120):
             await trio.sleep(0.1)
-            if first.tenancy.find_tenure():
+            if first.tenancy.find_active_term():
                 last_of_first = trio.current_time()
-            if second.tenancy.find_tenure() and not first_of_second:
+            if second.tenancy.find_active_term() and not first_of_second:
                 first_of_second = trio.current_time()
-        successor = second.tenancy.find_tenure()
+        successor = second.tenancy.find_active_term()
         assert successor is not None
         assert successor.fencing_token > held.fencing_token
         assert last_of_first < first_of_second
@@ -110,11 +110,11 @@
         await trio.sleep(6.0)
         second.start(nursery)
         await trio.sleep(4.0)
-        assert first.tenancy.find_tenure() is not None
+        assert first.tenancy.find_active_term() is not None
         await first.tenancy.leave()
         await first.registration.leave()
         await trio.sleep(1.5)
-        assert second.tenancy.find_tenure() is not None
+        assert second.tenancy.find_active_term() is not None
         nursery.cancel_scope.cancel()
 
 
@@ -130,15 +130,15 @@
     async with trio.open_nursery() as nursery:
         one.start(nursery)
         await trio.sleep(8.0)
-        assert one.tenancy.find_tenure() is not None
+        assert one.tenancy.find_active_term() is not None
         last_act = trio.current_time()
         one.tenancy._end("test")
         one.tenancy._begin(10_000)
         one.registration.state.valid_until = last_act + 60.0
         await trio.sleep(2.9)
-        assert one.tenancy.find_tenure() is None
+        assert one.tenancy.find_active_term() is None
         await trio.sleep(0.2)
-        assert one.tenancy.find_tenure() is not None
+        assert one.tenancy.find_active_term() is not None
         nursery.cancel_scope.cancel()
 
 
@@ -156,7 +156,7 @@
         one.store.loses_answers = True
         one.start(nursery)
         await trio.sleep(8.0)
-        tenure = one.tenancy.find_tenure()
+        tenure = one.tenancy.find_active_term()
         assert tenure is not None
         assert tenure.fencing_token == data.items[duties.HOLDER_KEY].revision
         nursery.cancel_scope.cancel()
@@ -171,13 +171,13 @@
     async with trio.open_nursery() as nursery:
         one.start(nursery)
         await trio.sleep(8.0)
-        before = one.tenancy.find_tenure()
+        before = one.tenancy.find_active_term()
         one.store.is_down = True
         await trio.sleep(5.0)
-        assert one.tenancy.find_tenure() is None
+        assert one.tenancy.find_active_term() is None
         one.store.is_down = False
         await trio.sleep(8.0)
-        after = one.tenancy.find_tenure()
+        after = one.tenancy.find_active_term()
         assert before is not None
         assert after is not None
         assert after.fencing_token > before.fencing_token
@@ -197,14 +197,14 @@
     async with trio.open_nursery() as nursery:
         one.start(nursery)
         await trio.sleep(8.0)
-        assert one.tenancy.find_tenure() is not None
+        assert one.tenancy.find_active_term() is not None
         other.start(nursery)
         await one.tenancy.leave()
         await trio.sleep(1.0)
         await one.registration.leave()
         await trio.sleep(7.0)
-        assert one.tenancy.find_tenure() is None
-        assert other.tenancy.find_tenure() is not None
+        assert one.tenancy.find_active_term() is None
+        assert other.tenancy.find_active_term() is not None
         nursery.cancel_scope.cancel()
 
 
@@ -246,13 +246,13 @@
         return CallOutcome.ACCEPTED
 
 
-class AlwaysHolder(Tenancy):
+class AlwaysHolder(HolderElection):
     """A tenancy that a test gives to a host outright."""
 
     def __init__(self) -> None:
         self._given = Tenure(HostId("host-1"), 1)
 
-    def find_tenure(self) -> Tenure | None:
+    def find_active_term(self) -> Tenure | None:
         """Return the tenure."""
         return self._given
 
@@ -272,7 +272,7 @@
     async with trio.open_nursery() as nursery:
         for count in (5, 9):
             state = make_state(make_configuration())
-            state.began[window][ACCOUNT] = count
+            state.usage_counts[window][ACCOUNT] = count
             duty = UsageDuty(state, AlwaysHolder(), MemoryStore(data), cloud)
             nursery.start_soon(duty.run)
             await trio.sleep(4.0)
--- a/dewridge/tests/gateway/readers_tests.py
+++ b/dewridge/tests/gateway/readers_tests.py
@@ -40,7 +40,7 @@
         self.watcher = StoreWatcher(
             MemoryStore(data),
             self.store,
-            ConfigurationState(trusted_for=4.0),
+            ConfigurationState(trust_period=4.0),
             self.servers,
             lambda: 60,
             6000.0,
@@ -137,7 +137,7 @@
         self.watchers: list[StoreWatcher] = []
         for number in range(listeners + 1):
             part = Part.LISTENER if number else Part.READER
-            state = ConfigurationState(trusted_for=4.0)
+            state = ConfigurationState(trust_period=4.0)
             store = MemoryStore(self.store.data)
             self.configurations.append(state)
             self.stores.append(store)
--- a/dewridge/tests/gateway/restarts_tests.py
+++ b/dewridge/tests/gateway/restarts_tests.py
@@ -119,7 +119,7 @@
     async with open_world() as world:
         server = await world.add_server("s-1", break_off_once, ENGINE)
         answer = await world.ask("/chat/a", method="POST", body=b"x")
-        counted = [sum(counts.values()) for counts in world.state.began.values()]
+        counted = [sum(counts.values()) for counts in world.state.usage_counts.values()]
         seen = server.seen
     assert answer.is_whole
     assert answer.body == b"".join(make_event(number) for number in range(1, 5))
--- a/dewridge/tests/gateway/restores_tests.py
+++ b/dewridge/tests/gateway/restores_tests.py
@@ -53,9 +53,9 @@
     era = candidate.store.era
     candidate.watch_store.era = era
     era.on_restored += [
-        candidate.table.note_restored,
-        candidate.registration.note_restored,
-        candidate.tenancy.note_restored,
+        candidate.table.handle_restore,
+        candidate.registration.handle_restore,
+        candidate.tenancy.handle_restore,
     ]
 
 
@@ -84,7 +84,7 @@
         async def act() -> None:
             while True:
                 for one in candidates:
-                    tenure = one.tenancy.find_tenure()
+                    tenure = one.tenancy.find_active_term()
                     if tenure is not None:
                         acts.append((tenure.host, tenure.fencing_token))
                 await trio.sleep(0.05)
@@ -95,7 +95,7 @@
             snapshot = data.take_snapshot()
             for number in range(50):
                 writer.write("other", b"%d" % number)
-            holder = next(one for one in candidates if one.tenancy.find_tenure())
+            holder = next(one for one in candidates if one.tenancy.find_active_term())
             await holder.tenancy.leave()
             await holder.registration.leave()
             holder.tenancy._has_left = False
@@ -163,7 +163,7 @@
     """Guards against accepting removed keys after the store lost their removal."""
     data = StoreData(era=1)
     store = MemoryStore(data)
-    state = ConfigurationState(trusted_for=4.0)
+    state = ConfigurationState(trust_period=4.0)
     watcher = StoreWatcher(
         store, store, state, ServerTable(), lambda: 1, 6000.0, lambda: Part.ALL
     )
@@ -192,7 +192,7 @@
     """Guards against accepting a removed key on a host that read the older version."""
     data = StoreData(era=1)
     store = MemoryStore(data)
-    state = ConfigurationState(trusted_for=4.0)
+    state = ConfigurationState(trust_period=4.0)
     watcher = StoreWatcher(
         store, store, state, ServerTable(), lambda: 1, 6000.0, lambda: Part.ALL
     )
@@ -213,9 +213,9 @@
 
 def test_a_host_with_an_older_version_confirms_nothing() -> None:
     """Guards against confirmation by a host that read the restored version."""
-    state = ConfigurationState(trusted_for=4.0)
+    state = ConfigurationState(trust_period=4.0)
     state.apply(make_configuration(version=2))
-    state.note_restored()
+    state.handle_restore()
     state.confirm_by_peer(1, 10.0)
     assert state.confirmed_at == float("-inf")
     state.confirm_by_peer(2, 10.0)
@@ -260,13 +260,13 @@
     window = int(1000.0 // 5.0)
     async with trio.open_nursery() as nursery:
         state = make_state(make_configuration())
-        state.began[window][ACCOUNT] = 5
+        state.usage_counts[window][ACCOUNT] = 5
         duty = UsageDuty(state, AlwaysHolder(), MemoryStore(data), cloud)
         nursery.start_soon(duty.run)
         await trio.sleep(window * 5.0 + 5.0 + SETTLE + 0.6 - 1000.0)
         assert cloud.reports
         data.restore(snapshot)
-        state.began[window][ACCOUNT] = 9
+        state.usage_counts[window][ACCOUNT] = 9
         await trio.sleep(3.0)
         nursery.cancel_scope.cancel()
     sums = [counts for reported, counts in cloud.reports if reported == window]
@@ -284,7 +284,7 @@
     rollouts = holder.state.rollouts
     rollouts.apply_order(RolloutOrder(PLAIN, NEW, 12.0, 100))
     holder.store.era.on_restored += [
-        holder.state.note_restored,
+        holder.state.handle_restore,
         holder.duty.note_restored,
     ]
     async with trio.open_nursery() as nursery:
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -324,7 +324,7 @@
     watcher = StoreWatcher(
         store,
         MemoryStore(data),
-        ConfigurationState(trusted_for=4.0),
+        ConfigurationState(trust_period=4.0),
         ServerTable(),
         lambda: 1,
         6000.0,
--- a/dewridge/tests/gateway/scaling_tests.py
+++ b/dewridge/tests/gateway/scaling_tests.py
@@ -81,7 +81,7 @@
     async def bring_work(self, rate: float) -> None:
         """Count so much work all the time."""
         while True:
-            self.state.note_demand(ENGINE, rate / 10, trio.current_time())
+            self.state.record_remote_demand(ENGINE, rate / 10, trio.current_time())
             await trio.sleep(0.1)
 
 
--- a/dewridge/tests/gateway/sharing_tests.py
+++ b/dewridge/tests/gateway/sharing_tests.py
@@ -233,7 +233,7 @@
 
 
 def test_a_peer_with_an_older_version_confirms_too_a_newer_one_does_not() -> None:
-    state = ConfigurationState(trusted_for=4.0)
+    state = ConfigurationState(trust_period=4.0)
     state.apply(make_configuration(7))
     state.confirm_by_peer(8, 50.0)
     assert state.confirmed_at == float("-inf")
--- a/dewridge/tests/gateway/state_tests.py
+++ b/dewridge/tests/gateway/state_tests.py
@@ -46,7 +46,7 @@
 
     Taken over, a key that was taken away would work again.
     """
-    state = ConfigurationState(trusted_for=4.0)
+    state = ConfigurationState(trust_period=4.0)
     assert state.apply(make_configuration(7))
     assert not state.apply(make_configuration(5))
     assert state.version == 7
@@ -61,7 +61,7 @@
     """
     now = 100.0
     monkeypatch.setattr(configuration, "read_boot_clock", lambda: now)
-    state = ConfigurationState(trusted_for=4.0)
+    state = ConfigurationState(trust_period=4.0)
     state.apply(make_configuration())
     state.confirm(now)
     assert state.is_trusted
@@ -140,7 +140,7 @@
     def __init__(self, part: Part = Part.ALL, heard: int = 0) -> None:
         self.store = MemoryStore()
         self.watch_store = MemoryStore(self.store.data)
-        self.configuration = ConfigurationState(trusted_for=4.0)
+        self.configuration = ConfigurationState(trust_period=4.0)
         self.servers = ServerTable()
         self.watcher = StoreWatcher(
             self.store,
@@ -314,7 +314,7 @@
     work.add(server, 5_000)
     for _ in range(50):
         work.add(server, 5_000)
-        work.note_read(server, 5_000)
+        work.record_prompt_read(server, 5_000)
         work.remove(server)
     assert work.requests[server] == 1
     assert work.tokens[server] == 5_000
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -9,7 +9,11 @@
 
 from dewridge.gateway import sharinglink
 from dewridge.gateway.datagrams import PacedSocket
-from dewridge.gateway.departures import note_left, take_left, take_suspect_report
+from dewridge.gateway.departures import (
+    apply_left_report,
+    apply_suspect_report,
+    handle_server_left,
+)
 from dewridge.gateway.echoes import Echoes
 from dewridge.gateway.hosts import HostEntry
 from dewridge.gateway.reports import REPORTED_WINDOWS
@@ -73,7 +77,7 @@
             self.state.hosts,
             self.socket,
             lambda: self.state.find_window(time.time()),
-            lambda: self.state.list_began(REPORTED_WINDOWS),
+            lambda: self.state.list_usage(REPORTED_WINDOWS),
         )
         self.link = SharingLink(
             self.socket,
@@ -86,13 +90,13 @@
             lambda version, at: None,
         )
         servers = self.state.servers
-        servers.on_left = partial(note_left, self.state, self.link)
-        self.link.on_left = partial(take_left, self.state, self.link)
+        servers.on_left = partial(handle_server_left, self.state, self.link)
+        self.link.on_left = partial(apply_left_report, self.state, self.link)
         self.link.list_left = lambda: servers.list_just_left(trio.current_time())
-        self.link.on_suspects = partial(take_suspect_report, self.state, self.link)
+        self.link.on_suspects = partial(apply_suspect_report, self.state, self.link)
         self.link.list_suspects = make_urgent_list(self.state)
         self.state.list_suspects = make_news_list(self.state)
-        self.state.on_suspects = partial(self.link.tell_now, Audience.ALL)
+        self.state.on_suspects_changed = partial(self.link.tell_now, Audience.ALL)
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Run all that tells and hears."""
@@ -114,7 +118,7 @@
             for _ in range(3):
                 health.note_success(trio.current_time())
         for place, account in enumerate(ACCOUNTS):
-            self.state.began[WINDOW][account] += 1 + place % 4
+            self.state.usage_counts[WINDOW][account] += 1 + place % 4
 
 
 def make_host_state(name: HostId, domain: FailureDomain) -> GatewayState:
@@ -189,7 +193,7 @@
 def sum_truth(fleet: list[FleetHost]) -> dict[ClientAccount, int]:
     """Return what all hosts together began in the window."""
     return {
-        account: sum(host.state.began[WINDOW][account] for host in fleet)
+        account: sum(host.state.usage_counts[WINDOW][account] for host in fleet)
         for account in ACCOUNTS
     }
 
@@ -319,7 +323,7 @@
             beside = [RequestDigest(f"beside-{number}-{n}") for n in range(30)]
             for digest in [*beside, cause]:
                 note_seen_end(host, digest, SERVERS[number])
-            host.state.on_suspects()
+            host.state.on_suspects_changed()
             await trio.sleep(2 * SAME_MOMENT)
         await trio.sleep(SUSPECTS_KNOWN_WITHIN - 2 * SAME_MOMENT)
         now = trio.current_time()
--- a/dewridge/tests/gateway/world.py
+++ b/dewridge/tests/gateway/world.py
@@ -131,7 +131,7 @@
         settings=make_settings(**bounds),
         host=HOST,
         boot=1,
-        configuration=ConfigurationState(trusted_for=4.0),
+        configuration=ConfigurationState(trust_period=4.0),
         servers=ServerTable(),
         hosts=HostTable(HOST),
         sharing=Sharing(HOST, ledger.note),
