--- a/dewridge/gateway/configuration.py
+++ b/dewridge/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this host, and how sure it is to be the newest."""
+"""The configuration in force on this host, and when it was last confirmed as newest."""
 
 from loguru import logger as log
 
@@ -7,33 +7,38 @@
 
 
 class ConfigurationState:
-    """Holds the newest version seen; never goes back to an older one."""
+    """Holds the newest configuration received; never returns to an older version.
+
+    Attributes:
+        current: the configuration in force; None before the first.
+        confirmed_at: time on the boot clock at which it was certainly the newest.
+        idle_timeout: seconds that idle connections of callers are kept open.
+    """
 
     def __init__(self, trust_period: float) -> None:
-        self._trusted_for = trust_period
+        self._trust_period = trust_period
         self.current: Configuration | None = None
         self.confirmed_at = float("-inf")
         self.idle_timeout = 15.0
         self._is_store_restored = False
 
     def set_trust_period(self, seconds: float) -> None:
-        """Change how long the version in force is trusted without a confirmation."""
-        self._trusted_for = seconds
+        """Set the seconds that a version is trusted without a confirmation."""
+        self._trust_period = seconds
 
     def apply(self, configuration: Configuration) -> bool:
-        """Take over a version if it is newer; returns whether it was.
+        """Apply a configuration if its version is newer; return whether it was.
 
-        A read that was answered late, or by a copy of the store that lags, brings
-        an older version. Taken over, it would serve routes that were removed and
-        keys that were taken away.
+        A read that was answered late, or by a lagging replica of the store, returns an
+        older version. Applying it would restore removed routes and revoked keys.
         """
         current = self.current
         if current is not None and configuration.version <= current.version:
             return False
-        before = configuration if current is None else current
-        # Callers may still act on the version before: keep to the longer promise.
+        previous = configuration if current is None else current
+        # Callers may still rely on the previous version, so use the longer timeout.
         self.idle_timeout = max(
-            configuration.limits.idle_timeout, before.limits.idle_timeout
+            configuration.limits.idle_timeout, previous.limits.idle_timeout
         )
         self.current = configuration
         log.bind(version=configuration.version, routes=len(configuration.routes)).info(
@@ -41,40 +46,40 @@
         )
         return True
 
-    def confirm(self, asked_at: float) -> None:
-        """Note that the store, asked at that time, had nothing newer."""
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+    def confirm(self, requested_at: float) -> None:
+        """Record that the store, when asked at the given time, had no newer version."""
+        self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def confirm_by_peer(self, version: int, at: float) -> None:
-        """Note that another host's version was surely the newest at that time.
+        """Record that a peer's version was certainly the newest at the given time.
 
-        An older version counts as well, because the one in force here superseded it.
-        After a restore of the store only the same version counts: the restored copy
-        may lack the one in force.
+        An older version is accepted too, because the version in force here superseded
+        it. After a restore of the store only the same version is accepted, since the
+        restored copy may lack the version in force.
         """
         is_accepted = version == self.version if self._is_store_restored else True
         if 0 < version <= self.version and is_accepted:
             self.confirm(at)
 
     def handle_restore(self) -> None:
-        """Note that the store was restored and may lack the version in force."""
+        """Record that the store was restored and may lack the version in force."""
         self._is_store_restored = True
 
     @property
     def version(self) -> int:
-        """The version in force; 0 for none."""
+        """The version in force; 0 if there is none."""
         return 0 if self.current is None else self.current.version
 
     @property
     def age(self) -> float:
-        """Seconds since the version in force was surely the newest."""
+        """Seconds since the version in force was certainly the newest."""
         return read_boot_clock() - self.confirmed_at
 
     @property
     def is_trusted(self) -> bool:
-        """Whether keys may still be judged by the version in force.
+        """Whether the version in force may still be used to check keys.
 
-        Without a sound way to the store a key may have been taken away unseen.
-        After this time requests are refused in place of serving a revoked key.
+        While the store is unreachable, a key may be revoked without this host knowing.
+        After the trust period requests are refused rather than serve a revoked key.
         """
-        return self.current is not None and self.age < self._trusted_for
+        return self.current is not None and self.age < self._trust_period
--- a/dewridge/gateway/departures.py
+++ b/dewridge/gateway/departures.py
@@ -1,4 +1,4 @@
-"""Servers that leave or ended: what other hosts tell, and whom this one tells."""
+"""Handling of leaving and crashed servers: reports from peers, and reports to them."""
 
 import trio
 
@@ -18,23 +18,29 @@
 
 
 def apply_peer_update(
-    state: GatewayState, watcher: StoreWatcher, link: SharingLink, news: News
+    state: GatewayState, watcher: StoreWatcher, link: SharingLink, update: News
 ) -> None:
-    """Take over what another host knows of the configuration and of servers."""
-    watcher.note_version(news.version)
-    is_new = drop_told(state, news.host, news.left)
-    is_new |= take_told_suspects(state, news.suspects)
-    for progress in news.rollouts:
+    """Apply a peer's report on the configuration, servers and rollouts.
+
+    What is new in a report from another cell is broadcast to the cell peers at once.
+    """
+    watcher.receive_version(update.version)
+    is_new = drop_reported_servers(state, update.host, update.left)
+    is_new |= apply_reported_suspects(state, update.suspects)
+    for progress in update.rollouts:
         state.rollouts.apply_progress(progress)
-    if is_new and isinstance(news, CellReport):
+    if is_new and isinstance(update, CellReport):
         link.tell_now(Audience.MATES)
 
 
 def apply_left_report(
     state: GatewayState, link: SharingLink, report: LeftReport
 ) -> None:
-    """Take over which servers leave; what comes from another cell is passed on."""
-    is_new = drop_told(state, report.host, report.left)
+    """Apply a report of leaving servers.
+
+    A report from another cell is forwarded to the cell peers.
+    """
+    is_new = drop_reported_servers(state, report.host, report.left)
     if is_new and not report.is_for_mates:
         link.tell_now(Audience.MATES)
 
@@ -42,44 +48,48 @@
 def apply_suspect_report(
     state: GatewayState, link: SharingLink, report: SuspectReport
 ) -> None:
-    """Take over under which requests servers ended; pass on another cell's word."""
-    is_new = take_told_suspects(state, report.suspects)
+    """Apply a report of requests during which servers crashed.
+
+    A report from another cell is forwarded to the cell peers.
+    """
+    is_new = apply_reported_suspects(state, report.suspects)
     if is_new and not report.is_for_mates:
         link.tell_now(Audience.MATES)
 
 
-def take_told_suspects(state: GatewayState, suspects: list[SuspectNews]) -> bool:
-    """Take over what another host tells; returns whether any of it was new."""
+def apply_reported_suspects(state: GatewayState, suspects: list[SuspectNews]) -> bool:
+    """Apply suspect requests that a peer reports; return whether any of it was new."""
     if not suspects:
         return False
     now = trio.current_time()
-    return take_suspects(state, [decode_suspect(one, now) for one in suspects])
+    return take_suspects(state, [decode_suspect(suspect, now) for suspect in suspects])
 
 
-def drop_told(
-    state: GatewayState, teller: HostId, left: dict[BackendServerId, float]
+def drop_reported_servers(
+    state: GatewayState, reporter: HostId, left: dict[BackendServerId, float]
 ) -> bool:
-    """Drop servers of which another host tells; returns whether any was in use."""
-    before = state.servers.version
+    """Drop servers that a peer reports as leaving; return whether any was in use."""
+    previous_version = state.servers.version
     now = trio.current_time()
     for server, leaves_in in left.items():
-        state.servers.drop(server, now, f"{teller} told", leaves_in, is_told=True)
-    return state.servers.version != before
+        state.servers.drop(server, now, f"{reporter} told", leaves_in, is_told=True)
+    return state.servers.version != previous_version
 
 
 def handle_server_left(
     state: GatewayState,
     link: SharingLink,
     record: ServerRecord,
-    gone_at: float,
-    is_told: bool,
+    stops_at: float,
+    is_reported_by_peer: bool,
 ) -> None:
-    """Move what runs on a server that leaves, and tell the other hosts at once.
+    """Move the streams on a leaving server, and report it to the other hosts at once.
 
-    Who learned it from the store tells all that it tells in a round, who learned it of
-    another cell its own cell, and who learned it there nobody: a hundred messages at 85
-    hosts. With a round from each of them it was fifteen times as many.
+    A host that learns of it from the store sends to all its report targets. A host that
+    learns of it from another cell sends only to its cell peers, and a host that learns
+    of it from a cell peer sends nothing. With 85 hosts this takes a hundred messages; a
+    report from every host to all its targets took fifteen times as many.
     """
-    state.streams.note_leaving(record.id, gone_at)
-    if not is_told:
+    state.streams.note_leaving(record.id, stops_at)
+    if not is_reported_by_peer:
         link.tell_now(Audience.ALL)
--- a/dewridge/gateway/duties.py
+++ b/dewridge/gateway/duties.py
@@ -1,4 +1,7 @@
-"""Duties that one host at a time may do: who holds them, and their tasks."""
+"""Election of the holder of the duties: ordering servers, reporting usage, rollouts.
+
+Only one host at a time may perform them.
+"""
 
 from collections.abc import Callable
 
@@ -14,27 +17,27 @@
 from dewridge.platform.store import Item, Store, Write
 
 HOLDER_KEY = SYSTEM_PREFIX + "holder"
-LOOK_PERIOD = 0.5
-"""Seconds between two looks at whether somebody holds the duties."""
-CALL_TIME = 0.5
-"""Seconds of lease that must be left for a call to begin: a call that is sent late in
-the lease may arrive when the next holder has already acted."""
+POLL_INTERVAL = 0.5
+"""Seconds between two checks whether a host holds the duties."""
+MIN_LEASE_FOR_CALL = 0.5
+"""Seconds that the lease must still last for a call to begin. A call that is sent later
+may arrive after the next holder has already acted."""
 TAKEOVER_PAUSE = 0.5
-"""Seconds between taking the duties and the first call: a call that the holder before
-sent at the end of its lease is through by then."""
+"""Seconds between the election and the first call. By then a call that the previous
+holder sent at the end of its lease has completed."""
 RANK_DELAY = 0.15
-"""Seconds by which each further host waits before it tries to become the holder: all
-at once would only lose to the first."""
-RANKS = 8
-"""Different waits: with one for each of many hosts the duties lay idle for seconds when
-the first ones could not reach the store."""
+"""Seconds that each rank adds to the delay before a host tries to become the holder.
+Without it all hosts would write at once, and all but the first would fail."""
+RANK_COUNT = 8
+"""Number of different delays. With a separate delay for each of many hosts, no host
+held the duties for seconds when the first hosts could not reach the store."""
 REVISIONS_PER_ERA = 1 << 36
 """Size of the range of fencing tokens reserved for each era of the store. Tokens of up
 to 100,000 eras are exactly representable as doubles."""
 
 
 class HolderElection:
-    """This host's claim on the duties.
+    """Elects this host as holder of the duties when no other host holds them.
 
     The holder's key is attached to the registration's lease. The fencing token combines
     the era of the store (high bits) with the key's revision (low bits). It is unique
@@ -48,150 +51,151 @@
         store: Store,
         registration: Registration,
         table: HostTable,
-        lease: float,
-        may_try: Callable[[], bool] = lambda: True,
-        on_taken: Callable[[Holder], None] = lambda holder: None,
+        lease_ttl: float,
+        is_candidate: Callable[[], bool] = lambda: True,
+        on_elected: Callable[[Holder], None] = lambda holder: None,
     ) -> None:
         self._host = host
-        self._mark = f"{host}/{boot}".encode()
+        self._holder_value = f"{host}/{boot}".encode()
         self._store = store
         self._registration = registration
         self._table = table
-        self._lease = lease
-        self._may_try = may_try
-        self._on_taken = on_taken
-        self._tenure: Tenure | None = None
-        self._acts_from = float("inf")
-        self._has_left = False
+        self._lease_ttl = lease_ttl
+        self._is_candidate = is_candidate
+        self._on_elected = on_elected
+        self._term: Tenure | None = None
+        self._may_act_from = float("inf")
+        self._has_stepped_down = False
         self._restored_at = float("-inf")
-        # A start of this host that ended just now may have acted right before.
-        self._may_have_acted_at = read_boot_clock()
+        # The previous process on this host may have acted just before it ended.
+        self._last_possible_act_at = read_boot_clock()
 
     def find_active_term(self) -> Tenure | None:
-        """Return this host's tenure if it may act now.
+        """Return this host's term if it may act now.
 
-        A host that was frozen wakes with all its beliefs. The lease's end is on the
-        clock that counts suspension, and it is looked at right before each call.
+        Call this right before each action. A process that was suspended still has its
+        old state when it resumes, so the end of the lease is checked on the boot
+        clock, which also advances during suspension.
         """
-        state = self._registration.state
-        if self._tenure is None or not state.is_valid:
+        lease_state = self._registration.lease_state
+        if self._term is None or not lease_state.is_valid:
             return None
         now = read_boot_clock()
-        if now < self._acts_from or now > state.valid_until - CALL_TIME:
+        if (
+            now < self._may_act_from
+            or now > lease_state.valid_until - MIN_LEASE_FOR_CALL
+        ):
             return None
-        self._may_have_acted_at = now
-        return self._tenure
+        self._last_possible_act_at = now
+        return self._term
 
     async def run(self) -> None:
-        """Become the holder whenever nobody is, for ever."""
-        while not self._has_left:
+        """Become the holder whenever there is none, until this host steps down."""
+        while not self._has_stepped_down:
             await self._step()
-            await trio.sleep(LOOK_PERIOD)
+            await trio.sleep(POLL_INTERVAL)
 
     async def _step(self) -> None:
-        state = self._registration.state
-        if not state.is_valid or state.lease is None:
-            self._end("no lease")
+        lease_state = self._registration.lease_state
+        if not lease_state.is_valid or lease_state.lease is None:
+            self._end_term("no lease")
             return
         item = self._table.items.get(HOLDER_KEY)
         if item is None:
-            # Hosts that don't follow the store don't know in time that nobody holds,
-            # nor does a table from before this host's own registration.
+            # A host that does not follow the store closely, or whose table is older
+            # than its own registration, may not know the current holder.
             is_current = self._registration.key in self._table.items
-            if self._tenure is None and is_current and self._may_try():
-                await self._try_to_hold(state.lease.id)
+            if self._term is None and is_current and self._is_candidate():
+                await self._try_to_acquire(lease_state.lease.id)
             return
-        self._judge(item, state.lease.id)
-
-    def _judge(self, item: Item, lease: int) -> None:
-        is_own = item.value == self._mark and item.lease in {0, lease}
-        if not is_own:
-            self._end("another host holds the duties")
-        elif (
-            self._tenure is None
-            or self._tenure.fencing_token != self._make_fencing_token(item.revision)
+        self._apply_holder_item(item, lease_state.lease.id)
+
+    def _apply_holder_item(self, item: Item, lease_id: int) -> None:
+        is_self = item.value == self._holder_value and item.lease in {0, lease_id}
+        if not is_self:
+            self._end_term("another host holds the duties")
+        elif self._term is None or self._term.fencing_token != self._make_fencing_token(
+            item.revision
         ):
-            self._begin(item.revision)
+            self._begin_term(item.revision)
 
-    async def _try_to_hold(self, lease: int) -> None:
+    async def _try_to_acquire(self, lease_id: int) -> None:
         await trio.sleep(RANK_DELAY * self._find_rank())
         if HOLDER_KEY in self._table.items:
             return
-        write = Write(HOLDER_KEY, self._mark, lease)
+        write = Write(HOLDER_KEY, self._holder_value, lease_id)
         revision = await self._store.change(expected={HOLDER_KEY: 0}, writes=(write,))
         if isinstance(revision, int):
-            self._begin(revision)
+            self._begin_term(revision)
             return
         if revision.code is ResultCode.KEY_VALUE_UNKNOWN:
-            # The write may have been carried out: the key itself tells.
+            # The write may have been applied, so read the key.
             item = await self._store.read(HOLDER_KEY)
             if isinstance(item, Item):
-                self._judge(item, lease)
+                self._apply_holder_item(item, lease_id)
 
     def _find_rank(self) -> int:
-        names = sorted(entry.id for entry in self._table.list_hosts())
-        rank = names.index(self._host) if self._host in names else len(names)
-        return rank % RANKS
+        host_ids = sorted(entry.id for entry in self._table.list_hosts())
+        rank = host_ids.index(self._host) if self._host in host_ids else len(host_ids)
+        return rank % RANK_COUNT
 
-    def _begin(self, revision: int) -> None:
+    def _begin_term(self, revision: int) -> None:
         token = self._make_fencing_token(revision)
-        self._tenure = Tenure(self._host, token)
+        self._term = Tenure(self._host, token)
         now = read_boot_clock()
-        self._acts_from = self._find_first_act(now)
-        self._on_taken((token, self._host))
-        log.bind(fence=token, acts_in=round(self._acts_from - now, 2)).info(
+        self._may_act_from = self._find_first_act_time(now)
+        self._on_elected((token, self._host))
+        log.bind(fence=token, acts_in=round(self._may_act_from - now, 2)).info(
             "duties taken"
         )
 
-    def _find_first_act(self, now: float) -> float:
-        """Return when a tenure that begins now may act.
+    def _find_first_act_time(self, now: float) -> float:
+        """Return the time from which a term that begins now may act.
 
-        Two hosts that hold the duties by turns must not both act again and again
-        within one lease: orders that undo each other would be given at that pace. So a
-        host that acted waits a lease from then. One that did not has nothing to wait
-        for but the last call of the holder before: pausing a whole lease then left a
-        fleet without orders for the first seconds after an outage of the store, while
-        half of the servers were gone.
+        A host that acted before waits for one lease period after its last action.
+        Otherwise two hosts that alternate as holder could give conflicting orders in
+        quick succession. A host that has not acted only waits for the last call of the
+        previous holder. Waiting for a full lease period left a fleet without orders for
+        the first seconds after an outage of the store, while half of the servers were
+        missing.
         """
         return max(
             now + TAKEOVER_PAUSE,
-            self._may_have_acted_at + self._lease,
+            self._last_possible_act_at + self._lease_ttl,
             self._restored_at + LEASE_TTL,
         )
 
     def handle_restore(self) -> None:
-        """Give up the duties, since the restored store may lack the holder's key.
+        """End the term, since the restored store may lack the holder's key.
 
         A holder that is partitioned from the store keeps acting until its lease ends,
         so the next holder does not act before that lease has ended.
         """
         self._restored_at = read_boot_clock()
-        self._end("the store was restored")
+        self._end_term("the store was restored")
 
     def _make_fencing_token(self, revision: int) -> int:
         return self._store.era.number * REVISIONS_PER_ERA + revision
 
-    def _end(self, reason: str) -> None:
-        if self._tenure is not None:
-            log.bind(fence=self._tenure.fencing_token, reason=reason).info(
-                "duties lost"
-            )
-        self._tenure = None
+    def _end_term(self, reason: str) -> None:
+        if self._term is not None:
+            log.bind(fence=self._term.fencing_token, reason=reason).info("duties lost")
+        self._term = None
 
     def describe(self) -> dict[str, object]:
-        """Return what this host believes of the duties, for a dump."""
-        tenure = self._tenure
+        """Return this host's view of the duties, for a state dump."""
+        term = self._term
         return {
-            "is_holder": tenure is not None,
+            "is_holder": term is not None,
             "may_act": self.find_active_term() is not None,
-            "fence": tenure.fencing_token if tenure else 0,
+            "fence": term.fencing_token if term else 0,
         }
 
-    async def leave(self) -> None:
-        """Give the duties up for good.
+    async def step_down(self) -> None:
+        """End the term and take part in no further election.
 
-        The holder's key goes with the registration a little later; until then this
-        host must not take its own key for a new tenure.
+        The holder's key is removed with the registration a little later. Until then
+        this host must not treat its own key as the start of a new term.
         """
-        self._has_left = True
-        self._end("leaving")
+        self._has_stepped_down = True
+        self._end_term("leaving")
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -1,4 +1,4 @@
-"""The entry hosts: this one's registration under a lease, and the others'."""
+"""Registration of this entry host under a lease, and the table of all entry hosts."""
 
 import random
 from collections.abc import Callable, Container
@@ -15,46 +15,48 @@
 from dewridge.sentinels import Failure
 
 SYSTEM_PREFIX = "dewridge/"
+"""Prefix of the keys that the entry hosts write to the store."""
 HOSTS_PREFIX = SYSTEM_PREFIX + "hosts/"
 LEASE_TTL = 3.0
-"""Seconds that a registration outlives its host: callers are sent there meanwhile,
-unless the host's peers miss it sooner."""
+"""Seconds until a registration expires without a renewal. Until then callers may be
+sent to a host that has crashed, unless its peers find it silent earlier."""
 RENEW_PERIOD = 0.8
-"""Seconds between renewals: three may be lost before the lease ends."""
+"""Seconds between renewals. Three renewals may be lost before the lease ends."""
 LEASE_MARGIN = 0.4
-"""Seconds before the lease's end at which its holder counts it as ended: one slow
-wake-up of a busy process."""
+"""Seconds before the end of the lease at which its holder treats it as ended. Covers
+one delayed wake-up of a busy process."""
 POLL_PERIOD = 4.0
-"""Seconds between two reads of all registrations; a watch brings most news sooner, and
-hosts that went silent are missed by their peers before."""
-GATHER_TIME = 0.3
-"""Seconds between two watches: when all hosts start, each registration would cost each
-of them a call of its own."""
-
-LONGEST_GATHER = 1.0
-"""The same at the most, where many hosts read: only who may take over the duties needs
-the news at once, and a third of a lease is soon enough for that."""
-
-MOST_LOST_ITEMS = 2_000
-"""Limit on the items kept from before restores of the store."""
+"""Seconds between two reads of all registrations. Most changes arrive earlier through a
+watch, and peers detect silent hosts earlier."""
+BATCH_DELAY = 0.3
+"""Seconds between two watches if one host reads the store. Without the delay, each
+registration would cost each host a separate call when all hosts start together. Also
+the maximum random delay before the read that follows a restore of the store."""
+
+MAX_BATCH_DELAY = 1.0
+"""Upper limit on the delay in seconds if many hosts read the store. Only hosts that may
+take over the duties need changes quickly, and a third of a lease is enough for that."""
+
+MAX_LOST_ITEMS = 2_000
+"""Limit on the items retained from before restores of the store."""
 REREGISTRATION_TIME = LEASE_TTL
-"""Seconds after a restore of the store during which known hosts missing from a list are
-kept, so that they can register again."""
-LAPSED_FOR = 15.0
-"""Seconds that a registration which lapsed is remembered: longer than the store turns
-some hosts away by itself, and a host that is not heard does not count anyway."""
+"""Seconds after a restore of the store during which known hosts that are missing from a
+listing are retained, so that they can register again."""
+LAPSED_RETENTION = 15.0
+"""Seconds that a lapsed registration is retained: longer than the store may reject the
+calls of some hosts while it serves others. A silent host is ignored in any case."""
 
 
 class HostEntry(msgspec.Struct, frozen=True):
-    """An entry host's registration.
+    """Registration of an entry host, as stored.
 
     Attributes:
         id: name of the host.
-        boot: start of its process; a later start has a higher number.
-        frontend: `a.b.c.d:port` for callers.
-        peers: `a.b.c.d:port` for the other entry hosts.
-        failure_domain: where it is.
-        is_ready: whether callers may be sent there.
+        boot: number of the process start; a later start has a higher number.
+        frontend: address `a.b.c.d:port` for callers.
+        peers: address `a.b.c.d:port` for the other entry hosts.
+        failure_domain: failure domain of the host.
+        is_ready: whether callers may be sent to the host.
     """
 
     id: HostId
@@ -67,129 +69,154 @@
 
 @dataclass
 class LeaseState:
-    """This process's lease; `valid_until` is on the clock that counts suspension."""
+    """Lease of this process.
+
+    Attributes:
+        lease: the lease; None before it is granted and after it is lost.
+        valid_until: end of its validity on the boot clock, which also advances while
+            the machine is suspended.
+    """
 
     lease: Lease | None = None
     valid_until: float = float("-inf")
 
     @property
     def is_valid(self) -> bool:
-        """Whether the store surely still has the lease."""
+        """Whether the store is certain to still have the lease."""
         return self.lease is not None and read_boot_clock() < self.valid_until
 
 
 class Registration:
-    """Keeps this host's entry in the store under a lease."""
+    """Registers this host in the store under a lease and renews the lease."""
 
     def __init__(self, store: Store, entry: HostEntry) -> None:
         self._store = store
         self.entry = entry
-        self.state = LeaseState()
-        self._written: HostEntry | None = None
-        self._answered_at = read_boot_clock()
+        self.lease_state = LeaseState()
+        self._written_entry: HostEntry | None = None
+        self._last_answer_at = read_boot_clock()
         self._changed = trio.Event()
 
     @property
     def key(self) -> str:
-        """The key of the entry; each start has its own.
+        """The key of the entry, which differs for each start of the process.
 
-        With one key for all starts, the end of an earlier start's lease could take
-        the later start's entry along.
+        With one key for all starts, the end of an earlier start's lease could remove
+        the entry of a later start.
         """
         return f"{HOSTS_PREFIX}{self.entry.id}/{self.entry.boot}"
 
     @property
-    def unanswered_for(self) -> float:
+    def seconds_since_answer(self) -> float:
         """Seconds since the store last answered a grant or a renewal."""
-        return read_boot_clock() - self._answered_at
+        return read_boot_clock() - self._last_answer_at
 
     def set_ready(self, is_ready: bool) -> None:
-        """Change whether callers may be sent here."""
+        """Set whether callers may be sent to this host."""
         if self.entry.is_ready != is_ready:
             self.entry = msgspec.structs.replace(self.entry, is_ready=is_ready)
             self._changed.set()
 
     async def run(self) -> None:
-        """Register and renew for ever."""
+        """Register this host and renew its lease indefinitely."""
         while True:
             self._changed = trio.Event()
-            is_done = await self._step()
-            period = RENEW_PERIOD if is_done else RENEW_PERIOD / 4
+            is_registered = await self._step()
+            period = RENEW_PERIOD if is_registered else RENEW_PERIOD / 4
             with trio.move_on_after(period * random.uniform(0.9, 1.1)):
                 await self._changed.wait()
 
     async def _step(self) -> bool:
-        if not await self._hold_lease():
+        if not await self._ensure_lease():
             return False
-        if self._written == self.entry:
+        if self._written_entry == self.entry:
             return True
-        # Until this start can serve, the entry of the one before is the better word:
-        # a newer one that is not ready would take the host out of all answers.
-        if self._written is None and not self.entry.is_ready:
+        # Until this start is ready, keep the entry of the previous start: a newer entry
+        # that is not ready would remove the host from all lists sent to callers.
+        if self._written_entry is None and not self.entry.is_ready:
             return True
         entry = self.entry
-        lease = self.state.lease
+        lease = self.lease_state.lease
         assert lease is not None
         write = Write(self.key, msgspec.json.encode(entry), lease.id)
         result = await self._store.change(writes=(write,))
         if isinstance(result, Failure):
             if result.code is ResultCode.KEY_VALUE_LEASE_ENDED:
-                self._lose_lease()
+                self._discard_lease()
             return False
-        self._written = entry
+        self._written_entry = entry
         return True
 
-    async def _hold_lease(self) -> bool:
-        asked_at = read_boot_clock()
-        if self.state.lease is None:
+    async def _ensure_lease(self) -> bool:
+        requested_at = read_boot_clock()
+        if self.lease_state.lease is None:
             granted = await self._store.grant_lease(LEASE_TTL)
         else:
-            granted = await self._store.renew_lease(self.state.lease.id)
+            granted = await self._store.renew_lease(self.lease_state.lease.id)
         if isinstance(granted, Lease):
-            if self.state.lease is None:
+            if self.lease_state.lease is None:
                 log.bind(lease=granted.id, ttl=granted.ttl).info("lease granted")
-            self.state.lease = granted
-            self._answered_at = read_boot_clock()
-            self.state.valid_until = asked_at + granted.ttl - LEASE_MARGIN
+            self.lease_state.lease = granted
+            self._last_answer_at = read_boot_clock()
+            self.lease_state.valid_until = requested_at + granted.ttl - LEASE_MARGIN
             return True
         if granted.code is ResultCode.KEY_VALUE_LEASE_ENDED:
-            self._lose_lease()
+            self._discard_lease()
         return False
 
-    def _lose_lease(self) -> None:
-        log.bind(lease=self.state.lease and self.state.lease.id).warning("lease lost")
-        self.state.lease = None
-        self.state.valid_until = float("-inf")
-        self._written = None
+    def _discard_lease(self) -> None:
+        log.bind(lease=self.lease_state.lease and self.lease_state.lease.id).warning(
+            "lease lost"
+        )
+        self.lease_state.lease = None
+        self.lease_state.valid_until = float("-inf")
+        self._written_entry = None
 
     def handle_restore(self) -> None:
-        """Register with a new lease; the store may lack the old one or the entry."""
-        if self.state.lease is not None:
-            self._lose_lease()
-
-    async def leave(self) -> None:
-        """Take the entry out of the store."""
-        if self.state.lease is not None:
-            lease, self.state.lease = self.state.lease, None
-            self.state.valid_until = float("-inf")
+        """Discard the lease so that the host registers again.
+
+        The restored store may lack the lease or the entry.
+        """
+        if self.lease_state.lease is not None:
+            self._discard_lease()
+
+    async def unregister(self) -> None:
+        """End the lease, which removes the entry from the store."""
+        if self.lease_state.lease is not None:
+            lease, self.lease_state.lease = self.lease_state.lease, None
+            self.lease_state.valid_until = float("-inf")
             await self._store.end_lease(lease.id)
 
 
 @dataclass(frozen=True, slots=True)
-class Lapsed:
-    """A registration that ended though its host did not say that it leaves."""
+class LapsedRegistration:
+    """A registration that ended while its host was ready.
+
+    Attributes:
+        entry: the last registration.
+        since: time at which it ended.
+    """
 
     entry: HostEntry
     since: float
 
 
 class HostTable:
-    """All registered entry hosts, and the system's own keys in the store."""
+    """All registered entry hosts, and the items that entry hosts wrote to the store.
 
-    def __init__(self, own: HostId) -> None:
-        self._own = own
+    Attributes:
+        items: all items under `SYSTEM_PREFIX`, by key.
+        on_item: called with each item that is listed or changed.
+        revision: revision of the store up to which the table is current; 0 if unknown.
+        changed: set and replaced at each change of the table.
+        restored: set and replaced at each restore of the store.
+        lost_items: items known before restores, which the store may lack now.
+    """
+
+    def __init__(self, local_host: HostId) -> None:
+        self._local_host = local_host
         self._entries: dict[str, HostEntry] = {}
-        self._lapsed: dict[HostId, Lapsed] = {}
+        self._lapsed_registrations: dict[HostId, LapsedRegistration] = {}
         self.items: dict[str, Item] = {}
         self.on_item: Callable[[Item], None] = lambda item: None
         self.revision = 0
@@ -204,42 +231,42 @@
         The items remain available in `lost_items`.
         """
         self.revision = 0
-        kept = [*self.lost_items.items(), *self.items.items()]
-        self.lost_items = dict(kept[-MOST_LOST_ITEMS:])
+        retained = [*self.lost_items.items(), *self.items.items()]
+        self.lost_items = dict(retained[-MAX_LOST_ITEMS:])
         self.items = {}
         self._restored_at = trio.current_time()
         restored, self.restored = self.restored, trio.Event()
         restored.set()
 
     def replace(self, listing: Listing) -> None:
-        """Take over a whole list of the system's own keys."""
+        """Replace the table with a complete listing, unless the listing is outdated."""
         if listing.revision < self.revision:
             return
         self.revision = listing.revision
         self.items = {item.key: item for item in listing.items}
-        before, self._entries = self._entries, {}
+        previous, self._entries = self._entries, {}
         for item in listing.items:
-            self._take_entry(item)
-        for key in before.keys() - self._entries.keys():
+            self._apply_item(item)
+        for key in previous.keys() - self._entries.keys():
             if trio.current_time() - self._restored_at < REREGISTRATION_TIME:
-                self._entries[key] = before[key]
+                self._entries[key] = previous[key]
             else:
-                self._note_end(before[key])
-        self._tell()
+                self._record_end(previous[key])
+        self._notify_changed()
 
     def update(self, item: Item) -> None:
-        """Take over one change."""
+        """Apply a change of one item."""
         if item.removed:
             self.items.pop(item.key, None)
             entry = self._entries.pop(item.key, None)
             if entry is not None:
-                self._note_end(entry)
+                self._record_end(entry)
         else:
             self.items[item.key] = item
-            self._take_entry(item)
-        self._tell()
+            self._apply_item(item)
+        self._notify_changed()
 
-    def _take_entry(self, item: Item) -> None:
+    def _apply_item(self, item: Item) -> None:
         self.on_item(item)
         if not item.key.startswith(HOSTS_PREFIX):
             return
@@ -248,33 +275,43 @@
         except msgspec.DecodeError as error:
             log.bind(key=item.key, reason=str(error)).error("entry can't be read")
 
-    def _note_end(self, entry: HostEntry) -> None:
-        # A host that leaves says first that it is not ready.
+    def _record_end(self, entry: HostEntry) -> None:
+        # A host that leaves in order first sets its entry to not ready.
         if entry.is_ready:
-            self._lapsed[entry.id] = Lapsed(entry, trio.current_time())
+            self._lapsed_registrations[entry.id] = LapsedRegistration(
+                entry, trio.current_time()
+            )
 
-    def list_members(self, heard: Container[HostId]) -> list[HostEntry]:
-        """Return the hosts that news is shared with.
+    def list_members(self, live_hosts: Container[HostId]) -> list[HostEntry]:
+        """Return the registered hosts, and the live ones whose registration lapsed.
 
-        The store may turn some hosts away and serve the others: their leases lapse
-        while they live and go on working. Left out of all news they were the last to
-        know of a new holder of the duties, and the sums of usage lacked their counts.
+        Reports are exchanged with all of these.
+
+        The store may reject the calls of some hosts while it serves others, so that the
+        leases of hosts that still work lapse. If these were left out, they would be the
+        last to learn of a new holder of the duties, and the sums of usage would lack
+        their counts.
 
         Args:
-            heard: the hosts that are heard, directly or through their cell.
+            live_hosts: the hosts from which reports arrive, directly or through their
+                cell.
         """
         now = trio.current_time()
         registered = self.list_hosts()
-        names = {entry.id for entry in registered}
-        self._lapsed = {
+        registered_ids = {entry.id for entry in registered}
+        self._lapsed_registrations = {
             host: lapsed
-            for host, lapsed in self._lapsed.items()
-            if host not in names and now - lapsed.since < LAPSED_FOR
+            for host, lapsed in self._lapsed_registrations.items()
+            if host not in registered_ids and now - lapsed.since < LAPSED_RETENTION
         }
-        living = [one.entry for host, one in self._lapsed.items() if host in heard]
-        return [*registered, *living]
-
-    def _tell(self) -> None:
+        live_lapsed = [
+            registration.entry
+            for host, registration in self._lapsed_registrations.items()
+            if host in live_hosts
+        ]
+        return [*registered, *live_lapsed]
+
+    def _notify_changed(self) -> None:
         changed, self.changed = self.changed, trio.Event()
         changed.set()
 
@@ -288,19 +325,20 @@
         return list(newest.values())
 
     def list_peers(self) -> list[HostEntry]:
-        """Return the registered hosts but this one."""
-        return [entry for entry in self.list_hosts() if entry.id != self._own]
+        """Return the registered hosts except this one."""
+        return [entry for entry in self.list_hosts() if entry.id != self._local_host]
 
     def count(self) -> int:
-        """Return how many hosts there are, this one included."""
+        """Return the number of hosts, including this one."""
         return len(self.list_peers()) + 1
 
 
 class HostWatcher:
-    """Keeps the table of hosts as new as the store has it.
+    """Updates the table of hosts from the store.
 
-    In a large fleet only the readers do; the others read cheaply what may lag, and
-    hear from their peers who lives.
+    In a large fleet only the readers follow the store closely. The other hosts use
+    cheaper reads that may return outdated data, and receive reports of live hosts from
+    their peers.
     """
 
     def __init__(
@@ -309,7 +347,7 @@
         watch_store: Store,
         table: HostTable,
         watch_wait: float,
-        reads: Callable[[], bool] = lambda: True,
+        is_reader: Callable[[], bool] = lambda: True,
         count_readers: Callable[[], int] = lambda: 1,
     ) -> None:
         self._count_readers = count_readers
@@ -317,10 +355,10 @@
         self._watch_store = watch_store
         self._table = table
         self._watch_wait = watch_wait
-        self._reads = reads
+        self._is_reader = is_reader
 
     async def poll(self) -> None:
-        """Read all registrations for ever."""
+        """Poll all registrations indefinitely."""
         may_lag = False
         while True:
             listing = await self._store.list_items(SYSTEM_PREFIX, may_lag=may_lag)
@@ -330,31 +368,37 @@
             with trio.move_on_after(POLL_PERIOD * random.uniform(0.8, 1.2)):
                 await self._table.restored.wait()
                 is_restored = True
-                await trio.sleep(GATHER_TIME * random.random())
-            may_lag = not (is_restored or self._reads())
+                await trio.sleep(BATCH_DELAY * random.random())
+            may_lag = not (is_restored or self._is_reader())
 
     async def watch(self) -> None:
-        """Follow changes for ever; the poll mends what a lost watch misses."""
+        """Apply changes from watches indefinitely.
+
+        The poll finds the changes that a lost watch misses.
+        """
         while True:
             if not self._table.revision:
                 await self._table.changed.wait()
                 continue
             revision = self._table.revision
-            if self._reads():
-                news = await self._watch_store.watch(
+            if self._is_reader():
+                changes = await self._watch_store.watch(
                     SYSTEM_PREFIX, revision, self._watch_wait
                 )
-                if isinstance(news, Listing):
-                    for item in news.items:
+                if isinstance(changes, Listing):
+                    for item in changes.items:
                         self._table.update(item)
                     if self._table.revision:
-                        self._table.revision = max(revision, news.revision)
-                    await trio.sleep(self._find_gather_time())
+                        self._table.revision = max(revision, changes.revision)
+                    await trio.sleep(self._draw_batch_delay())
                     continue
             with trio.move_on_after(POLL_PERIOD):
                 await self._table.changed.wait()
 
-    def _find_gather_time(self) -> float:
-        """Return the seconds until the next watch after one that had news."""
-        shared = min(LONGEST_GATHER, GATHER_TIME * self._count_readers())
-        return shared * random.uniform(0.8, 1.2)
+    def _draw_batch_delay(self) -> float:
+        """Return a random delay in seconds before the next watch after a change.
+
+        Its mean grows with the number of readers up to `MAX_BATCH_DELAY`.
+        """
+        mean_delay = min(MAX_BATCH_DELAY, BATCH_DELAY * self._count_readers())
+        return mean_delay * random.uniform(0.8, 1.2)
--- a/dewridge/gateway/leaving.py
+++ b/dewridge/gateway/leaving.py
@@ -1,4 +1,4 @@
-"""How a gateway leaves: out of the lists first, gone only when nobody needs it."""
+"""Graceful shutdown: leave the lists of hosts first, exit once no caller is left."""
 
 import trio
 from loguru import logger as log
@@ -9,58 +9,63 @@
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.upkeep import update_readiness
 
-KEPT_ANSWERS = 3.0
-"""Times the time to live that some callers keep a list of addresses."""
+ANSWER_TTL_MULTIPLE = 3.0
+"""Multiple of its time to live for which some callers keep a list of addresses."""
 EXIT_MARGIN = 0.6
-"""Seconds before the kill at which the process ends by itself."""
-QUIET = 0.6
-"""Seconds without a request after which no caller is left."""
-STORE_TIME = 1.0
-"""Seconds for taking the registration out of the store."""
-LOOK_PERIOD = 0.1
+"""Seconds before the process is killed at which it exits by itself."""
+QUIET_PERIOD = 0.6
+"""Seconds without a request after which no caller is assumed to be left."""
+UNREGISTER_TIME = 1.0
+"""Seconds until the registration is removed, and time limit for the removal."""
+POLL_INTERVAL = 0.1
+"""Seconds between two checks whether the host is still needed."""
 
 
 async def leave_fleet(
-    state: GatewayState, registration: Registration, tenancy: HolderElection
+    state: GatewayState, registration: Registration, election: HolderElection
 ) -> None:
-    """Leave within the grace: serve on while callers may still come.
+    """Leave the fleet within the grace period; serve while callers may still connect.
 
-    Callers act on lists of addresses that are seconds old. A host that closed its
-    door at once would fail the requests of all who hold such a list; one that only
-    stopped accepting would leave those on open connections without an answer.
+    Callers use lists of addresses that are seconds old. If the host closed its
+    listeners at once, the requests of all callers with such a list would fail. If it
+    only stopped accepting, requests on open connections would get no answer.
     """
-    began = trio.current_time()
-    last_exit = began + state.settings.bounds.grace - EXIT_MARGIN
+    started_at = trio.current_time()
+    exit_deadline = started_at + state.settings.bounds.grace - EXIT_MARGIN
     log.bind(requests=state.ingress.requests).info("leaving")
     state.ingress.is_leaving = True
-    state.leaves_at = last_exit
+    state.leaves_at = exit_deadline
     update_readiness(state, registration)
-    await tenancy.leave()
+    await election.step_down()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_unregister, registration)
-        await _wait_until_unneeded(state, began, last_exit)
+        await _wait_until_unneeded(state, started_at, exit_deadline)
         nursery.cancel_scope.cancel()
     log.bind(requests=state.ingress.requests).info("left")
 
 
 async def _unregister(registration: Registration) -> None:
-    # The entry goes first as not ready: readers of it need no news of its end.
-    await trio.sleep(STORE_TIME)
-    with trio.move_on_after(STORE_TIME):
-        await registration.leave()
+    # The entry is set to not ready first. The delay gives readers time to see this, so
+    # that they need not learn of its removal.
+    await trio.sleep(UNREGISTER_TIME)
+    with trio.move_on_after(UNREGISTER_TIME):
+        await registration.unregister()
 
 
 async def _wait_until_unneeded(
-    state: GatewayState, began: float, last_exit: float
+    state: GatewayState, started_at: float, exit_deadline: float
 ) -> None:
-    serves_until = min(last_exit, began + KEPT_ANSWERS * find_answer_ttl(state) + QUIET)
+    serves_until = min(
+        exit_deadline,
+        started_at + ANSWER_TTL_MULTIPLE * find_answer_ttl(state) + QUIET_PERIOD,
+    )
     quiet_since = trio.current_time()
-    while trio.current_time() < last_exit:
+    while trio.current_time() < exit_deadline:
         now = trio.current_time()
         if state.ingress.requests > 0:
             quiet_since = now
         if now >= serves_until:
             state.ingress.close_idle()
-            if now - quiet_since > QUIET:
+            if now - quiet_since > QUIET_PERIOD:
                 return
-        await trio.sleep(LOOK_PERIOD)
+        await trio.sleep(POLL_INTERVAL)
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -1,4 +1,4 @@
-"""The duty to order backend servers."""
+"""The duty to order backend servers from the cloud."""
 
 import msgspec
 import trio
@@ -21,86 +21,87 @@
 )
 from dewridge.sentinels import Failure
 
-LOOK_PERIOD = 1.0
-"""Seconds between two looks at what is wanted."""
-RETRY_NONE = 2.0
-"""Seconds after which an order that found none available is given again: reclaims
-come in waves of some ten seconds, and each try costs a call."""
-SHRINK_AFTER = 4.0
-LASTING_SHRINK_AFTER = 2.0
-"""Seconds for which fewer servers must have been enough: about a boot time, and less
-for lasting ones, of which each second costs four to five times as much."""
-WAVE_BOOTS = 2.0
-"""Boot times after a reclaim in which the next one is expected: waves come in that
-time, and later reclaimable servers ordered anew have taken the place of the first."""
+POLL_INTERVAL = 1.0
+"""Seconds between two updates of the plan."""
+NONE_AVAILABLE_RETRY_DELAY = 2.0
+"""Seconds after which an order that found no server available is repeated. Reclaims
+come in waves of about ten seconds, and each attempt costs a call."""
+SHRINK_DELAY = 4.0
+ON_DEMAND_SHRINK_DELAY = 2.0
+"""Seconds for which fewer servers must have been enough before an order is reduced:
+about a boot time, and less for on-demand servers, which cost 4 to 5 times as much."""
+RECLAIM_WAVE_BOOT_TIMES = 2.0
+"""Boot times after a reclaim during which another one is expected. Waves come within
+that time; later, newly ordered reclaimable servers have replaced the first ones."""
 BOOT_SLACK = 2.0
-"""Seconds beyond their boot time that ordered servers have to appear in the list."""
+"""Seconds beyond their boot time within which ordered servers must be listed."""
 LISTING_TIME = 1.5
-"""Seconds from the first server in the list until all that run are there: a heartbeat,
-and the way of the news."""
-RECLAIM_SEEN_FOR = 3.0
-"""Seconds after the last server of a domain began to leave in which the others of that
-domain have left as well: two looks, and the way of the news."""
-NEEDED_KEY = "dewridge-needed"
-"""Key of the servers that each service needs. Not below the prefix of the hosts: their
-watches would wake with each change."""
-Place = tuple[ServiceName, FailureDomain, bool]
+"""Seconds from the first server in the list until all running ones are listed: one
+heartbeat and the delay of the updates."""
+RECLAIM_DETECTION_PERIOD = 3.0
+"""Seconds after the last server of a domain began to leave in which a reclaim of that
+domain is detected: two polls and the delay of the updates."""
+NEEDED_SERVERS_KEY = "dewridge-needed"
+"""Store key of the number of servers that each service needs. It is outside the prefix
+of the entry hosts, whose watches would otherwise wake at each change."""
+ServerPool = tuple[ServiceName, FailureDomain, bool]
+"""Service, failure domain and whether the servers are reclaimable."""
 
 
 class ScalingDuty:
-    """Gives the orders that the plan wants and that were not accepted yet."""
+    """Plans servers and sends the orders of the plan that are not accepted yet."""
 
     def __init__(
-        self, state: GatewayState, tenancy: HolderElection, store: Store, cloud: Cloud
+        self, state: GatewayState, election: HolderElection, store: Store, cloud: Cloud
     ) -> None:
         self._state = state
-        self._tenancy = tenancy
+        self._election = election
         self._store = store
         self._cloud = cloud
-        self._accepted: dict[Place, int] = {}
-        self._accepted_at: dict[Place, float] = {}
-        self._not_before: dict[Place, float] = {}
+        self._accepted: dict[ServerPool, int] = {}
+        self._accepted_at: dict[ServerPool, float] = {}
+        self._not_before: dict[ServerPool, float] = {}
         self._totals: dict[ServiceName, int] = {}
         self._listed_since: dict[ServiceName, float] = {}
-        self._found: dict[ServiceName, int] = {}
+        self._found_at_start: dict[ServiceName, int] = {}
         self._reclaimed_at: dict[ServiceName, float] = {}
         self._needed: dict[ServiceName, int] = {}
-        self._needed_before: dict[ServiceName, int] = {}
-        self._needed_written: dict[ServiceName, int] = {}
-        self._lower_since: dict[Place, float] = {}
-        self._fence = 0
+        self._previous_needed: dict[ServiceName, int] = {}
+        self._written_needed: dict[ServiceName, int] = {}
+        self._lower_since: dict[ServerPool, float] = {}
+        self._fencing_token = 0
 
     def handle_restore(self) -> None:
-        """Write the needed servers again; the restored store may lack them."""
-        self._needed_written.clear()
+        """Write the needed servers again, since the restored store may lack them."""
+        self._written_needed.clear()
 
     async def run(self) -> None:
-        """Keep the orders at what is wanted, for ever."""
+        """Plan and order servers indefinitely while this host holds the duties."""
         while True:
             await self._step()
-            await trio.sleep(LOOK_PERIOD)
+            await trio.sleep(POLL_INTERVAL)
 
     async def _step(self) -> None:
-        tenure = self._tenancy.find_active_term()
+        term = self._election.find_active_term()
         configuration = self._state.configuration.current
-        if tenure is None or configuration is None:
+        if term is None or configuration is None:
             return
-        if tenure.fencing_token != self._fence:
-            # Another holder may have ordered otherwise meanwhile, and nothing can be
-            # read back: all orders are given anew.
+        if term.fencing_token != self._fencing_token:
+            # Another holder may have sent other orders meanwhile, and orders cannot be
+            # read back, so send all orders again.
             self._accepted.clear()
             self._not_before.clear()
             self._lower_since.clear()
             self._reclaimed_at.clear()
-            self._needed_before = await self._read_needed()
-            self._needed_written = dict(self._needed_before)
-            self._fence = tenure.fencing_token
+            self._previous_needed = await self._read_needed()
+            self._written_needed = dict(self._previous_needed)
+            self._fencing_token = term.fencing_token
         for service in configuration.services.values():
             if service.scaling is None:
                 continue
-            if self._knows_start(service.name, trio.current_time()):
+            if self._has_counted_start(service.name, trio.current_time()):
                 await self._order_service(service, service.scaling)
-        await self._keep_needed()
+        await self._write_needed()
 
     async def _order_service(self, service: Service, scaling: Scaling) -> None:
         domains = {
@@ -114,7 +115,7 @@
         wanted = self._plan(service, scaling, domains, serving)
         for order in list_orders(service.name, wanted):
             if self._is_due(order, scaling.boot_time):
-                await self._give(order)
+                await self._send_order(order)
 
     def _plan(
         self,
@@ -127,9 +128,9 @@
         name = service.name
         load = self._find_load(service, now)
         needed = max(find_needed(load), self._find_start_need(name, now))
-        before = self._totals.get(name, 0)
-        total = find_total(needed, before, len(domains))
-        if total != before or needed != self._needed.get(name):
+        previous_total = self._totals.get(name, 0)
+        total = find_total(needed, previous_total, len(domains))
+        if total != previous_total or needed != self._needed.get(name):
             log.bind(
                 service=name,
                 total=total,
@@ -137,35 +138,36 @@
                 tokens_per_second=round(load.rate),
                 pace=round(load.pace),
                 in_flight=load.in_flight,
-                found_at_start=self._found[name],
+                found_at_start=self._found_at_start[name],
                 quotas=round(self._sum_quotas()),
             ).info("servers planned")
         self._totals[name] = total
         self._needed[name] = needed
-        self._note_reclaims(name, serving, now)
+        self._detect_reclaims(name, serving, now)
         reclaimed_at = self._reclaimed_at.get(name, float("-inf"))
         return plan_servers(
             domains,
             serving,
             total,
             needed if load.rate > 0 else 0,
-            is_reclaiming=now - reclaimed_at < WAVE_BOOTS * scaling.boot_time,
+            is_reclaiming=now - reclaimed_at
+            < RECLAIM_WAVE_BOOT_TIMES * scaling.boot_time,
         )
 
-    def _note_reclaims(
+    def _detect_reclaims(
         self, service: ServiceName, serving: dict[FailureDomain, int], now: float
     ) -> None:
-        """Note that a whole domain's servers left though they are still ordered.
+        """Record a reclaim if all servers of a domain left but are still ordered.
 
-        A server that an order gives up says the same when it leaves; then some of the
-        domain's servers stay, or none are ordered.
+        A server that leaves because an order was reduced reports the same. In that case
+        some servers of the domain remain, or none are ordered there.
         """
         for domain, count in serving.items():
             is_ordered = self._accepted.get((service, domain, True), 0) > 0
             drained_at = self._state.servers.drained_at.get((service, domain))
             if count or not is_ordered or drained_at is None:
                 continue
-            if now - drained_at < RECLAIM_SEEN_FOR:
+            if now - drained_at < RECLAIM_DETECTION_PERIOD:
                 self._reclaimed_at[service] = now
 
     def _find_load(self, service: Service, now: float) -> Load:
@@ -179,12 +181,12 @@
         )
 
     async def _read_needed(self) -> dict[ServiceName, int]:
-        """Return what the holder before counted as needed; nothing if none is known.
+        """Return the needed servers that the previous holder wrote; empty if unknown.
 
-        After a loss of power of all hosts nobody remembers the demand. Planned from the
-        quotas alone, servers were ordered for twice the demand of an ordinary day.
+        After a power loss of all hosts, no host has a record of the demand. Plans based
+        on quotas alone ordered servers for twice the demand of an ordinary day.
         """
-        item = await self._store.read(NEEDED_KEY)
+        item = await self._store.read(NEEDED_SERVERS_KEY)
         if isinstance(item, Failure):
             log.bind(reason=item.reason).warning("needed servers are not known")
             return {}
@@ -196,90 +198,94 @@
             log.bind(reason=str(error)).error("needed servers can't be read")
             return {}
 
-    async def _keep_needed(self) -> None:
-        """Write down what is needed for the next holder, if that changed."""
+    async def _write_needed(self) -> None:
+        """Store the needed servers for the next holder if they changed."""
         needed = {name: count for name, count in self._needed.items() if count > 0}
-        if needed == self._needed_written or self._tenancy.find_active_term() is None:
+        if needed == self._written_needed or self._election.find_active_term() is None:
             return
-        write = Write(NEEDED_KEY, msgspec.json.encode(needed))
+        write = Write(NEEDED_SERVERS_KEY, msgspec.json.encode(needed))
         written = await self._store.change(writes=(write,))
         if isinstance(written, Failure):
-            # Tried again at the next look; until then the next holder knows less.
+            # Retried at the next poll. Until then a new holder would read old numbers.
             log.bind(reason=written.reason).info("needed servers not written")
             return
-        self._needed_written = needed
+        self._written_needed = needed
 
-    def _knows_start(self, service: ServiceName, now: float) -> bool:
-        """Whether the servers that were there at the start have been counted.
+    def _has_counted_start(self, service: ServiceName, now: float) -> bool:
+        """Return whether the servers that run at the start have been counted.
 
-        Servers write their records one by one in the first second. Orders given before
-        would send most of them away.
+        Servers write their records one by one within the first second. Orders sent
+        earlier would remove most of these servers.
         """
-        if service in self._found:
+        if service in self._found_at_start:
             return True
         listed = len(self._state.list_serving(service))
         if not listed:
             return False
         if now - self._listed_since.setdefault(service, now) < LISTING_TIME:
             return False
-        self._found[service] = listed
+        self._found_at_start[service] = listed
         return True
 
     def _find_start_need(self, service: ServiceName, now: float) -> int:
         since = self._state.demand[service].since
         return find_start_need(
-            self._found[service],
+            self._found_at_start[service],
             self._sum_quotas(),
             0.0 if since is None else now - since,
-            self._needed_before.get(service),
+            self._previous_needed.get(service),
         )
 
     def _sum_quotas(self) -> float:
         configuration = self._state.configuration.current
         accounts = configuration.accounts.values() if configuration else ()
-        rates = {one.name: one.rate for one in accounts if one.counts_tokens}
+        rates = {
+            account.name: account.rate for account in accounts if account.counts_tokens
+        }
         return sum(rates.values())
 
     def _is_due(self, order: Order, boot_time: float) -> bool:
-        place = find_place(order)
+        pool = get_server_pool(order)
         now = trio.current_time()
-        if now < self._not_before.get(place, 0.0):
+        if now < self._not_before.get(pool, 0.0):
             return False
-        accepted = self._accepted.get(place)
+        accepted = self._accepted.get(pool)
         if accepted is not None and order.count < accepted:
-            return self._is_lower_for_long(
-                place, now, is_lasting=not order.is_reclaimable
+            return self._has_stayed_lower(
+                pool, now, is_on_demand=not order.is_reclaimable
             )
-        self._lower_since.pop(place, None)
+        self._lower_since.pop(pool, None)
         if accepted != order.count:
             return True
-        # Servers that were reclaimed or died are not always replaced by themselves.
-        is_settled = now > self._accepted_at[place] + boot_time + BOOT_SLACK
-        return is_settled and self._count_servers(place) < order.count
+        # The cloud does not always replace servers that were reclaimed or crashed.
+        is_settled = now > self._accepted_at[pool] + boot_time + BOOT_SLACK
+        return is_settled and self._count_servers(pool) < order.count
 
-    def _is_lower_for_long(self, place: Place, now: float, *, is_lasting: bool) -> bool:
-        """Whether fewer servers have been enough for some time.
+    def _has_stayed_lower(
+        self, pool: ServerPool, now: float, *, is_on_demand: bool
+    ) -> bool:
+        """Return whether fewer servers have been enough for some time.
 
-        Waves of reclaims follow each other within seconds. Servers given up between
-        two waves would have to be ordered again, and boot again, while work waits.
+        Waves of reclaims follow each other within seconds. Servers released between two
+        waves would have to be ordered and booted again while requests wait.
         """
-        since = self._lower_since.setdefault(place, now)
-        return now - since > (LASTING_SHRINK_AFTER if is_lasting else SHRINK_AFTER)
+        since = self._lower_since.setdefault(pool, now)
+        return now - since > (ON_DEMAND_SHRINK_DELAY if is_on_demand else SHRINK_DELAY)
 
-    def _count_servers(self, place: Place) -> int:
-        service, domain, is_reclaimable = place
+    def _count_servers(self, pool: ServerPool) -> int:
+        service, domain, is_reclaimable = pool
         return sum(
             record.failure_domain == domain and record.is_reclaimable == is_reclaimable
             for record in self._state.list_serving(service)
         )
 
-    async def _give(self, order: Order) -> None:
-        place = find_place(order)
+    async def _send_order(self, order: Order) -> None:
+        pool = get_server_pool(order)
         now = trio.current_time()
-        tenure = self._tenancy.find_active_term()
-        if tenure is None:
+        term = self._election.find_active_term()
+        if term is None:
             return
-        outcome = await self._cloud.order_servers(tenure, order)
+        outcome = await self._cloud.order_servers(term, order)
         log.bind(
             service=order.service,
             failure_domain=order.failure_domain,
@@ -288,24 +294,24 @@
             outcome=outcome.name,
         ).info("servers ordered")
         if outcome is CallOutcome.ACCEPTED:
-            self._accepted[place] = order.count
-            self._accepted_at[place] = now
-            self._lower_since.pop(place, None)
+            self._accepted[pool] = order.count
+            self._accepted_at[pool] = now
+            self._lower_since.pop(pool, None)
         elif outcome is CallOutcome.NONE_AVAILABLE:
-            self._not_before[place] = now + RETRY_NONE
-            # A new holder of the duties learns by this that a reclaim came before it.
+            self._not_before[pool] = now + NONE_AVAILABLE_RETRY_DELAY
+            # Tells a new holder of the duties of a reclaim before its term.
             self._reclaimed_at.setdefault(order.service, now)
 
 
-def find_place(order: Order) -> Place:
-    """Return what an order is about, without its count."""
+def get_server_pool(order: Order) -> ServerPool:
+    """Return the pool of servers that an order is for."""
     return order.service, order.failure_domain, order.is_reclaimable
 
 
 def list_orders(
     service: ServiceName, wanted: dict[FailureDomain, Wanted]
 ) -> list[Order]:
-    """Return the orders that a plan means; growth comes before shrinking."""
+    """Return the orders for a plan: in each domain, reclaimable servers first."""
     orders = []
     for domain, counts in wanted.items():
         orders.append(Order(service, domain, True, counts.reclaimable))
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway process share."""
+"""State that the components of one gateway process share."""
 
 import random
 import time
@@ -28,7 +28,7 @@
 from dewridge.gateway.servers import ServerTable
 from dewridge.gateway.sharing import Sharing
 from dewridge.gateway.streams import RunningStreams
-from dewridge.gateway.watching import Part
+from dewridge.gateway.watching import StoreRole
 from dewridge.http1.calls import Caller
 from dewridge.ids import (
     BackendServerId,
@@ -48,26 +48,26 @@
 
 Name = TypeVar("Name", bound=str)
 
-CELL_WINDOWS = 2
-"""Usage windows in a report to the own cell of a large fleet, which keeps what a host
-counted until its end: the holder of the duties is told by words of their own."""
+CELL_REPORT_WINDOWS = 2
+"""Usage windows in a report to the local cell of a large fleet. The cell retains the
+last counts of a host that ends, and the holder of the duties gets separate reports."""
 SERVER_ANSWER_TIME_METRIC = "server_answer_seconds"
-"""Name of the time from a sending until the head of the server's answer."""
+"""Metric of the seconds between sending a request and receiving the response head."""
 
 
-def round_all(totals: Mapping[Name, float]) -> dict[Name, int]:
-    """Return totals as whole numbers, for reports."""
+def round_totals(totals: Mapping[Name, float]) -> dict[Name, int]:
+    """Return totals rounded to whole numbers, for reports."""
     return {name: round(total) for name, total in totals.items()}
 
 
 @dataclass
 class WorkInFlight:
-    """This host's requests at each server, and their prompts that are not read yet.
+    """This host's requests in flight at each server, and their unprocessed prompts.
 
     Attributes:
-        requests: in flight.
-        tokens: of their prompts that are not read yet.
-        suspects: those of the requests under which servers ended before.
+        requests: number of requests in flight.
+        tokens: prompt tokens that the server has not processed yet.
+        suspects: number of those requests during which servers crashed before.
     """
 
     requests: dict[BackendServerId, int] = field(
@@ -80,18 +80,18 @@
     def add(
         self, server: BackendServerId, tokens: int, *, is_suspect: bool = False
     ) -> None:
-        """Count a request that is being sent."""
+        """Record that a request is sent to a server."""
         self.requests[server] += 1
         self.tokens[server] += tokens
         if is_suspect:
             self.suspects[server] += 1
 
     def record_prompt_read(self, server: BackendServerId, tokens: int) -> None:
-        """Count a prompt as read: its answer has begun, or it never will."""
+        """Record that a prompt is processed: its answer has begun, or never will."""
         self.tokens[server] -= tokens
 
     def remove(self, server: BackendServerId, *, is_suspect: bool = False) -> None:
-        """Count a request as ended."""
+        """Record that a request has ended."""
         if is_suspect:
             self.suspects[server] -= 1
             self.suspects += Counter()
@@ -103,7 +103,7 @@
 
 @dataclass
 class GatewayState:
-    """All that a gateway knows; each part changes only what is its own."""
+    """State of a gateway process; each component modifies only its own part."""
 
     settings: GatewaySettings
     host: HostId
@@ -123,37 +123,38 @@
     usage_counts: dict[int, dict[ClientAccount, int]] = field(
         default_factory=lambda: defaultdict(lambda: defaultdict(int))
     )
+    """Requests that started on this host, by usage window and account."""
     demand: dict[ServiceName, DemandMeter] = field(
         default_factory=lambda: defaultdict(DemandMeter)
     )
     paces: dict[ServiceName, ReadingPace] = field(
         default_factory=lambda: defaultdict(ReadingPace)
     )
-    own_demand: dict[ServiceName, float] = field(
+    local_demand: dict[ServiceName, float] = field(
         default_factory=lambda: defaultdict(float)
     )
     rollouts: RolloutTable = field(default_factory=RolloutTable)
     suspects: SuspectLedger = field(default_factory=SuspectLedger)
     observed_crashes: set[RequestDigest] = field(default_factory=set)
-    """Requests under which this host saw a server end itself."""
+    """Digests of the requests during which this host itself observed a server crash."""
     on_suspects_changed: Callable[[], None] = lambda: None
-    """Told when something is new of the requests under which servers ended."""
-    list_suspects: Callable[[int], list[SuspectNews]] = lambda turn: []
-    """Returns what a report tells of them."""
+    """Called when the information on requests during which servers crashed changes."""
+    list_suspects: Callable[[int], list[SuspectNews]] = lambda number: []
+    """Returns the information on such requests for the report of a given number."""
     metrics: Metrics = field(default_factory=Metrics)
     dependencies: list[Caller] = field(default_factory=list)
     describe_duties: Callable[[], dict[str, object]] = dict
     is_ready: bool = False
     leaves_at: float = float("inf")
-    """Steady time at which this process ends."""
+    """Time on the monotonic clock at which this process ends."""
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Put changed settings into force."""
+        """Apply changed settings."""
         self.settings = settings
         self.budgets.clear()
 
     def handle_restore(self) -> None:
-        """Note that the store was restored from a copy and may lack recent writes."""
+        """Prepare for a restored store, which may lack recent writes."""
         self.metrics.add("store_restores")
         self.configuration.handle_restore()
         self.servers.note_outage(trio.current_time())
@@ -161,7 +162,7 @@
         self.rollouts.note_restored()
 
     def find_health(self, server: BackendServerId) -> ServerHealth:
-        """Return what own attempts saw of a server."""
+        """Return the health of a server as observed by this host's attempts."""
         if server not in self.health:
             self.health[server] = ServerHealth()
         return self.health[server]
@@ -176,26 +177,27 @@
         return self.budgets[service]
 
     def record_local_demand(self, service: ServiceName, tokens: float) -> None:
-        """Count the prompt tokens of a request that arrived here."""
-        self.own_demand[service] += tokens
+        """Record the prompt tokens of a request that arrived at this host."""
+        self.local_demand[service] += tokens
         self.demand[service].add(tokens, trio.current_time())
 
     def list_serving(self, service: ServiceName) -> list[ServerRecord]:
-        """Return the servers that carry a service, excluding those under trial."""
+        """Return the servers of a service, excluding those of a version under trial."""
         return self.rollouts.list_serving(service, self.servers.list_service(service))
 
     def count_in_flight(self, records: Iterable[ServerRecord]) -> int:
-        """Return the requests of all hosts at the given servers."""
-        others = self.sharing.find_summary(trio.current_time()).servers
+        """Return the number of requests of all hosts in flight at the given servers."""
+        remote = self.sharing.find_summary(trio.current_time()).servers
         return sum(
-            others.get(one.id, NOTHING).requests + self.work.requests.get(one.id, 0)
-            for one in records
+            remote.get(record.id, NOTHING).requests
+            + self.work.requests.get(record.id, 0)
+            for record in records
         )
 
     def record_remote_demand(
         self, service: ServiceName, tokens: float, now: float
     ) -> None:
-        """Count the prompt tokens that arrived at another host."""
+        """Record prompt tokens that arrived at another host."""
         self.demand[service].add(tokens, now)
 
     def find_window(self, at: float) -> int:
@@ -203,14 +205,14 @@
         return int(at // self.settings.bounds.usage_window)
 
     def count_usage(self, account: ClientAccount | None) -> None:
-        """Count a request of an account that began to run now."""
+        """Record that a request of an account has just started."""
         if account is not None:
             self.usage_counts[self.find_window(time.time())][account] += 1
 
     def make_report(self, number: int) -> Report:
-        """Return this host's running totals for the others."""
+        """Return this host's report to its peers, with its running totals."""
         now = trio.current_time()
-        windows = CELL_WINDOWS if self.sharing.has_cells else REPORTED_WINDOWS
+        windows = CELL_REPORT_WINDOWS if self.sharing.has_cells else REPORTED_WINDOWS
         return Report(
             host=self.host,
             boot=self.boot,
@@ -229,7 +231,7 @@
         )
 
     def list_usage(self, windows: int) -> UsageCounts:
-        """Return what began here in the newest usage windows."""
+        """Return the requests started on this host in the newest usage windows."""
         newest = self.find_window(time.time())
         recent = range(newest - windows + 1, newest + 1)
         return {
@@ -238,15 +240,15 @@
 
     def _make_totals(self, now: float) -> Totals:
         return Totals(
-            used=round_all(self.ledger.totals),
-            asked=round_all(self.ledger.asked),
-            demand=round_all(self.own_demand),
+            used=round_totals(self.ledger.totals),
+            asked=round_totals(self.ledger.asked),
+            demand=round_totals(self.local_demand),
             servers=self._list_server_totals(now),
             outcomes=dict(self.rollouts.outcomes),
         )
 
     def _list_server_totals(self, now: float) -> dict[BackendServerId, ServerTotals]:
-        told = {}
+        reported = {}
         for server in {*self.work.requests, *self.health}:
             attempts, failures = self.find_health(server).recent.read(now)
             totals = ServerTotals(
@@ -256,41 +258,43 @@
                 failures=round(failures * TENTHS),
             )
             if totals != NOTHING:
-                told[server] = totals
-        return told
+                reported[server] = totals
+        return reported
 
     def make_fleet_view(self) -> FleetView:
-        """Return what this host knows of the others, for quotas."""
+        """Return this host's view of its peers, for quotas."""
         summary = self.sharing.find_summary(trio.current_time())
         peers = self.hosts.list_peers()
-        silent = sum(peer.id not in summary.heard for peer in peers)
+        silent_count = sum(peer.id not in summary.heard for peer in peers)
         return FleetView(
-            hosts=len(peers) + 1, silent=silent, news_age=self.sharing.news_age
+            hosts=len(peers) + 1, silent=silent_count, news_age=self.sharing.news_age
         )
 
-    def find_store_role(self) -> Part:
-        """Return what this host has to read of the store itself."""
+    def find_store_role(self) -> StoreRole:
+        """Return which data this host has to read from the store itself."""
         if not self.sharing.has_cells:
-            return Part.ALL
-        return Part.READER if self.sharing.is_reader else Part.LISTENER
+            return StoreRole.ALL
+        return StoreRole.READER if self.sharing.is_reader else StoreRole.LISTENER
 
     def count_live_peers(self) -> int:
-        """Return how many other hosts are heard."""
+        """Return the number of other live hosts."""
         return len(self.sharing.list_heard())
 
     def list_silent_hosts(self) -> list[HostId]:
-        """Return the registered hosts that are not heard."""
-        heard = self.sharing.list_heard()
-        return [peer.id for peer in self.hosts.list_peers() if peer.id not in heard]
+        """Return the other registered hosts that are silent."""
+        live = self.sharing.list_heard()
+        return [peer.id for peer in self.hosts.list_peers() if peer.id not in live]
 
-    def forget_old(self) -> None:
-        """Drop what is told or known of long past."""
+    def drop_expired(self) -> None:
+        """Remove outdated counts and the data of departed servers."""
         window = self.find_window(time.time()) - REPORTED_WINDOWS * 2
-        for old in [known for known in self.usage_counts if known < window]:
-            del self.usage_counts[old]
+        for old_window in [
+            known_window for known_window in self.usage_counts if known_window < window
+        ]:
+            del self.usage_counts[old_window]
         self.sharing.forget_before(window, trio.current_time())
-        gone = [one for one in self.health if self.servers.find(one) is None]
-        for server in gone:
+        departed = [known for known in self.health if self.servers.find(known) is None]
+        for server in departed:
             del self.health[server]
             self.metrics.forget(SERVER_ANSWER_TIME_METRIC, server=server)
         self.suspects.forget_old(trio.current_time())
--- a/dewridge/gateway/upkeep.py
+++ b/dewridge/gateway/upkeep.py
@@ -1,52 +1,52 @@
-"""Regular work of a gateway on its own state."""
+"""Periodic maintenance of a gateway's state."""
 
 import trio
 
 from dewridge.gateway.hosts import Registration
 from dewridge.gateway.state import GatewayState
 
-PERIOD = 0.25
-"""Seconds between two looks: readiness is asked for each second."""
-STARTING_PERIOD = 0.02
-"""Seconds between two looks until the host is ready for the first time: after a loss of
-power each tenth of a second is one without any host."""
+UPKEEP_PERIOD = 0.25
+"""Seconds between two updates of readiness, which is queried each second."""
+STARTUP_PERIOD = 0.02
+"""Seconds between two updates until the host is ready for the first time. After a power
+loss of all hosts, callers have no host until then, so each 0.1 s counts."""
 UNREADY_AFTER = 1.5
-"""Seconds without an answer of the store after which callers are sent elsewhere: two
-renewals in a row have failed. Waiting until keys are refused would send callers here
-for the seconds that they keep their lists."""
-FORGET_EVERY = 8
-"""Periods between two clean-ups."""
+"""Seconds without an answer of the store after which callers are sent to other hosts,
+since two consecutive renewals have failed. If the host stayed ready until it refuses
+keys, callers would still be sent here for the seconds that they keep their lists."""
+PERIODS_PER_CLEANUP = 8
+"""Periods between two removals of expired data."""
 
 
 async def run_upkeep(state: GatewayState, registration: Registration) -> None:
-    """Keep readiness, limits in force and memory in order, for ever."""
+    """Update readiness and limits, and remove expired data, indefinitely."""
     rounds = 0
     while not state.is_ready:
         update_readiness(state, registration)
         update_limits(state)
-        await trio.sleep(STARTING_PERIOD)
+        await trio.sleep(STARTUP_PERIOD)
     while True:
         update_readiness(state, registration)
         update_limits(state)
         rounds += 1
-        if rounds % FORGET_EVERY == 0:
-            state.forget_old()
-        await trio.sleep(PERIOD)
+        if rounds % PERIODS_PER_CLEANUP == 0:
+            state.drop_expired()
+        await trio.sleep(UPKEEP_PERIOD)
 
 
 def update_readiness(state: GatewayState, registration: Registration) -> None:
-    """Count this host as ready while it can judge requests and is to stay."""
+    """Mark this host as ready while it can check requests and is not leaving."""
     is_ready = (
         state.configuration.is_trusted
         and not state.ingress.is_leaving
-        and registration.unanswered_for < UNREADY_AFTER
+        and registration.seconds_since_answer < UNREADY_AFTER
     )
     state.is_ready = is_ready
     registration.set_ready(is_ready)
 
 
 def update_limits(state: GatewayState) -> None:
-    """Put the bounds of the configuration in force into force for callers."""
+    """Apply the limits of the configuration in force to callers."""
     configuration = state.configuration.current
     if configuration is not None:
         state.ingress.limits = configuration.limits
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -1,10 +1,12 @@
-"""Keeps the configuration and the list of servers as new as the store has them.
-
-In a small fleet every host polls and watches all: polls carry the promise, since each
-confirms what is in force, and watches only bring news sooner. In a large one that would
-cost more calls than the requests are worth. There a host confirms the configuration by
-watches that come back empty, and only some hosts, the readers, follow the servers; the
-others hear of leaving servers from them, and of new ones by cheap reads that may lag.
+"""Updates of the configuration and the list of servers from the store.
+
+In a small fleet every host polls and watches everything. The polls guarantee how
+outdated a host may be, since each one confirms the configuration in force; watches only
+bring changes earlier. In a large fleet this would cost more calls than the requests are
+worth. There a host confirms the configuration by watches that return no change, and
+only some hosts, the readers, follow the servers. The other hosts, the listeners,
+receive reports of leaving servers from the readers, and find new servers by cheaper
+reads that may return outdated data.
 """
 
 import random
@@ -31,105 +33,111 @@
 from dewridge.sentinels import Failure
 
 POLL_PERIOD = 1.5
-"""Seconds between two polls of a host that hears no other. Watches bring most news at
-once; a poll alone still keeps within the 2 s that operators count on."""
-MOST_SHARED = 2.4
-HOSTS_TO_SHARE = 6.0
-"""How much longer the period may get, and the hosts heard for each time that it gets
-longer by itself. Each host's polls serve all, since they tell their version within two
-tenths: with the watches of all hosts silent, nine hosts that poll each 3.5 s leave a
-second and a half without a poll once in a hundred times. Polls cost 2% of the benefit
-of a day's requests where each host kept to the shortest period."""
-LEAST_DOUBT = 0.6
-"""Age of a confirmation below which nobody asks for a new one."""
-DOUBT_POWER = 1.5
-"""How the hosts' doubts lean to the earlier times: drawn evenly, nine hosts left the
-configuration unconfirmed for two seconds once in two hundred times, so once in ten
-thousand, for a third more calls."""
-POLL_SHARE = 0.3
-"""Part of the store's reads a second that the polls of all hosts together may use."""
-POLLS = 3
-"""Polls of each host in one period: configuration, servers, hosts."""
-READER_PERIOD = 2.0
-"""Seconds between two polls of the servers by a reader of a large fleet: its watch
-brings news at once, and other readers' words cover one whose watch went silent."""
-LAGGING_PERIOD = 2.0
-"""Seconds between two cheap reads of the servers by other hosts: half of the time that
+"""Seconds between two polls of a host without live peers. Watches bring most changes at
+once; polls alone still meet the limit of 2 s that operators rely on."""
+MAX_PERIOD_FACTOR = 2.4
+"""Maximum factor by which the poll period grows with the number of live peers.
+
+The polls of each host serve all hosts, which report their version to each other within
+0.2 s. With the watches of all hosts silent, nine hosts that each poll every 3.5 s leave
+1.5 s without a poll once in a hundred times. Polls cost 2% of the benefit of a day's
+requests when each host used the shortest period."""
+HOSTS_PER_EXTRA_PERIOD = 6.0
+"""Live peers for each further `POLL_PERIOD` that is added to the poll period."""
+MIN_RECHECK_AGE = 0.6
+"""Age of a confirmation in seconds below which no host asks for a new one."""
+RECHECK_AGE_EXPONENT = 1.5
+"""Exponent that shifts the random recheck ages towards lower ones. With a uniform
+distribution, nine hosts left the configuration unconfirmed for two seconds once in two
+hundred times; with this exponent once in ten thousand, for a third more calls."""
+POLL_READ_SHARE = 0.3
+"""Share of the store's reads per second available to the polls of all hosts."""
+POLLS_PER_PERIOD = 3
+"""Polls of each host in one poll period: configuration, servers and hosts."""
+READER_POLL_PERIOD = 2.0
+"""Seconds between two polls of the servers by a reader of a large fleet. Its watch
+brings changes at once, and reports of other readers cover a watch that went silent."""
+LISTENER_POLL_PERIOD = 2.0
+"""Seconds between two cheaper reads of the servers by a listener: half of the time that
 a new server takes to start."""
 CONFIRM_WAIT = 1.5
 """Seconds that a reader's watch of the configuration waits in a large fleet. An empty
 result also confirms the version for the reader's cell, which receives the confirmation
 within about a second."""
 STARTUP_PERIOD = 5.0
-"""Seconds after startup in which the host may not know the size of the fleet, and no
-peer may confirm the configuration for it."""
+"""Seconds after startup in which the host may not know the size of the fleet, and its
+peers may not confirm the configuration for it."""
 STARTUP_CONFIRM_WAIT = 3.0
 """Seconds that a watch of the configuration waits during the startup period."""
 UNCONFIRMED_AFTER = 3.4
-"""Age of the confirmation from which the configuration is read: the watch is stuck, or
-no confirmation arrives from the cell's reader. Keys are refused from 4 s on."""
-LOOK_PERIOD = 0.2
-SHORTEST_LOOK = 0.01
-"""Seconds between two looks at that age, at the most and at the least."""
-FIRST_RETRY = 0.1
-LAST_RETRY = 0.5
-"""Seconds until a failed call is made again. Hosts spread by half of it either way:
-together after an outage they would go over the store's rates."""
-CELL_WATCH_RETRY = 1.0
-"""Seconds until a failed watch is begun again in a large fleet: the configuration is
-read meanwhile, and each try costs a call."""
-GATHER_TIME = 0.1
-"""Seconds between two watches of the servers: those of a failure domain come and go
-within that, and each alone would cost each host a call. Hosts wake at different times,
-and the first one tells the others."""
-LONGEST_GATHER = 1.0
-"""The same at the most, where many hosts read for all: half of the time within which a
-leaving server must be known to all, if only one of them were left."""
-LEAST_SPREAD = 0.5
-MOST_SPREAD = 1.5
-"""Parts of a time by chance, so that hosts that waited for the same act by turns."""
-MOST_UNREADABLE = 200
-"""Unreadable records, with their reasons, that are told of in a process's life: enough
-to see what writes them, and a bound on lines and memory if they change all the time."""
+"""Age of the confirmation in seconds from which the configuration is read: the watch is
+stuck, or the cell's reader sends no confirmation. Keys are refused from 4 s on."""
+MAX_AGE_CHECK_INTERVAL = 0.2
+MIN_AGE_CHECK_INTERVAL = 0.01
+"""Maximum and minimum seconds between two checks of the age of the confirmation."""
+MIN_RETRY_DELAY = 0.1
+MAX_RETRY_DELAY = 0.5
+"""Seconds until a failed call is retried: the first delay, and the limit up to which it
+doubles. Each delay varies by up to half of it either way. Hosts that retry at the same
+time after an outage would exceed the store's rates."""
+CELL_WATCH_RETRY_DELAY = 1.0
+"""Seconds until a failed watch is retried in a large fleet. The configuration is polled
+meanwhile, and each retry costs a call."""
+BATCH_DELAY = 0.1
+"""Seconds between two watches of the servers. The servers of a failure domain join and
+leave within this time, and without the delay each of them would cost each host a call.
+Hosts wake at different times, and the first one reports to the others."""
+MAX_BATCH_DELAY = 1.0
+"""Upper limit on the delay in seconds if many hosts read for all. This is half of the
+time within which all hosts must know of a leaving server, in case only one reader is
+left."""
+MIN_JITTER = 0.5
+MAX_JITTER = 1.5
+"""Limits of the random factor on a delay, so that hosts that waited for the same event
+do not act at the same time."""
+MAX_UNREADABLE = 200
+"""Maximum number of different reasons for unreadable records that a process logs:
+enough to find the writer, and a limit on lines and memory if records change often."""
 WATCH_WAIT = 15.0
-"""Seconds that a watch waits for news: each costs a call, and one that went silent is
-found by the polls."""
+"""Seconds that a watch waits for changes. Each watch costs a call, and the polls cover
+a watch that went silent."""
 
 
-def find_gather_time(readers: int) -> float:
-    """Return the seconds between two watches that had news, drawn by chance.
+def draw_batch_delay(readers: int) -> float:
+    """Return a delay in seconds before the next watch after one that returned changes.
 
-    Made for a fleet whose servers come and go all the time: each change woke each
-    reader, up to ten times a second. As each tells the others, together they need to
-    look as often as one would alone.
+    In a fleet whose servers join and leave all the time, each change would wake each
+    reader, up to ten times a second. As readers report changes to each other, together
+    they need to watch only as often as a single reader. So the mean delay grows with
+    the number of readers, and is drawn at random if there are several.
     """
     if readers == 1:
-        return GATHER_TIME
-    mean = min(LONGEST_GATHER / MOST_SPREAD, GATHER_TIME * readers)
-    return mean * random.uniform(LEAST_SPREAD, MOST_SPREAD)
+        return BATCH_DELAY
+    mean_delay = min(MAX_BATCH_DELAY / MAX_JITTER, BATCH_DELAY * readers)
+    return mean_delay * random.uniform(MIN_JITTER, MAX_JITTER)
 
 
-class Part(Enum):
-    """What a host has to read of the store itself."""
+class StoreRole(Enum):
+    """Which data a host has to read from the store itself."""
 
     ALL = "all"
-    """In a small fleet."""
+    """In a small fleet: the configuration and the servers, for itself."""
     READER = "reader"
-    """In a large fleet: the servers, for others too."""
+    """In a large fleet: the configuration and the servers, for other hosts too."""
     LISTENER = "listener"
-    """In a large fleet: the configuration only."""
+    """In a large fleet: the configuration, and servers by reads that may lag."""
 
 
 CONFIRM_WAITS = {
-    Part.ALL: WATCH_WAIT,
-    Part.READER: CONFIRM_WAIT,
-    Part.LISTENER: WATCH_WAIT,
+    StoreRole.ALL: WATCH_WAIT,
+    StoreRole.READER: CONFIRM_WAIT,
+    StoreRole.LISTENER: WATCH_WAIT,
 }
 """Seconds that a watch of the configuration waits after the startup period."""
 
 
 class StoreWatcher:
-    """Runs the polls and watches and writes what they bring into the tables."""
+    """Polls and watches the store and applies the results to the tables."""
 
     def __init__(
         self,
@@ -139,15 +147,15 @@
         servers: ServerTable,
         count_hosts: Callable[[], int],
         reads_per_second: float,
-        find_part: Callable[[], Part] = lambda: Part.ALL,
-        count_heard: Callable[[], int] = lambda: 0,
+        find_role: Callable[[], StoreRole] = lambda: StoreRole.ALL,
+        count_live_peers: Callable[[], int] = lambda: 0,
         count_readers: Callable[[], int] = lambda: 1,
-        on_rollout: Callable[[RolloutOrder], None] = lambda order: None,
+        on_rollout_order: Callable[[RolloutOrder], None] = lambda order: None,
     ) -> None:
-        self._on_rollout = on_rollout
+        self._on_rollout_order = on_rollout_order
         self._count_readers = count_readers
-        self._find_part = find_part
-        self._count_heard = count_heard
+        self._find_role = find_role
+        self._count_live_peers = count_live_peers
         self._store = store
         self._watch_store = watch_store
         self._configuration = configuration
@@ -156,80 +164,92 @@
         self._reads_per_second = reads_per_second
         self._servers_wake = trio.Event()
         self._configuration_wake = trio.Event()
-        self._unreadable: set[str] = set()
+        self._logged_reasons: set[str] = set()
         self.revision = 0
         self._started_at = float("-inf")
         self._is_store_outdated = False
         self._newest_peer_version = 0
 
-    def find_period(self) -> float:
-        """Return the seconds between polls that all hosts together can afford."""
-        polls = POLLS * self._count_hosts()
-        shared = min(MOST_SHARED, 1 + self._count_heard() / HOSTS_TO_SHARE)
-        affordable = polls / (POLL_SHARE * self._reads_per_second)
-        return max(POLL_PERIOD * shared, affordable)
+    def find_poll_period(self) -> float:
+        """Return the seconds between polls.
 
-    def note_version(self, version: int) -> None:
-        """Note another host's version; look at once if it is newer."""
+        The period grows with the number of live peers, and keeps the polls of all hosts
+        together within their share of the store's reads.
+        """
+        polls = POLLS_PER_PERIOD * self._count_hosts()
+        factor = min(
+            MAX_PERIOD_FACTOR, 1 + self._count_live_peers() / HOSTS_PER_EXTRA_PERIOD
+        )
+        min_period = polls / (POLL_READ_SHARE * self._reads_per_second)
+        return max(POLL_PERIOD * factor, min_period)
+
+    def receive_version(self, version: int) -> None:
+        """Record a version that a peer reports; read the store now if it is newer."""
         current = self._configuration.current
         self._newest_peer_version = max(self._newest_peer_version, version)
         if current is None or version > current.version:
             self._configuration_wake.set()
 
     async def poll_configuration(self) -> None:
-        """Confirm the configuration for ever."""
-        pause = FIRST_RETRY
+        """Poll and confirm the configuration indefinitely."""
+        retry_delay = MIN_RETRY_DELAY
         while True:
-            asked_at = read_boot_clock()
+            requested_at = read_boot_clock()
             listing = await self._store.list_items(OPERATOR_PREFIX)
             if isinstance(listing, Failure):
-                await self._pause(pause)
-                pause = min(LAST_RETRY, pause * 2)
+                await self._sleep_with_jitter(retry_delay)
+                retry_delay = min(MAX_RETRY_DELAY, retry_delay * 2)
                 continue
-            pause = FIRST_RETRY
-            if self._take_operator_items(listing):
-                self._configuration.confirm(asked_at)
+            retry_delay = MIN_RETRY_DELAY
+            if self._apply_operator_listing(listing):
+                self._configuration.confirm(requested_at)
             elif self._is_store_outdated:
-                await self._pause(LAST_RETRY)
+                await self._sleep_with_jitter(MAX_RETRY_DELAY)
                 continue
-            await self._wait_for_doubt()
+            await self._wait_until_uncertain()
 
-    async def _wait_for_doubt(self) -> None:
+    async def _wait_until_uncertain(self) -> None:
         """Wait until the configuration has to be read again."""
-        is_small = self._find_part() is Part.ALL
-        if is_small and not self._count_heard():
-            self._configuration_wake = await self._wait(
+        is_small_fleet = self._find_role() is StoreRole.ALL
+        if is_small_fleet and not self._count_live_peers():
+            self._configuration_wake = await self._wait_for_wake(
                 self._configuration_wake, POLL_PERIOD
             )
             return
-        most, drawn_for = UNCONFIRMED_AFTER, float("-inf")
+        max_age, drawn_for = UNCONFIRMED_AFTER, float("-inf")
         while True:
-            if is_small and drawn_for != self._configuration.confirmed_at:
-                # Kept from the time before, only the latest doubts would be left.
+            if is_small_fleet and drawn_for != self._configuration.confirmed_at:
+                # Draw a new age for each confirmation: if hosts kept the old ones, only
+                # the highest ages would remain.
                 drawn_for = self._configuration.confirmed_at
-                most = self._draw_doubt()
-            left = most - self._configuration.age
-            if left <= 0:
+                max_age = self._draw_recheck_age()
+            remaining = max_age - self._configuration.age
+            if remaining <= 0:
                 break
-            with trio.move_on_after(max(SHORTEST_LOOK, min(LOOK_PERIOD, left))):
+            with trio.move_on_after(
+                max(MIN_AGE_CHECK_INTERVAL, min(MAX_AGE_CHECK_INTERVAL, remaining))
+            ):
                 await self._configuration_wake.wait()
             if self._configuration_wake.is_set():
                 break
         self._configuration_wake = trio.Event()
 
-    def _draw_doubt(self) -> float:
-        """Return the age of the confirmation at which this host asks for a new one.
+    def _draw_recheck_age(self) -> float:
+        """Return a random age of the confirmation at which to ask for a new one.
 
-        Who asks confirms for all that hear it, so that drawing it leaves about one in
-        some tenths of the period to each of them. Made for hosts that were all started
-        anew by a loss of power: polling by the clock they asked all at once, and an
-        outage of the store just before the next time left their keys trusted for two
-        seconds in place of four.
+        A host that asks also confirms the version for the peers that receive its
+        reports. With random ages the reads are spread over the period, and each host
+        makes only a small share of them. Hosts that restarted together after a power
+        loss and polled at fixed intervals all asked at the same time. An outage of the
+        store just before the next poll then left their keys trusted for two seconds
+        instead of four.
         """
-        period = self.find_period()
-        first = max(LEAST_DOUBT, period / (1 + self._count_heard()))
-        first = min(first, period)
-        return float(first + (period - first) * random.random() ** DOUBT_POWER)
+        period = self.find_poll_period()
+        min_age = max(MIN_RECHECK_AGE, period / (1 + self._count_live_peers()))
+        min_age = min(min_age, period)
+        return float(
+            min_age + (period - min_age) * random.random() ** RECHECK_AGE_EXPONENT
+        )
 
     def _is_behind_peers(self) -> bool:
         """Return whether another host has reported a newer configuration.
@@ -240,17 +260,17 @@
         """
         return self._configuration.version < self._newest_peer_version
 
-    def _take_operator_items(self, listing: Listing) -> bool:
+    def _apply_operator_listing(self, listing: Listing) -> bool:
         """Apply the operator's items; return whether a configuration was applied."""
         is_configured = False
         for item in listing.items:
             if item.key == CONFIGURATION_KEY:
-                is_configured = self._take_configuration(item)
+                is_configured = self._apply_configuration(item)
             else:
-                self._note_operator_item(item)
+                self._apply_operator_item(item)
         return is_configured
 
-    def _take_configuration(self, item: Item) -> bool:
+    def _apply_configuration(self, item: Item) -> bool:
         decoded = decode_configuration(item.value)
         if isinstance(decoded, Failure):
             log.bind(reason=decoded.reason, revision=item.revision).error(
@@ -264,30 +284,32 @@
         return not self._is_store_outdated
 
     async def poll_servers(self) -> None:
-        """Read the whole list of servers for ever."""
-        pause = FIRST_RETRY
+        """Poll the complete list of servers indefinitely."""
+        retry_delay = MIN_RETRY_DELAY
         may_lag = False
         while True:
             listing = await self._store.list_items(SERVERS_PREFIX, may_lag=may_lag)
             if isinstance(listing, Failure):
                 self._servers.note_outage(trio.current_time())
-                await self._pause(pause)
-                pause = min(LAST_RETRY, pause * 2)
+                await self._sleep_with_jitter(retry_delay)
+                retry_delay = min(MAX_RETRY_DELAY, retry_delay * 2)
                 continue
-            pause = FIRST_RETRY
-            has_doubt = self._take_servers(listing, may_lag=may_lag)
-            if has_doubt:
+            retry_delay = MIN_RETRY_DELAY
+            needs_current_list = self._apply_server_listing(listing, may_lag=may_lag)
+            if needs_current_list:
                 may_lag = False
                 continue
-            part = self._find_part()
-            period = self.find_period() if part is Part.ALL else READER_PERIOD
-            if part is Part.LISTENER:
-                period = LAGGING_PERIOD
-            self._servers_wake = await self._wait(self._servers_wake, period)
-            may_lag = part is Part.LISTENER
-
-    def _take_servers(self, listing: Listing, *, may_lag: bool) -> bool:
-        """Take over a list; returns whether a current one has to be asked for."""
+            role = self._find_role()
+            period = (
+                self.find_poll_period() if role is StoreRole.ALL else READER_POLL_PERIOD
+            )
+            if role is StoreRole.LISTENER:
+                period = LISTENER_POLL_PERIOD
+            self._servers_wake = await self._wait_for_wake(self._servers_wake, period)
+            may_lag = role is StoreRole.LISTENER
+
+    def _apply_server_listing(self, listing: Listing, *, may_lag: bool) -> bool:
+        """Apply a list of servers; return whether a current list has to be read."""
         decoded = [self._decode_server(item) for item in listing.items]
         records = [record for record in decoded if record is not None]
         now = trio.current_time()
@@ -297,7 +319,7 @@
         return False
 
     def _decode_server(self, item: Item) -> ServerRecord | None:
-        """Decode a record; one that names no server is told of once, not each poll."""
+        """Decode a record; log an invalid one once instead of at each poll."""
         record = decode_server(item)
         if isinstance(record, ServerRecord):
             return record
@@ -305,49 +327,51 @@
         return None
 
     def _log_unreadable(self, failure: Failure, event: str) -> None:
-        told = self._unreadable
-        if failure.reason not in told and len(told) < MOST_UNREADABLE:
-            told.add(failure.reason)
+        logged = self._logged_reasons
+        if failure.reason not in logged and len(logged) < MAX_UNREADABLE:
+            logged.add(failure.reason)
             log.bind(reason=failure.reason).error(event)
 
     async def watch_configuration(self) -> None:
-        """Follow changes of the configuration for ever."""
+        """Apply changes of the configuration indefinitely."""
         self._started_at = trio.current_time()
-        await self._watch(OPERATOR_PREFIX, self._note_operator_item, self._confirm)
+        await self._watch(OPERATOR_PREFIX, self._apply_operator_item, self._confirm)
 
     async def watch_servers(self) -> None:
-        """Follow changes of servers' records for ever, if that is this host's part."""
-        await self._watch(SERVERS_PREFIX, self._note_server)
+        """Apply changes of server records indefinitely, except on a listener."""
+        await self._watch(SERVERS_PREFIX, self._apply_server_item)
 
-    def _confirm(self, asked_at: float, wait: float) -> None:
-        """Note that a watch came back empty.
+    def _confirm(self, requested_at: float, wait: float) -> None:
+        """Confirm the configuration after a watch that returned no change.
 
-        The store answers an empty watch after its wait only. So there was nothing
-        newer until then, whenever the answer is read: a host that was frozen meanwhile
-        does not take it for younger than it is.
+        The store answers such a watch only after its wait, so nothing was newer until
+        then. The time of the confirmation does not depend on when the answer is read:
+        otherwise a host that was suspended meanwhile would treat it as too recent.
         """
         if self._is_store_outdated or self._is_behind_peers():
             return
         now = read_boot_clock()
-        waited = asked_at + wait
-        self._configuration.confirm(waited if waited <= now else asked_at)
+        earliest_answer_at = requested_at + wait
+        self._configuration.confirm(
+            earliest_answer_at if earliest_answer_at <= now else requested_at
+        )
 
-    def _note_operator_item(self, item: Item) -> None:
+    def _apply_operator_item(self, item: Item) -> None:
         if item.removed:
             # Deleting an order does not stop a rollout in progress.
             return
         if item.key == CONFIGURATION_KEY:
-            self._take_configuration(item)
+            self._apply_configuration(item)
         elif item.key.startswith(ROLLOUTS_PREFIX):
             order = decode_rollout(item)
             if isinstance(order, Failure):
                 self._log_unreadable(order, "rollout order can't be read")
             else:
-                self._on_rollout(order)
+                self._on_rollout_order(order)
 
-    def _note_server(self, item: Item) -> None:
+    def _apply_server_item(self, item: Item) -> None:
         if item.removed:
-            # Records also lapse while the store is away: the poll decides.
+            # Records also lapse during an outage of the store, so the poll decides.
             self._servers_wake.set()
             return
         record = self._decode_server(item)
@@ -357,63 +381,65 @@
     async def _watch(
         self,
         prefix: str,
-        note: Callable[[Item], None],
-        on_quiet: Callable[[float, float], None] = lambda asked_at, wait: None,
+        apply_item: Callable[[Item], None],
+        on_empty: Callable[[float, float], None] = lambda requested_at, wait: None,
     ) -> None:
         revision = None
         era = self._watch_store.era.number
-        pause = FIRST_RETRY
+        retry_delay = MIN_RETRY_DELAY
         while True:
-            if prefix == SERVERS_PREFIX and self._find_part() is Part.LISTENER:
+            if prefix == SERVERS_PREFIX and self._find_role() is StoreRole.LISTENER:
                 revision = None
-                await trio.sleep(LAGGING_PERIOD)
+                await trio.sleep(LISTENER_POLL_PERIOD)
                 continue
             if revision is None or era != self._watch_store.era.number:
-                revision = await self._find_start(prefix, note)
+                revision = await self._read_start_revision(prefix, apply_item)
                 era = self._watch_store.era.number
-            news: Listing | Failure | None = None
-            asked_at = read_boot_clock()
+            changes: Listing | Failure | None = None
+            requested_at = read_boot_clock()
             is_servers = prefix == SERVERS_PREFIX
             wait = WATCH_WAIT if is_servers else self._find_confirm_wait()
             if revision is not None:
-                news = await self._watch_store.watch(prefix, revision, wait)
-            if isinstance(news, Listing):
-                pause = FIRST_RETRY
-                for item in news.items:
-                    note(item)
-                if not news.items:
-                    on_quiet(asked_at, wait)
+                changes = await self._watch_store.watch(prefix, revision, wait)
+            if isinstance(changes, Listing):
+                retry_delay = MIN_RETRY_DELAY
+                for item in changes.items:
+                    apply_item(item)
+                if not changes.items:
+                    on_empty(requested_at, wait)
                 elif prefix == SERVERS_PREFIX:
-                    await trio.sleep(find_gather_time(self._count_readers()))
-                revision = max(revision or 0, news.revision)
+                    await trio.sleep(draw_batch_delay(self._count_readers()))
+                revision = max(revision or 0, changes.revision)
                 continue
-            # The history may be gone, or the connection went silent: start anew.
+            # The history may be compacted, or the connection went silent: start again.
             revision = None
             self._servers_wake.set()
             self._configuration_wake.set()
-            is_small = self._find_part() is Part.ALL
-            await self._pause(pause if is_small else CELL_WATCH_RETRY)
-            pause = min(LAST_RETRY, pause * 2)
+            is_small_fleet = self._find_role() is StoreRole.ALL
+            await self._sleep_with_jitter(
+                retry_delay if is_small_fleet else CELL_WATCH_RETRY_DELAY
+            )
+            retry_delay = min(MAX_RETRY_DELAY, retry_delay * 2)
 
     def _find_confirm_wait(self) -> float:
         if trio.current_time() - self._started_at < STARTUP_PERIOD:
             return STARTUP_CONFIRM_WAIT
-        return CONFIRM_WAITS[self._find_part()]
+        return CONFIRM_WAITS[self._find_role()]
 
-    async def _find_start(
-        self, prefix: str, note: Callable[[Item], None]
+    async def _read_start_revision(
+        self, prefix: str, apply_item: Callable[[Item], None]
     ) -> int | None:
         listing = await self._watch_store.list_items(prefix)
         if isinstance(listing, Failure):
             return None
         for item in listing.items:
-            note(item)
+            apply_item(item)
         return listing.revision
 
-    async def _wait(self, wake: trio.Event, period: float) -> trio.Event:
+    async def _wait_for_wake(self, wake: trio.Event, period: float) -> trio.Event:
         with trio.move_on_after(period * random.uniform(0.9, 1.1)):
             await wake.wait()
         return trio.Event()
 
-    async def _pause(self, seconds: float) -> None:
-        await trio.sleep(seconds * random.uniform(LEAST_SPREAD, MOST_SPREAD))
+    async def _sleep_with_jitter(self, seconds: float) -> None:
+        await trio.sleep(seconds * random.uniform(MIN_JITTER, MAX_JITTER))
--- a/dewridge/tests/gateway/duties_tests.py
+++ b/dewridge/tests/gateway/duties_tests.py
@@ -1,4 +1,4 @@
-"""Duties: one holder at a time, whatever happens to it, and one sum a window."""
+"""Tests of the election of the holder of the duties, and of usage reports."""
 
 import time
 
@@ -18,13 +18,13 @@
 
 @pytest.fixture(autouse=True)
 def _use_test_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the clock that counts suspension follow the test's clock."""
+    """Replace the boot clock by the clock of the test."""
     monkeypatch.setattr(hosts, "read_boot_clock", trio.current_time)
     monkeypatch.setattr(duties, "read_boot_clock", trio.current_time)
 
 
 class Candidate:
-    """A host that may hold the duties."""
+    """A host that takes part in the election of the holder."""
 
     def __init__(self, name: str, data: StoreData) -> None:
         self.store = MemoryStore(data)
@@ -33,18 +33,18 @@
         )
         self.table = HostTable(entry.id)
         self.registration = Registration(self.store, entry)
-        self.tenancy = HolderElection(
-            entry.id, 1, self.store, self.registration, self.table, lease=3.0
+        self.election = HolderElection(
+            entry.id, 1, self.store, self.registration, self.table, lease_ttl=3.0
         )
         self.watch_store = MemoryStore(data)
         self.watcher = HostWatcher(self.store, self.watch_store, self.table, 8.0)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Start all that keeps a tenancy."""
+        """Start the tasks that the election needs."""
         nursery.start_soon(self.registration.run)
         nursery.start_soon(self.watcher.poll)
         nursery.start_soon(self.watcher.watch)
-        nursery.start_soon(self.tenancy.run)
+        nursery.start_soon(self.election.run)
 
 
 async def test_only_one_of_many_hosts_holds_the_duties(
@@ -53,23 +53,27 @@
     data = StoreData()
     candidates = [Candidate(f"host-{n}", data) for n in range(5)]
     async with trio.open_nursery() as nursery:
-        for one in candidates:
-            one.start(nursery)
+        for candidate in candidates:
+            candidate.start(nursery)
         for _ in range(40):
             await trio.sleep(0.25)
-            holders = [one for one in candidates if one.tenancy.find_active_term()]
+            holders = [
+                candidate
+                for candidate in candidates
+                if candidate.election.find_active_term()
+            ]
             assert len(holders) <= 1
         assert len(holders) == 1
         nursery.cancel_scope.cancel()
 
 
-async def test_a_holder_that_is_cut_off_stops_before_the_next_one_acts(
+async def test_a_partitioned_holder_stops_before_the_next_one_acts(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The holder loses its way to the store and goes on believing in its lease.
+    """Guards against two acting holders after a partition from the store.
 
-    If it acted after its successor, an order that is no longer wanted would undo a
-    newer one. The successor's number must be higher.
+    The holder still considers its lease valid. If it acted after its successor, an
+    outdated order would undo a newer one. The successor's fencing token must be higher.
     """
     data = StoreData()
     first, second = Candidate("host-1", data), Candidate("host-2", data)
@@ -77,31 +81,31 @@
         first.start(nursery)
         await trio.sleep(6.0)
         second.start(nursery)
-        held = first.tenancy.find_active_term()
-        assert held is not None
+        first_term = first.election.find_active_term()
+        assert first_term is not None
         first.store.is_down = True
-        last_of_first = first_of_second = 0.0
+        last_act_of_first = first_act_of_second = 0.0
         for _ in range(120):
             await trio.sleep(0.1)
-            if first.tenancy.find_active_term():
-                last_of_first = trio.current_time()
-            if second.tenancy.find_active_term() and not first_of_second:
-                first_of_second = trio.current_time()
-        successor = second.tenancy.find_active_term()
-        assert successor is not None
-        assert successor.fencing_token > held.fencing_token
-        assert last_of_first < first_of_second
+            if first.election.find_active_term():
+                last_act_of_first = trio.current_time()
+            if second.election.find_active_term() and not first_act_of_second:
+                first_act_of_second = trio.current_time()
+        second_term = second.election.find_active_term()
+        assert second_term is not None
+        assert second_term.fencing_token > first_term.fencing_token
+        assert last_act_of_first < first_act_of_second
         nursery.cancel_scope.cancel()
 
 
 async def test_a_successor_that_never_acted_does_not_wait_a_lease(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The holder dies while servers are being reclaimed.
+    """Guards against a successor that needlessly waits for a lease period.
 
-    Its successor has not acted before, so that no turns can come of it. If it paused
-    a whole lease all the same, no server would be ordered for that long, and callers
-    would be refused.
+    The successor has not acted before, so the two hosts cannot alternate. If it waited
+    while servers are being reclaimed, no server would be ordered for that long, and
+    callers would be refused.
     """
     data = StoreData()
     first, second = Candidate("host-1", data), Candidate("host-2", data)
@@ -110,101 +114,102 @@
         await trio.sleep(6.0)
         second.start(nursery)
         await trio.sleep(4.0)
-        assert first.tenancy.find_active_term() is not None
-        await first.tenancy.leave()
-        await first.registration.leave()
+        assert first.election.find_active_term() is not None
+        await first.election.step_down()
+        await first.registration.unregister()
         await trio.sleep(1.5)
-        assert second.tenancy.find_active_term() is not None
+        assert second.election.find_active_term() is not None
         nursery.cancel_scope.cancel()
 
 
 async def test_a_host_that_acted_waits_a_lease_before_it_acts_again(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A holder loses its lease and gets the duties back right after another host.
+    """Guards against hosts that alternate as holder within one lease period.
 
-    Acting at once, the two would give orders by turns within one lease.
+    A holder loses its lease and is elected again right after another host. If it acted
+    at once, the two could send conflicting orders in quick succession.
     """
     data = StoreData()
-    one = Candidate("host-1", data)
+    candidate = Candidate("host-1", data)
     async with trio.open_nursery() as nursery:
-        one.start(nursery)
+        candidate.start(nursery)
         await trio.sleep(8.0)
-        assert one.tenancy.find_active_term() is not None
+        assert candidate.election.find_active_term() is not None
         last_act = trio.current_time()
-        one.tenancy._end("test")
-        one.tenancy._begin(10_000)
-        one.registration.state.valid_until = last_act + 60.0
+        candidate.election._end_term("test")
+        candidate.election._begin_term(10_000)
+        candidate.registration.lease_state.valid_until = last_act + 60.0
         await trio.sleep(2.9)
-        assert one.tenancy.find_active_term() is None
+        assert candidate.election.find_active_term() is None
         await trio.sleep(0.2)
-        assert one.tenancy.find_active_term() is not None
+        assert candidate.election.find_active_term() is not None
         nursery.cancel_scope.cancel()
 
 
-async def test_a_lost_answer_still_makes_one_holder(
+async def test_a_lost_answer_to_the_holder_write_still_elects_a_holder(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The store writes the holder's key and the answer is lost.
+    """Guards against a lost answer to the write of the holder's key.
 
-    The host must find that it holds the duties, with the number of that very write:
-    else nobody would act until its lease ends, or two numbers would be in use.
+    The host must detect that it holds the duties, with the fencing token of that write.
+    Otherwise no host would act until its lease ends, or two tokens would be in use.
     """
     data = StoreData()
-    one = Candidate("host-1", data)
+    candidate = Candidate("host-1", data)
     async with trio.open_nursery() as nursery:
-        one.store.loses_answers = True
-        one.start(nursery)
+        candidate.store.loses_answers = True
+        candidate.start(nursery)
         await trio.sleep(8.0)
-        tenure = one.tenancy.find_active_term()
-        assert tenure is not None
-        assert tenure.fencing_token == data.items[duties.HOLDER_KEY].revision
+        term = candidate.election.find_active_term()
+        assert term is not None
+        assert term.fencing_token == data.items[duties.HOLDER_KEY].revision
         nursery.cancel_scope.cancel()
 
 
-async def test_a_holder_whose_lease_lapsed_takes_a_new_number(
+async def test_a_holder_whose_lease_lapsed_gets_a_new_fencing_token(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """All leases lapse while the store is away, the holder's too, though it lives."""
+    """Guards against reusing a fencing token after all leases lapsed in an outage."""
     data = StoreData()
-    one = Candidate("host-1", data)
+    candidate = Candidate("host-1", data)
     async with trio.open_nursery() as nursery:
-        one.start(nursery)
+        candidate.start(nursery)
         await trio.sleep(8.0)
-        before = one.tenancy.find_active_term()
-        one.store.is_down = True
+        before = candidate.election.find_active_term()
+        candidate.store.is_down = True
         await trio.sleep(5.0)
-        assert one.tenancy.find_active_term() is None
-        one.store.is_down = False
+        assert candidate.election.find_active_term() is None
+        candidate.store.is_down = False
         await trio.sleep(8.0)
-        after = one.tenancy.find_active_term()
+        after = candidate.election.find_active_term()
         assert before is not None
         assert after is not None
         assert after.fencing_token > before.fencing_token
         nursery.cancel_scope.cancel()
 
 
-async def test_a_leaving_holder_does_not_take_its_own_key_again(
+async def test_a_leaving_holder_does_not_begin_a_new_term_by_its_own_key(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The holder is told to leave; its key stands until its registration ends.
+    """Guards against a leaving host that becomes the holder again.
 
-    Taken for a new tenure, the host would hold the duties while it goes, and nobody
-    would report or order until its lease is over.
+    Its key remains until its registration ends. If the host treated the key as a new
+    term, no host would report usage or order servers until its lease ends.
     """
     data = StoreData()
-    one, other = Candidate("host-1", data), Candidate("host-2", data)
+    candidate, other = Candidate("host-1", data), Candidate("host-2", data)
     async with trio.open_nursery() as nursery:
-        one.start(nursery)
+        candidate.start(nursery)
         await trio.sleep(8.0)
-        assert one.tenancy.find_active_term() is not None
+        assert candidate.election.find_active_term() is not None
         other.start(nursery)
-        await one.tenancy.leave()
+        await candidate.election.step_down()
         await trio.sleep(1.0)
-        await one.registration.leave()
+        await candidate.registration.unregister()
         await trio.sleep(7.0)
-        assert one.tenancy.find_active_term() is None
-        assert other.tenancy.find_active_term() is not None
+        assert candidate.election.find_active_term() is None
+        assert other.election.find_active_term() is not None
         nursery.cancel_scope.cancel()
 
 
@@ -213,24 +218,27 @@
 ) -> None:
     """Guards against hosts that treat a large fleet as a small one during startup.
 
-    A host that does not know its peers follows all servers and repeatedly tries to take
-    the duties.
+    A host that does not know its peers follows all servers and repeatedly tries to
+    become the holder.
     """
     data = StoreData()
     candidates = [Candidate(f"host-{n}", data) for n in range(30)]
     async with trio.open_nursery() as nursery:
-        for one in candidates:
-            one.start(nursery)
+        for candidate in candidates:
+            candidate.start(nursery)
         await trio.sleep(2.0)
-        host_counts = [one.table.count() for one in candidates]
+        host_counts = [candidate.table.count() for candidate in candidates]
         nursery.cancel_scope.cancel()
     assert min(host_counts) == len(candidates)
-    change_calls = sum(one.store.change_calls for one in candidates)
+    change_calls = sum(candidate.store.change_calls for candidate in candidates)
     assert change_calls <= 2 * len(candidates)
 
 
 class RecordingCloud(Cloud):
-    """Keeps the reports; `fails` of them get no answer although they are accepted."""
+    """Records usage reports.
+
+    The first `fails` reports are recorded but answered as failed.
+    """
 
     def __init__(self, fails: int = 0) -> None:
         self.reports: list[tuple[int, dict[ClientAccount, int]]] = []
@@ -239,7 +247,7 @@
     async def report_usage(
         self, tenure: Tenure, window: int, counts: dict[ClientAccount, int]
     ) -> CallOutcome:
-        """Keep a report."""
+        """Record a report."""
         self.reports.append((window, counts))
         if len(self.reports) <= self._fails:
             return CallOutcome.FAILED
@@ -247,23 +255,24 @@
 
 
 class AlwaysHolder(HolderElection):
-    """A tenancy that a test gives to a host outright."""
+    """An election that this host always wins."""
 
     def __init__(self) -> None:
-        self._given = Tenure(HostId("host-1"), 1)
+        self._fixed_term = Tenure(HostId("host-1"), 1)
 
     def find_active_term(self) -> Tenure | None:
-        """Return the tenure."""
-        return self._given
+        """Return the term."""
+        return self._fixed_term
 
 
-async def test_two_holders_report_the_same_sum(
+async def test_two_holders_report_the_same_usage_sum(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A holder dies after its report was accepted, before the answer came.
+    """Guards against different usage sums for one window.
 
-    The next one counted differently. Two sums for one window would bill an account
-    twice or wrongly, so that the second must repeat the first.
+    A holder crashes after its report was accepted but before the answer arrived, and
+    the next holder counted differently. Two different sums would bill an account twice
+    or wrongly, so the second holder must repeat the first sum.
     """
     monkeypatch.setattr(time, "time", lambda: 1000.0 + trio.current_time())
     data = StoreData()
@@ -278,6 +287,6 @@
             await trio.sleep(4.0)
         await trio.sleep(3.0)
         nursery.cancel_scope.cancel()
-    sums = [counts for told, counts in cloud.reports if told == window]
+    sums = [counts for reported, counts in cloud.reports if reported == window]
     assert len(sums) >= 2
     assert all(counts == sums[0] for counts in sums)
--- a/dewridge/tests/gateway/memorystore.py
+++ b/dewridge/tests/gateway/memorystore.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, with the faults that a test asks for."""
+"""In-memory store of the platform with faults that tests can inject."""
 
 from dataclasses import dataclass, field, replace
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class StoreData:
-    """What all callers of one store share."""
+    """Data that all callers of one store share."""
 
     items: dict[str, Item] = field(default_factory=dict)
     leases: dict[int, float] = field(default_factory=dict)
@@ -44,20 +44,21 @@
         self.revision = snapshot.revision
         assert self.era is not None
         self.era += 1
-        self.tell()
+        self.notify_watches()
 
-    def tell(self) -> None:
-        """Wake the watches."""
+    def notify_watches(self) -> None:
+        """Wake all waiting watches."""
         changed, self.changed = self.changed, trio.Event()
         changed.set()
 
 
 class MemoryStore(Store):
-    """One caller's way to the store.
+    """A client of the in-memory store.
 
     Attributes:
-        data: what the store holds.
-        loses_answers: whether changes are carried out and not answered.
+        data: data of the store.
+        loses_answers: whether changes are applied but their answers are lost.
+        calls: number of calls, including failed ones.
         change_calls: number of calls to `change`, including failed ones.
     """
 
@@ -71,42 +72,46 @@
 
     @property
     def is_down(self) -> bool:
-        """Whether calls fail without an answer."""
+        """Whether calls of this client fail without an answer."""
         return self._is_down
 
     @is_down.setter
     def is_down(self, is_down: bool) -> None:
         self._is_down = is_down
-        self.data.tell()
+        self.data.notify_watches()
 
     def write(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write as the operator or a server does."""
+        """Write a key without a call, as the operator or a server does."""
         data = self.data
         data.revision += 1
-        known = data.items.get(key)
-        created = known.created_revision if known else data.revision
+        current = data.items.get(key)
+        created = current.created_revision if current else data.revision
         data.items[key] = Item(key, value, data.revision, created, lease)
         data.changes.append(data.items[key])
-        data.tell()
+        data.notify_watches()
         return data.revision
 
     def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Remove a key without a call."""
         data = self.data
         if data.items.pop(key, None) is not None:
             data.revision += 1
             data.changes.append(Item(key, revision=data.revision, removed=True))
-            data.tell()
+            data.notify_watches()
 
     def expire(self) -> None:
-        """End the leases that are over, with their keys."""
+        """Remove expired leases and their keys."""
         now = trio.current_time()
-        for lease in [one for one, end in self.data.leases.items() if end <= now]:
+        for lease in [
+            lease_id for lease_id, end in self.data.leases.items() if end <= now
+        ]:
             del self.data.leases[lease]
-            for item in [i for i in self.data.items.values() if i.lease == lease]:
+            for item in [
+                entry for entry in self.data.items.values() if entry.lease == lease
+            ]:
                 self.remove(item.key)
 
-    async def _enter(self) -> bool:
+    async def _start_call(self) -> bool:
         await trio.sleep(0.004)
         self.calls += 1
         self.expire()
@@ -117,13 +122,13 @@
 
     async def read(self, key: str) -> Item | Failure | None:
         """Read a key."""
-        return self.data.items.get(key) if await self._enter() else DOWN
+        return self.data.items.get(key) if await self._start_call() else DOWN
 
     async def list_items(
         self, prefix: str, *, may_lag: bool = False
     ) -> Listing | Failure:
         """Read all keys under a prefix."""
-        if not await self._enter():
+        if not await self._start_call():
             return DOWN
         items = sorted(self.data.items.items())
         found = tuple(item for key, item in items if key.startswith(prefix))
@@ -131,24 +136,24 @@
 
     async def watch(self, prefix: str, after: int, wait: float) -> Listing | Failure:
         """Wait for changes."""
-        if not await self._enter():
+        if not await self._start_call():
             return DOWN
         era = self.data.era
         if after > self.data.revision:
             return COMPACTED
         with trio.move_on_after(wait):
             while True:
-                news = tuple(
+                changes = tuple(
                     item
                     for item in self.data.changes
                     if item.revision > after and item.key.startswith(prefix)
                 )
-                if news or self.is_down or era != self.data.era:
+                if changes or self.is_down or era != self.data.era:
                     break
                 await self.data.changed.wait()
         if self.is_down or era != self.data.era:
             return DOWN
-        return Listing(news, self.data.revision)
+        return Listing(changes, self.data.revision)
 
     async def change(
         self,
@@ -157,13 +162,13 @@
         writes: tuple[Write, ...] = (),
         drop: tuple[str, ...] = (),
     ) -> int | Failure:
-        """Write and drop keys under a condition."""
+        """Write and drop keys if the expected revisions match."""
         self.change_calls += 1
-        if not await self._enter():
+        if not await self._start_call():
             return Failure(ResultCode.KEY_VALUE_UNKNOWN, "no answer")
         for key, revision in (expected or {}).items():
-            known = self.data.items.get(key)
-            if (known.revision if known else 0) != revision:
+            current = self.data.items.get(key)
+            if (current.revision if current else 0) != revision:
                 return Failure(ResultCode.KEY_VALUE_CONFLICT, "moved on")
         for write in writes:
             if write.lease and write.lease not in self.data.leases:
@@ -178,7 +183,7 @@
 
     async def grant_lease(self, ttl: float) -> Lease | Failure:
         """Grant a lease."""
-        if not await self._enter():
+        if not await self._start_call():
             return DOWN
         lease = self.data.next_lease
         self.data.next_lease += 1
@@ -187,7 +192,7 @@
 
     async def renew_lease(self, lease: int) -> Lease | Failure:
         """Renew a lease."""
-        if not await self._enter():
+        if not await self._start_call():
             return DOWN
         if lease not in self.data.leases:
             return Failure(ResultCode.KEY_VALUE_LEASE_ENDED, "ended")
@@ -196,7 +201,7 @@
 
     async def end_lease(self, lease: int) -> Failure | None:
         """End a lease with its keys."""
-        if not await self._enter():
+        if not await self._start_call():
             return DOWN
         self.data.leases[lease] = trio.current_time()
         self.expire()
--- a/dewridge/tests/gateway/readers_tests.py
+++ b/dewridge/tests/gateway/readers_tests.py
@@ -1,4 +1,4 @@
-"""The hosts of a large fleet that follow the store for all others."""
+"""Tests of readers, the hosts of a large fleet that follow the store for all hosts."""
 
 import itertools
 
@@ -14,7 +14,7 @@
     CONFIRM_WAIT,
     UNCONFIRMED_AFTER,
     WATCH_WAIT,
-    Part,
+    StoreRole,
     StoreWatcher,
 )
 from dewridge.ids import ServerName, make_server_id
@@ -22,21 +22,22 @@
 from dewridge.tests.gateway.memorystore import MemoryStore, StoreData
 
 READERS = 9
+"""Number of readers in the fleet of a test."""
 CHANGE_PERIOD = 0.05
-"""Seconds between two changes of servers' records: ninety servers of which some start,
-are still slow, or leave."""
-KNOWN_WITHIN = 0.35
-"""Seconds until the first reader must know of a leaving server: streams there are to be
-moved within a notice of two seconds, and the news has two steps to go."""
+"""Seconds between two changes of server records: ninety servers, of which some start,
+warm up or leave."""
+MAX_DETECTION_TIME = 0.35
+"""Seconds until the first reader must know of a leaving server. Its streams must move
+within a notice of two seconds, and the report takes two hops."""
 
 
 class Reader:
-    """One host that follows the servers, as one of several."""
+    """One of several hosts that follow the servers."""
 
     def __init__(self, data: StoreData, readers: int) -> None:
         self.store = MemoryStore(data)
         self.servers = ServerTable()
-        part = Part.READER if readers > 1 else Part.ALL
+        role = StoreRole.READER if readers > 1 else StoreRole.ALL
         self.watcher = StoreWatcher(
             MemoryStore(data),
             self.store,
@@ -44,7 +45,7 @@
             self.servers,
             lambda: 60,
             6000.0,
-            lambda: part,
+            lambda: role,
             lambda: 0,
             lambda: readers,
         )
@@ -67,10 +68,11 @@
 async def test_readers_share_the_calls_that_changes_cost(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Servers of a large fleet come, warm up and go all the time.
+    """Guards against a store call by each reader for each change of a server record.
 
-    Each change woke the watch of each reader, up to ten times a second, and operators
-    pay for each call.
+    In a large fleet servers join, warm up and leave all the time. Each change would
+    wake the watch of each reader, up to ten times a second, and operators pay for each
+    call.
     """
     data = StoreData()
     readers = [Reader(data, READERS) for _ in range(READERS)]
@@ -85,17 +87,18 @@
     assert calls <= 200 * CHANGE_PERIOD * 20
 
 
-async def test_one_of_the_readers_knows_of_a_leaving_server_in_time(
+async def test_a_reader_detects_a_leaving_server_in_time(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A server is reclaimed among changes of others, fifty times over.
+    """Guards against late detection of a leaving server among changes of other servers.
 
-    Its streams must be moved before it goes: the reader that looks first tells all.
+    Its streams must be moved before it stops. The first reader that detects the change
+    reports it to all hosts.
     """
     data = StoreData()
     readers = [Reader(data, READERS) for _ in range(READERS)]
     writer = readers[0].store
-    waits: list[float] = []
+    detection_times: list[float] = []
     async with trio.open_nursery() as nursery:
         for reader in readers:
             nursery.start_soon(reader.watcher.watch_servers)
@@ -105,15 +108,15 @@
             server = make_server_id(ServerName(f"s-{number}"), 1_000)
             writer.write(*make_server(number, "draining"))
             drained_at = trio.current_time()
-            while all(one.servers.find(server) for one in readers):
+            while all(host.servers.find(server) for host in readers):
                 writer.write(*make_server(99, "ready"))
                 await trio.sleep(CHANGE_PERIOD)
-            waits.append(trio.current_time() - drained_at)
+            detection_times.append(trio.current_time() - drained_at)
         nursery.cancel_scope.cancel()
-    assert max(waits) <= KNOWN_WITHIN
+    assert max(detection_times) <= MAX_DETECTION_TIME
 
 
-async def test_a_reader_alone_looks_as_often_as_before(
+async def test_a_single_reader_does_not_watch_less_often(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     data = StoreData()
@@ -136,7 +139,7 @@
         self.stores: list[MemoryStore] = []
         self.watchers: list[StoreWatcher] = []
         for number in range(listeners + 1):
-            part = Part.LISTENER if number else Part.READER
+            role = StoreRole.LISTENER if number else StoreRole.READER
             state = ConfigurationState(trust_period=4.0)
             store = MemoryStore(self.store.data)
             self.configurations.append(state)
@@ -149,7 +152,7 @@
                     ServerTable(),
                     lambda: 60,
                     6000.0,
-                    lambda part=part: part,  # type: ignore[misc]
+                    lambda role=role: role,  # type: ignore[misc]
                     lambda: listeners,
                 )
             )
@@ -196,7 +199,7 @@
         before = cell.count_calls()
         for _ in range(300):
             await trio.sleep(0.1)
-            ages.append(max(one.age for one in cell.configurations))
+            ages.append(max(state.age for state in cell.configurations))
         calls = cell.count_calls() - before
         nursery.cancel_scope.cancel()
     assert max(ages) < UNCONFIRMED_AFTER
@@ -207,7 +210,7 @@
 async def test_listeners_read_the_configuration_when_their_reader_fails(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Guards against listeners that refuse keys after the loss of their reader."""
+    """Guards against listeners that refuse keys after their reader fails."""
     cell = Cell(listeners=8)
     async with trio.open_nursery() as nursery:
         cell.start(nursery)
@@ -215,5 +218,5 @@
         cell.stores[0].is_down = True
         for _ in range(300):
             await trio.sleep(0.1)
-            assert all(one.is_trusted for one in cell.configurations[1:])
+            assert all(state.is_trusted for state in cell.configurations[1:])
         nursery.cancel_scope.cancel()
--- a/dewridge/tests/gateway/restarts_tests.py
+++ b/dewridge/tests/gateway/restarts_tests.py
@@ -1,4 +1,4 @@
-"""Backend servers that start again under the name that they had."""
+"""Tests of backend servers that restart under the same name."""
 
 from dataclasses import replace
 
@@ -38,24 +38,25 @@
 
 
 def list_starts(table: ServerTable) -> list[int]:
-    """Return when the servers that may get work were started."""
+    """Return the start times of the servers that may get requests."""
     return [record.born for record in table.list_all()]
 
 
 def start_again(world: World) -> None:
-    """List the server `s-1` of a world as started once more."""
-    first = next(one for one in world.state.servers.list_all() if one.name == "s-1")
+    """List the server `s-1` of a world as restarted."""
+    first = next(
+        record for record in world.state.servers.list_all() if record.name == "s-1"
+    )
     later = replace(
         first, id=make_server_id(first.name, SECOND_START), born=SECOND_START
     )
     world.state.servers.update(later, trio.current_time())
 
 
-def test_a_start_that_drained_does_not_bar_the_next_one() -> None:
-    """A server says that it leaves, ends, and starts again under its name.
+def test_a_server_that_drained_gets_requests_after_a_restart() -> None:
+    """Guards against excluding a restarted server because its previous start drained.
 
-    Barred for what its earlier start said, it would stand idle for good while callers
-    are refused.
+    It would stay idle while callers are refused.
     """
     table = ServerTable()
     table.update(make_record(FIRST_START), 0.0)
@@ -64,11 +65,12 @@
     assert list_starts(table) == [SECOND_START]
 
 
-def test_a_late_word_on_an_earlier_start_does_not_end_the_next_one() -> None:
-    """A read that lags still says that the earlier start drains, or is ready.
+def test_a_late_record_of_an_earlier_start_does_not_affect_the_next_one() -> None:
+    """Guards against applying outdated records of the previous start of a server.
 
-    Believed, a server that has just come would never get work, or requests would be
-    counted at a start that is gone.
+    A lagging read returns the previous start as draining or ready. If it were applied,
+    the restarted server would never get requests, or requests would be counted for a
+    start that has ended.
     """
     table = ServerTable()
     table.update(make_record(SECOND_START), 0.0)
@@ -78,16 +80,16 @@
     assert list_starts(table) == [SECOND_START]
 
 
-def test_a_crash_shows_by_the_next_start_alone() -> None:
-    """A server crashes and is back before its record lapses.
+def test_a_crash_is_detected_by_the_next_start() -> None:
+    """Guards against a missed crash of a server that restarts before its record lapses.
 
-    What ran there is lost, and whoever waits for it must be told, though no record was
+    Its requests are lost and their callers must be informed, although no record was
     ever missing.
     """
     table = ServerTable()
     ended = []
-    table.on_left = lambda record, gone_at, is_told: ended.append(
-        (record.born, gone_at)
+    table.on_left = lambda record, stops_at, is_reported_by_peer: ended.append(
+        (record.born, stops_at)
     )
     table.update(make_record(FIRST_START), 0.0)
     table.update(make_record(SECOND_START), 3.0)
@@ -96,14 +98,15 @@
     assert list(table.list_just_left(3.1)) == [make_record(FIRST_START).id]
 
 
-async def test_a_stream_goes_on_at_the_next_start_of_its_only_server() -> None:
-    """A server crashes in the middle of a stream and starts again under its name.
+async def test_a_stream_continues_at_the_next_start_of_its_only_server() -> None:
+    """Guards against lost or repeated events after a server crash during a stream.
 
-    The caller gets every event once, and the request counts once in the sums of usage.
+    The server restarts under its name. The request must count once in the sums of
+    usage.
     """
     connections = 0
 
-    async def break_off_once(exchange: ServerExchange) -> None:
+    async def crash_once(exchange: ServerExchange) -> None:
         nonlocal connections
         connections += 1
         await exchange.begin_stream()
@@ -117,20 +120,23 @@
         await exchange.end_stream()
 
     async with open_world() as world:
-        server = await world.add_server("s-1", break_off_once, ENGINE)
+        server = await world.add_server("s-1", crash_once, ENGINE)
         answer = await world.ask("/chat/a", method="POST", body=b"x")
         counted = [sum(counts.values()) for counts in world.state.usage_counts.values()]
         seen = server.seen
     assert answer.is_whole
     assert answer.body == b"".join(make_event(number) for number in range(1, 5))
-    assert [one.headers[b"x-expect-instance"] for one in seen] == [b"s-1", b"s-1"]
+    assert [exchange.headers[b"x-expect-instance"] for exchange in seen] == [
+        b"s-1",
+        b"s-1",
+    ]
     assert sum(counted) == 1
 
 
-async def test_a_connection_kept_from_an_earlier_start_is_not_used() -> None:
-    """A server ends and starts again while this host keeps a connection to it.
+async def test_an_idle_connection_to_an_earlier_start_is_not_reused() -> None:
+    """Guards against reusing an idle connection after the server has restarted.
 
-    Sent there, a request would be lost with a connection that only looks open.
+    The connection only appears open, and a request sent on it would be lost.
     """
     async with open_world() as world:
         server = await world.add_server("s-1", answer_plainly)
@@ -142,7 +148,7 @@
     assert (opened, reused) == (2, 0)
 
 
-async def test_failures_of_an_earlier_start_do_not_rest_the_next_one() -> None:
+async def test_failures_of_an_earlier_start_cause_no_cooldown_of_the_next() -> None:
     async with open_world() as world:
         await world.add_server("s-1", answer_plainly)
         first = world.state.servers.list_all()[0]
--- a/dewridge/tests/gateway/restores_tests.py
+++ b/dewridge/tests/gateway/restores_tests.py
@@ -12,7 +12,7 @@
 from dewridge.gateway.model import RolloutOrder
 from dewridge.gateway.servers import RETURN_TIME, ServerTable
 from dewridge.gateway.usage import SETTLE, UsageDuty
-from dewridge.gateway.watching import Part, StoreWatcher
+from dewridge.gateway.watching import StoreRole, StoreWatcher
 from dewridge.ids import ServerName, make_server_id
 from dewridge.platform.eras import StoreEra
 from dewridge.platform.names import CONFIGURATION_KEY
@@ -55,20 +55,20 @@
     era.on_restored += [
         candidate.table.handle_restore,
         candidate.registration.handle_restore,
-        candidate.tenancy.handle_restore,
+        candidate.election.handle_restore,
     ]
 
 
 def start_hosts(count: int, data: StoreData, nursery: trio.Nursery) -> list[Candidate]:
-    """Start candidates for the duties."""
+    """Start hosts that take part in the election of the holder."""
     candidates = [Candidate(f"host-{n:02}", data) for n in range(count)]
-    for one in candidates:
-        share_era(one)
-        one.start(nursery)
+    for candidate in candidates:
+        share_era(candidate)
+        candidate.start(nursery)
     return candidates
 
 
-async def test_fencing_tokens_rise_over_restores(
+async def test_fencing_tokens_increase_across_restores(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against reused or decreasing fencing tokens.
@@ -83,10 +83,10 @@
 
         async def act() -> None:
             while True:
-                for one in candidates:
-                    tenure = one.tenancy.find_active_term()
-                    if tenure is not None:
-                        acts.append((tenure.host, tenure.fencing_token))
+                for candidate in candidates:
+                    term = candidate.election.find_active_term()
+                    if term is not None:
+                        acts.append((term.host, term.fencing_token))
                 await trio.sleep(0.05)
 
         nursery.start_soon(act)
@@ -95,10 +95,14 @@
             snapshot = data.take_snapshot()
             for number in range(50):
                 writer.write("other", b"%d" % number)
-            holder = next(one for one in candidates if one.tenancy.find_active_term())
-            await holder.tenancy.leave()
-            await holder.registration.leave()
-            holder.tenancy._has_left = False
+            holder = next(
+                candidate
+                for candidate in candidates
+                if candidate.election.find_active_term()
+            )
+            await holder.election.step_down()
+            await holder.registration.unregister()
+            holder.election._has_stepped_down = False
             await trio.sleep(4.0)
             data.restore(snapshot)
         await trio.sleep(6.0)
@@ -123,14 +127,14 @@
         snapshot = data.take_snapshot()
         snapshot.items.clear()
         snapshot.revision = 1
-        before = sum(one.store.change_calls for one in candidates)
+        before = sum(candidate.store.change_calls for candidate in candidates)
         counts: list[int] = []
         data.restore(snapshot)
         for _ in range(20):
             await trio.sleep(0.1)
-            counts += [one.table.count() for one in candidates]
+            counts += [candidate.table.count() for candidate in candidates]
         listed = [key for key in data.items if key.startswith(hosts.HOSTS_PREFIX)]
-        writes = sum(one.store.change_calls for one in candidates) - before
+        writes = sum(candidate.store.change_calls for candidate in candidates) - before
         nursery.cancel_scope.cancel()
     assert len(listed) == 60
     assert min(counts) == 60
@@ -148,11 +152,11 @@
         await trio.sleep(10.0)
         data.restore(snapshot)
         await trio.sleep(1.0)
-        late = Candidate("late", data)
-        share_era(late)
-        late.start(nursery)
+        late_host = Candidate("late", data)
+        share_era(late_host)
+        late_host.start(nursery)
         await trio.sleep(2.0)
-        counts = [one.table.count() for one in [*candidates, late]]
+        counts = [candidate.table.count() for candidate in [*candidates, late_host]]
         nursery.cancel_scope.cancel()
     assert counts == [6] * 6
 
@@ -165,7 +169,7 @@
     store = MemoryStore(data)
     state = ConfigurationState(trust_period=4.0)
     watcher = StoreWatcher(
-        store, store, state, ServerTable(), lambda: 1, 6000.0, lambda: Part.ALL
+        store, store, state, ServerTable(), lambda: 1, 6000.0, lambda: StoreRole.ALL
     )
     store.write(CONFIGURATION_KEY, b'{"version":1}')
     snapshot = data.take_snapshot()
@@ -194,11 +198,11 @@
     store = MemoryStore(data)
     state = ConfigurationState(trust_period=4.0)
     watcher = StoreWatcher(
-        store, store, state, ServerTable(), lambda: 1, 6000.0, lambda: Part.ALL
+        store, store, state, ServerTable(), lambda: 1, 6000.0, lambda: StoreRole.ALL
     )
     store.write(CONFIGURATION_KEY, b'{"version":1}')
     async with trio.open_nursery() as nursery:
-        watcher.note_version(2)
+        watcher.receive_version(2)
         nursery.start_soon(watcher.poll_configuration)
         nursery.start_soon(watcher.watch_configuration)
         for _ in range(100):
@@ -211,7 +215,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_a_host_with_an_older_version_confirms_nothing() -> None:
+def test_a_host_with_an_older_version_does_not_confirm_a_newer_one() -> None:
     """Guards against confirmation by a host that read the restored version."""
     state = ConfigurationState(trust_period=4.0)
     state.apply(make_configuration(version=2))
@@ -222,7 +226,7 @@
     assert state.confirmed_at == 10.0
 
 
-async def test_servers_that_write_their_records_again_are_kept(
+async def test_servers_that_write_their_records_again_are_retained(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against permanently dropping servers whose records were lost."""
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -328,7 +328,7 @@
         ServerTable(),
         lambda: 1,
         6000.0,
-        on_rollout=orders.append,
+        on_rollout_order=orders.append,
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(watcher.watch_configuration)
--- a/dewridge/tests/gateway/scaling_tests.py
+++ b/dewridge/tests/gateway/scaling_tests.py
@@ -1,4 +1,4 @@
-"""Orders of servers by the holder of the duties, against a cloud that records them."""
+"""Tests of server orders by the holder of the duties."""
 
 from dataclasses import replace
 
@@ -7,7 +7,7 @@
 import trio.testing
 
 from dewridge.gateway.model import Scaling, ServerRecord
-from dewridge.gateway.scaling import NEEDED_KEY, ScalingDuty
+from dewridge.gateway.scaling import NEEDED_SERVERS_KEY, ScalingDuty
 from dewridge.ids import BackendServerId, FailureDomain, ServerName
 from dewridge.platform.cloud import CallOutcome, Cloud, Order, Tenure
 from dewridge.tests.gateway.duties_tests import AlwaysHolder
@@ -15,33 +15,38 @@
 from dewridge.tests.gateway.world import ENGINE, make_configuration, make_state
 
 DOMAINS = [FailureDomain(name) for name in ("a", "b", "c")]
-BUSY = 100_000.0
-"""Prompt tokens a second that four servers carry at the usual pace."""
+FOUR_SERVER_RATE = 100_000.0
+"""Prompt tokens per second that four servers process at the usual pace."""
 
 
-class OrderedCloud(Cloud):
-    """Keeps the newest order of each place; reclaimable servers may be nowhere."""
+class OrderRecordingCloud(Cloud):
+    """Records the newest order of each server pool.
+
+    Attributes:
+        ordered: number of ordered servers by failure domain and whether reclaimable.
+        is_dry: whether no further reclaimable servers are available.
+    """
 
     def __init__(self) -> None:
-        self.wanted: dict[tuple[FailureDomain, bool], int] = {}
+        self.ordered: dict[tuple[FailureDomain, bool], int] = {}
         self.is_dry = False
 
     async def order_servers(self, tenure: Tenure, order: Order) -> CallOutcome:
-        """Keep an order."""
-        place = order.failure_domain, order.is_reclaimable
-        grows = order.count > self.wanted.get(place, 0)
+        """Record an order."""
+        pool = order.failure_domain, order.is_reclaimable
+        grows = order.count > self.ordered.get(pool, 0)
         if self.is_dry and order.is_reclaimable and grows:
             return CallOutcome.NONE_AVAILABLE
-        self.wanted[place] = order.count
+        self.ordered[pool] = order.count
         return CallOutcome.ACCEPTED
 
     def count(self, *, is_reclaimable: bool) -> int:
-        """Return how many servers of a kind are ordered."""
-        return sum(n for (_, kind), n in self.wanted.items() if kind is is_reclaimable)
+        """Return the number of ordered servers of a kind."""
+        return sum(n for (_, kind), n in self.ordered.items() if kind is is_reclaimable)
 
 
 class Fleet:
-    """A holder of the duties with three reclaimable servers in each domain."""
+    """A holder of the duties and three reclaimable servers in each failure domain."""
 
     def __init__(self, store: MemoryStore) -> None:
         configuration = make_configuration()
@@ -49,7 +54,7 @@
         engine = replace(configuration.services[ENGINE], scaling=scaling)
         services = {**configuration.services, ENGINE: engine}
         self.state = make_state(replace(configuration, services=services))
-        self.cloud = OrderedCloud()
+        self.cloud = OrderRecordingCloud()
         self.duty = ScalingDuty(self.state, AlwaysHolder(), store, self.cloud)
         for domain in DOMAINS:
             for number in range(3):
@@ -58,7 +63,7 @@
     def list_server(
         self, domain: FailureDomain, number: int, *, is_draining: bool = False
     ) -> None:
-        """List a reclaimable server, or that it leaves."""
+        """List a reclaimable server as ready or as draining."""
         name = ServerName(f"s-{domain}{number}")
         record = ServerRecord(
             BackendServerId(name),
@@ -73,29 +78,31 @@
         self.state.servers.update(record, trio.current_time())
 
     def reclaim(self, domain: FailureDomain) -> None:
-        """Take all servers of a domain away."""
+        """Reclaim all servers of a domain; no more reclaimable ones are available."""
         self.cloud.is_dry = True
         for number in range(3):
             self.list_server(domain, number, is_draining=True)
 
-    async def bring_work(self, rate: float) -> None:
-        """Count so much work all the time."""
+    async def add_demand(self, rate: float) -> None:
+        """Record a constant demand in prompt tokens per second, indefinitely."""
         while True:
             self.state.record_remote_demand(ENGINE, rate / 10, trio.current_time())
             await trio.sleep(0.1)
 
 
-async def test_a_reclaim_orders_what_the_next_would_leave_missing(
+async def test_after_a_reclaim_on_demand_servers_are_ordered_for_the_next_one(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A domain is reclaimed with none to be had, and another goes six seconds later.
+    """Guards against ordering on-demand servers only at the second of two reclaims.
 
-    Ordered only when the second goes, lasting servers come when half of the answers of
-    four seconds are late. Some time after the last reclaim they are given up again.
+    A domain is reclaimed with no replacement available, and another one may follow six
+    seconds later. If on-demand servers were ordered only then, half of the answers
+    during four seconds would be late. They are released some time after the last
+    reclaim.
     """
     fleet = Fleet(MemoryStore())
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.bring_work, BUSY)
+        nursery.start_soon(fleet.add_demand, FOUR_SERVER_RATE)
         nursery.start_soon(fleet.duty.run)
         await trio.sleep(20.0)
         assert fleet.cloud.count(is_reclaimable=False) == 0
@@ -107,16 +114,16 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_servers_that_an_order_gives_up_are_no_reclaim(
+async def test_a_reduced_order_is_not_treated_as_a_reclaim(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The fleet shrinks to what is needed; the servers given up say that they leave.
+    """Guards against treating servers that leave after a reduced order as reclaimed.
 
-    Taken for a reclaim, lasting servers would be ordered for them.
+    On-demand servers would be ordered in their place.
     """
     fleet = Fleet(MemoryStore())
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(fleet.bring_work, 0.75 * BUSY)
+        nursery.start_soon(fleet.add_demand, 0.75 * FOUR_SERVER_RATE)
         nursery.start_soon(fleet.duty.run)
         await trio.sleep(20.0)
         for domain in DOMAINS:
@@ -127,21 +134,22 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_the_next_holder_knows_the_need_after_a_loss_of_power(
+async def test_the_next_holder_knows_the_needed_servers_after_a_power_loss(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """All hosts lose power under a small load, and nobody remembers it.
+    """Guards against ordering too many servers after a power loss of all hosts.
 
-    Planned for most of what was found, servers would be ordered that nobody needs.
+    The load was small, but no host has a record of it. A plan based on the servers that
+    are found would order servers that are not needed.
     """
     store = MemoryStore()
     first = Fleet(store)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(first.bring_work, BUSY / 4)
+        nursery.start_soon(first.add_demand, FOUR_SERVER_RATE / 4)
         nursery.start_soon(first.duty.run)
         await trio.sleep(25.0)
         nursery.cancel_scope.cancel()
-    item = await store.read(NEEDED_KEY)
+    item = await store.read(NEEDED_SERVERS_KEY)
     assert item is not None
     assert not hasattr(item, "reason")
     assert msgspec.json.decode(item.value) == {ENGINE: 1}
@@ -153,11 +161,11 @@
     assert second.cloud.count(is_reclaimable=True) == len(DOMAINS)
 
 
-async def test_an_unreadable_need_is_none(
+async def test_unreadable_needed_servers_are_ignored(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     store = MemoryStore()
-    store.write(NEEDED_KEY, b"\xff not a document")
+    store.write(NEEDED_SERVERS_KEY, b"\xff not a document")
     fleet = Fleet(store)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.duty.run)
--- a/dewridge/tests/gateway/state_tests.py
+++ b/dewridge/tests/gateway/state_tests.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of configuration and servers while the store misbehaves."""
+"""Tests of the configuration, servers and hosts while the store fails or lags."""
 
 import json
 import random
@@ -13,7 +13,7 @@
 from dewridge.gateway.model import ServerRecord
 from dewridge.gateway.servers import ServerTable
 from dewridge.gateway.state import WorkInFlight
-from dewridge.gateway.watching import Part, StoreWatcher
+from dewridge.gateway.watching import StoreRole, StoreWatcher
 from dewridge.ids import BackendServerId, HostId, ServerName, make_server_id
 from dewridge.tests.gateway.memorystore import MemoryStore
 from dewridge.tests.gateway.world import DOMAIN, PLAIN, make_configuration
@@ -37,14 +37,14 @@
 
 
 def list_names(table: ServerTable) -> list[str]:
-    """Return the servers that may get work."""
+    """Return the ids of the servers that may get requests."""
     return sorted(record.id for record in table.list_all())
 
 
-def test_an_older_version_is_not_taken_over() -> None:
-    """A read is answered seconds late and brings the version before.
+def test_an_older_version_is_not_applied() -> None:
+    """Guards against applying an older version from a read that is answered late.
 
-    Taken over, a key that was taken away would work again.
+    A revoked key would work again.
     """
     state = ConfigurationState(trust_period=4.0)
     assert state.apply(make_configuration(7))
@@ -55,9 +55,10 @@
 def test_trust_ends_while_the_host_is_suspended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A host is suspended for seconds; its steady clock stands still meanwhile.
+    """Guards against trusting an outdated configuration after a suspension.
 
-    Keys were taken away in that time, and the host must not serve them on waking.
+    The monotonic clock stops meanwhile. Keys may have been revoked in that time, and
+    the host must not serve them when it resumes.
     """
     now = 100.0
     monkeypatch.setattr(configuration, "read_boot_clock", lambda: now)
@@ -70,10 +71,10 @@
     assert clock.read_boot_clock() > 0
 
 
-def test_a_server_that_drained_never_comes_back() -> None:
-    """A stale read still lists a server as ready that has said it leaves.
+def test_a_drained_server_is_not_listed_again() -> None:
+    """Guards against a stale read that still lists a leaving server as ready.
 
-    Work sent there would be cut when the server goes.
+    Requests sent there would be aborted when the server stops.
     """
     table = ServerTable()
     table.update(make_record("s-1"), 0.0)
@@ -82,11 +83,11 @@
     assert list_names(table) == []
 
 
-def test_servers_stay_while_their_records_lapse_in_an_outage() -> None:
-    """The store is away, and the records of all servers lapse meanwhile.
+def test_servers_are_retained_while_their_records_lapse_in_an_outage() -> None:
+    """Guards against dropping live servers whose records lapse during a store outage.
 
-    The servers live. Dropped, every request would be refused until they are listed
-    again; those that are not back in time are gone.
+    Every request would be refused until they are listed again. Servers that are not
+    listed again in time have ended.
     """
     table = ServerTable()
     table.replace([make_record("s-1"), make_record("s-2")], 0.0)
@@ -97,11 +98,11 @@
     assert list_names(table) == ["s-2"]
 
 
-def test_a_list_that_lags_drops_no_server() -> None:
-    """A cheap read is seconds old and misses a server that has just started.
+def test_a_lagging_list_drops_no_server() -> None:
+    """Guards against dropping a new server because a lagging list lacks it.
 
-    Dropped for it, the server would never get work again. One that stays missing is
-    looked for in a current list, since this host may have missed that it left.
+    It would never get requests again. A server that remains missing is looked up in a
+    current list, since this host may have missed that it left.
     """
     table = ServerTable()
     table.replace([make_record("s-1"), make_record("s-2")], 0.0)
@@ -134,10 +135,10 @@
     store.write(f"servers/{name}", json.dumps(record).encode())
 
 
-class Watching:
-    """A watcher with stores that a test can break one by one."""
+class WatchingHost:
+    """A host with a store watcher whose two stores can fail independently."""
 
-    def __init__(self, part: Part = Part.ALL, heard: int = 0) -> None:
+    def __init__(self, role: StoreRole = StoreRole.ALL, live_peers: int = 0) -> None:
         self.store = MemoryStore()
         self.watch_store = MemoryStore(self.store.data)
         self.configuration = ConfigurationState(trust_period=4.0)
@@ -149,8 +150,8 @@
             self.servers,
             lambda: 7,
             2000.0,
-            lambda: part,
-            lambda: heard,
+            lambda: role,
+            lambda: live_peers,
         )
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -161,10 +162,10 @@
         nursery.start_soon(self.watcher.watch_servers)
 
 
-async def test_changes_are_in_force_at_once_by_watches(
+async def test_watches_apply_changes_at_once(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    host = Watching()
+    host = WatchingHost()
     write_configuration(host.store, 1)
     write_server(host.store, "s-1")
     async with trio.open_nursery() as nursery:
@@ -178,15 +179,14 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_polls_bring_what_silent_watches_miss(
+async def test_polls_find_changes_that_silent_watches_miss(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The watches' connections go silent without a reset.
+    """Guards against missed changes when watch connections hang without a reset.
 
-    Nothing tells the host of a change or of a server that drains, and it has two
-    seconds to know.
+    The host must detect a new version and a draining server within two seconds.
     """
-    host = Watching()
+    host = WatchingHost()
     write_configuration(host.store, 1)
     write_server(host.store, "s-1")
     async with trio.open_nursery() as nursery:
@@ -201,26 +201,26 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_another_hosts_news_is_looked_up_at_once(
+async def test_a_newer_version_of_a_peer_is_read_at_once(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    host = Watching()
+    host = WatchingHost()
     write_configuration(host.store, 1)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(host.watcher.poll_configuration)
         await trio.sleep(0.5)
         write_configuration(host.store, 2)
-        host.watcher.note_version(2)
+        host.watcher.receive_version(2)
         await trio.sleep(0.05)
         assert host.configuration.version == 2
         nursery.cancel_scope.cancel()
 
 
-async def test_an_outage_leaves_servers_and_ends_trust(
+async def test_an_outage_retains_servers_and_ends_trust(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """The store is down for long. Servers stay known, the configuration is not sure."""
-    host = Watching()
+    """Guards against dropped servers and a confirmed version during a long outage."""
+    host = WatchingHost()
     write_configuration(host.store, 1)
     write_server(host.store, "s-1")
     async with trio.open_nursery() as nursery:
@@ -240,44 +240,45 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_listener_of_a_large_fleet_confirms_by_quiet_watches(
+async def test_a_listener_of_a_large_fleet_confirms_by_empty_watches(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Eighty hosts that poll as few do would cost more than their requests are worth.
+    """Guards against the cost of polls in a large fleet, and against refused keys.
 
-    One watch in three seconds has to do, without keys being refused in between.
+    Eighty hosts that poll like a small fleet would cost more than their requests are
+    worth. One watch every three seconds must be enough to keep the version trusted.
     """
     monkeypatch.setattr(configuration, "read_boot_clock", trio.current_time)
     monkeypatch.setattr(watching, "read_boot_clock", trio.current_time)
-    host = Watching(Part.LISTENER)
+    host = WatchingHost(StoreRole.LISTENER)
     write_configuration(host.store, 1)
     write_server(host.store, "s-1")
     async with trio.open_nursery() as nursery:
         host.start(nursery)
         await trio.sleep(2.0)
-        began = host.store.calls + host.watch_store.calls
+        calls_before = host.store.calls + host.watch_store.calls
         for _ in range(300):
             await trio.sleep(0.1)
             assert host.configuration.is_trusted
-        assert host.store.calls + host.watch_store.calls - began <= 30
+        assert host.store.calls + host.watch_store.calls - calls_before <= 30
         write_configuration(host.store, 2)
         await trio.sleep(0.1)
         assert host.configuration.version == 2
         nursery.cancel_scope.cancel()
 
 
-async def test_a_frozen_host_does_not_take_a_quiet_watch_for_new(
+async def test_a_suspended_host_does_not_treat_an_old_watch_answer_as_recent(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A host is frozen while the answer of a watch waits for it to be read.
+    """Guards against a confirmation dated by when the answer of a watch is read.
 
-    A key was taken away meanwhile. Believed as of its reading, the answer would let
-    the key work for seconds more.
+    The host is suspended before it reads the answer, and a key is revoked meanwhile.
+    The key would work for several more seconds.
     """
     now = 100.0
     monkeypatch.setattr(configuration, "read_boot_clock", lambda: now)
     monkeypatch.setattr(watching, "read_boot_clock", lambda: now)
-    host = Watching(Part.LISTENER)
+    host = WatchingHost(StoreRole.LISTENER)
     host.configuration.apply(make_configuration())
     now = 109.0
     host.watcher._confirm(100.0, 3.0)
@@ -286,12 +287,12 @@
     assert host.configuration.confirmed_at == 107.0
 
 
-async def test_a_listener_whose_watch_is_silent_reads_in_time(
+async def test_a_listener_with_a_failed_watch_reads_in_time(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(configuration, "read_boot_clock", trio.current_time)
     monkeypatch.setattr(watching, "read_boot_clock", trio.current_time)
-    host = Watching(Part.LISTENER)
+    host = WatchingHost(StoreRole.LISTENER)
     write_configuration(host.store, 1)
     async with trio.open_nursery() as nursery:
         host.start(nursery)
@@ -303,11 +304,12 @@
         nursery.cancel_scope.cancel()
 
 
-def test_prompts_that_were_read_do_not_weigh_on_a_busy_server() -> None:
-    """A server is never idle: a request ends only after the next one has begun.
+def test_processed_prompts_do_not_count_as_load_of_a_busy_server() -> None:
+    """Guards against counting the prompts of completed requests as load.
 
-    If the prompts of ended requests still counted, it would look ever more loaded,
-    and its prefixes would be read anew by other servers.
+    The server is never idle: each request completes only after the next one has begun.
+    Its load would seem to grow without limit, and other servers would process its
+    prefixes again.
     """
     work = WorkInFlight()
     server = BackendServerId("s-1")
@@ -321,7 +323,7 @@
 
 
 async def test_polls_of_a_large_fleet_stay_within_the_stores_rate() -> None:
-    host = Watching()
+    host = WatchingHost()
     for count in (7, 100, 440):
         watcher = StoreWatcher(
             host.store,
@@ -331,16 +333,16 @@
             lambda count=count: count,  # type: ignore[misc]
             2000.0,
         )
-        assert count * 3 / watcher.find_period() <= 0.31 * 2000
+        assert count * 3 / watcher.find_poll_period() <= 0.31 * 2000
 
 
-async def test_a_start_that_is_not_ready_leaves_the_earlier_entry(
+async def test_a_start_that_is_not_ready_retains_the_earlier_entry(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All hosts lost power and start again; callers ask for addresses at once.
+    """Guards against an empty list of addresses after a power loss of all hosts.
 
-    The entries of the earlier starts still stand. Replaced by ones that are not ready
-    yet, no host would be named, though all are back in a moment.
+    The entries of the earlier starts still exist. If entries that are not ready yet
+    replaced them, callers would get no address although all hosts are ready soon.
     """
     monkeypatch.setattr(hosts, "read_boot_clock", trio.current_time)
     store = MemoryStore()
@@ -359,8 +361,8 @@
         nursery.cancel_scope.cancel()
 
 
-def test_an_earlier_starts_entry_gives_way() -> None:
-    """A host restarts while its earlier registration has not lapsed yet."""
+def test_the_entry_of_an_earlier_start_is_superseded() -> None:
+    """Guards against listing a restarted host by its earlier, not yet lapsed entry."""
     table = hosts.HostTable(HostId("host-1"))
     store = MemoryStore()
     for boot in (1, 2):
@@ -375,40 +377,42 @@
     assert table.count() == 2
 
 
-def test_hosts_that_hear_each_other_share_the_polls() -> None:
-    """The watches of all hosts have gone silent, and a change waits to be found.
+def test_live_peers_share_the_polls() -> None:
+    """Guards against late detection of changes while the watches of all hosts hang.
 
-    Whoever polls first tells the others. A host that hears nobody has only its own
-    polls, and operators count on two seconds.
+    The first host that polls reports to the others. A host without live peers has only
+    its own polls, and operators rely on two seconds.
     """
     rng = random.Random(5)
     alone = StoreWatcher(
         MemoryStore(), MemoryStore(), ConfigurationState(4.0), ServerTable(), int, 2e3
     )
-    assert alone.find_period() == watching.POLL_PERIOD
-    for heard in range(1, 16):
-        watcher = Watching(heard=heard).watcher
-        period = watcher.find_period()
-        late = 0
+    assert alone.find_poll_period() == watching.POLL_PERIOD
+    for live_peers in range(1, 16):
+        watcher = WatchingHost(live_peers=live_peers).watcher
+        period = watcher.find_poll_period()
+        late_count = 0
         for _ in range(2_000):
-            first = min(rng.uniform(0, 1.1 * period) for _ in range(heard + 1))
-            late += first > 1.7
-        assert late <= 40
+            first_poll = min(
+                rng.uniform(0, 1.1 * period) for _ in range(live_peers + 1)
+            )
+            late_count += first_poll > 1.7
+        assert late_count <= 40
     assert period <= 3.7
 
 
 async def test_hosts_that_started_together_do_not_poll_together(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All hosts were started at the same moment, and the store goes away later.
+    """Guards against simultaneous polls of hosts that were started at the same time.
 
-    If all had asked together, the last confirmation is old at that moment, and callers
-    are refused while the store has been away for two seconds only.
+    If all hosts polled together, the last confirmation could be old when an outage of
+    the store begins, and callers would be refused after only two seconds of it.
     """
     for module in (configuration, watching):
         monkeypatch.setattr(module, "read_boot_clock", trio.current_time)
     data = MemoryStore().data
-    fleet = [Watching(heard=8) for _ in range(9)]
+    fleet = [WatchingHost(live_peers=8) for _ in range(9)]
     for host in fleet:
         host.store.data = host.watch_store.data = data
     write_configuration(fleet[0].store, 1)
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -127,7 +127,7 @@
     state.host = name
     state.sharing.own = name
     state.sharing.boot = state.boot
-    state.hosts._own = name
+    state.hosts._local_host = name
     state.sharing.note_holder((5, HOLDER))
     return state
 
@@ -163,7 +163,7 @@
     """The tenancy of the holder of the duties."""
 
     def __init__(self) -> None:
-        self._given = Tenure(HOLDER, 5)
+        self._fixed_term = Tenure(HOLDER, 5)
 
 
 async def report_one_window(
--- a/dewridge/tests/platform/servers_tests.py
+++ b/dewridge/tests/platform/servers_tests.py
@@ -14,7 +14,7 @@
 from dewridge.platform.servers import decode_server, is_address
 from dewridge.platform.store import Item
 from dewridge.sentinels import Failure
-from dewridge.tests.gateway.state_tests import Watching, list_names, write_server
+from dewridge.tests.gateway.state_tests import WatchingHost, list_names, write_server
 
 GOOD: dict[str, Any] = {
     "service": "plain",
@@ -139,7 +139,7 @@
     """
     lines: list[str] = []
     sink = log.add(lambda line: lines.append(str(line)), level="ERROR")
-    host = Watching()
+    host = WatchingHost()
     write_server(host.store, "s-1")
     host.store.write("servers/x-1", b"\xff\xfe not a record")
     host.store.write("servers/x-2", b'{"service":"plain","state":"asleep"}')
