--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -39,8 +39,8 @@
 """Seconds from the first server in the list until all running ones are listed: one
 heartbeat and the delay of the updates."""
 RECLAIM_DETECTION_PERIOD = 3.0
-"""Seconds after the last server of a domain began to leave in which a reclaim of that
-domain is detected: two polls and the delay of the updates."""
+"""Seconds after the last server of a domain began to leave by which all its servers
+have left if the domain was reclaimed: two polls and the delay of the updates."""
 NEEDED_SERVERS_KEY = "dewridge-needed"
 """Store key of the number of servers that each service needs. It is outside the prefix
 of the entry hosts, whose watches would otherwise wake at each change."""
