--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -324,11 +324,11 @@
     watcher = StoreWatcher(
         store,
         MemoryStore(data),
-        ConfigurationState(trusted_for=4.0),
+        ConfigurationState(trust_period=4.0),
         ServerTable(),
         lambda: 1,
         6000.0,
-        on_rollout=orders.append,
+        on_rollout_order=orders.append,
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(watcher.watch_configuration)
