--- a/dewridge/bench/decisions.py
+++ b/dewridge/bench/decisions.py
@@ -78,10 +78,10 @@
         samples.append((time.perf_counter() - started) * 1e6)
         if assignment is not None:
             running.append((assignment.work.request, assignment.server))
-            scheduler.note_first_token(*running[-1], now + 0.005)
+            scheduler.record_first_token(*running[-1], now + 0.005)
         while len(running) > IN_FLIGHT:
             request, server = running.pop(0)
-            scheduler.note_ended(request, server, AttemptOutcome.DONE, 100, now)
+            scheduler.record_attempt_end(request, server, AttemptOutcome.DONE, 100, now)
     return samples
 
 
--- a/dewridge/bench/services.py
+++ b/dewridge/bench/services.py
@@ -215,14 +215,16 @@
         scheduler = self.schedulers[host]
         if is_first:
             flight.record.note_first_token(now)
-            scheduler.note_first_token(request, server, now)
+            scheduler.record_first_token(request, server, now)
             gained -= 1
         if gained > 0:
-            scheduler.note_tokens(request, server, gained, now)
+            scheduler.record_tokens(request, server, gained, now)
         if not report.is_done:
             return
         self._settle(flight)
-        scheduler.note_ended(request, server, AttemptOutcome.DONE, flight.tokens, now)
+        scheduler.record_attempt_end(
+            request, server, AttemptOutcome.DONE, flight.tokens, now
+        )
         del self._requests[host][request]
         flight.record.end(Outcome.ANSWERED, now)
         flight.record.tokens = flight.tokens
@@ -242,7 +244,7 @@
             return
         server = flight.server
         self._settle(flight, imported)
-        decision = self.schedulers[host].note_ended(
+        decision = self.schedulers[host].record_attempt_end(
             attempt.work.request, server, outcome, flight.tokens, self._timeline.now
         )
         if isinstance(decision, Abandoned):
@@ -325,7 +327,7 @@
 
     def _hear_notice(self, host: int, server: AnyServer, leaving_at: float) -> None:
         now = self._timeline.now
-        moves = self.schedulers[host].note_leaving(server.id, leaving_at, now)
+        moves = self.schedulers[host].handle_server_leaving(server.id, leaving_at, now)
         self._plan(host, moves)
         self.pump(host)
 
--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -25,7 +25,7 @@
 from dewridge.http1.headers import drop_hop_headers
 from dewridge.platform.engines import stop_and_move
 from dewridge.platform.headers import Dispatch
-from dewridge.policy.losses import Loss
+from dewridge.policy.losses import LossReason
 from dewridge.sentinels import Failure
 
 REJECTIONS = 3
@@ -115,10 +115,14 @@
         if out.has_begun:
             # A stream goes on here and this server failed it: its caller has the head
             # of a success already, and only a cut tells it the truth.
-            return Lost(Loss.FAILED, f"status {whole.head.status}", whole.head.status)
+            return Lost(
+                LossReason.FAILED, f"status {whole.head.status}", whole.head.status
+            )
         self._count(job)
         if whole.head.status >= 500 and self._may_repeat(job):
-            return Lost(Loss.FAILED, f"status {whole.head.status}", whole.head.status)
+            return Lost(
+                LossReason.FAILED, f"status {whole.head.status}", whole.head.status
+            )
         await self._pass_on(job, server, whole, out)
         return None
 
@@ -138,7 +142,7 @@
             memory=step.memory if step else None,
             keeper=job.keeper,
         )
-        answer: OpenAnswer | Lost = Lost(Loss.CUT_OFF, "silent")
+        answer: OpenAnswer | Lost = Lost(LossReason.CUT_OFF, "silent")
         with trio.move_on_after(self._find_silence(job)):
             answer = await send_request(
                 job.request,
@@ -200,9 +204,9 @@
                     piece = await answer.receive()
                 if scope.cancelled_caught:
                     if job.next_step is not None:
-                        return Lost(Loss.MOVED, job.next_step.server.id)
+                        return Lost(LossReason.MOVED, job.next_step.server.id)
                     if not stream.is_due(trio.current_time()):
-                        return Lost(Loss.CUT_OFF, "silent")
+                        return Lost(LossReason.CUT_OFF, "silent")
                     await self._move(job, server, stream)
                     continue
                 if piece is None:
@@ -211,15 +215,15 @@
                 await self._pass_events(job, splitter, piece, answer, out)
         except ConnectionBrokenError as error:
             if job.next_step is not None:
-                return Lost(Loss.MOVED, job.next_step.server.id)
-            return Lost(Loss.CUT_OFF, str(error))
+                return Lost(LossReason.MOVED, job.next_step.server.id)
+            return Lost(LossReason.CUT_OFF, str(error))
         finally:
             self._state.streams.close(server.id, stream)
             answer.close()
         job.next_step = None
         self._state.find_health(server.id).note_success(trio.current_time())
         if splitter.rest:
-            return Lost(Loss.CUT_OFF, "ended within an event")
+            return Lost(LossReason.CUT_OFF, "ended within an event")
         if not out.has_begun:
             await out.begin(200, clean_answer_headers(answer.head.headers))
         note_answered(self._state, job)
@@ -300,7 +304,7 @@
     def _learn_pace(self, job: Job, now: float) -> None:
         if job.timed_from is not None:
             pace = self._state.paces[job.service]
-            pace.add(job.request.sizes.prompt_tokens, now - job.timed_from)
+            pace.add_sample(job.request.sizes.prompt_tokens, now - job.timed_from)
 
     def _count(self, job: Job) -> None:
         if not job.is_counted:
@@ -309,7 +313,7 @@
 
     def _decide(self, job: Job, lost: Lost, out: Responder) -> Failure | None:
         """Return the failure to tell, or None to try another server."""
-        if lost.loss is Loss.MOVED:
+        if lost.loss is LossReason.MOVED:
             return None
         if lost.is_not_run and job.last_resort is not None:
             job.next_step, job.last_resort = job.last_resort, None
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -50,7 +50,7 @@
 from dewridge.platform.cloud import Cloud
 from dewridge.platform.eras import StoreEra
 from dewridge.platform.store import Item, Store
-from dewridge.policy.pacing import Pace, find_rate
+from dewridge.policy.pacing import DatagramPacer, find_datagram_rate
 from dewridge.policy.quota import QuotaLedger
 from dewridge.settings.gateway import GatewaySettings
 from dewridge.supervision.tree import Supervisor
@@ -122,7 +122,7 @@
         self._socket = PacedSocket(
             settings.host.address,
             settings.listen.peer_ports[0],
-            Pace(find_rate(settings.host.link_mbps)),
+            DatagramPacer(find_datagram_rate(settings.host.link_mbps)),
             metrics,
         )
         self._teller = UsageTeller(
--- a/dewridge/gateway/datagrams.py
+++ b/dewridge/gateway/datagrams.py
@@ -9,7 +9,7 @@
 from loguru import logger as log
 
 from dewridge.metrics.registry import Metrics
-from dewridge.policy.pacing import Pace
+from dewridge.policy.pacing import DatagramPacer
 
 DATAGRAM_LIMIT = 60_000
 PeerAddress = tuple[str, int]
@@ -44,7 +44,11 @@
     """Owns the socket; what is posted goes out in the order of its urgency."""
 
     def __init__(
-        self, address: str, port: int, pace: Pace, metrics: Metrics | None = None
+        self,
+        address: str,
+        port: int,
+        pace: DatagramPacer,
+        metrics: Metrics | None = None,
     ) -> None:
         self._address = address
         self._port = port
@@ -110,7 +114,7 @@
 
     async def _send(self, datagram: Datagram) -> None:
         size = len(datagram.data)
-        self._pace.note_sent(size, trio.current_time())
+        self._pace.record_sent(size, trio.current_time())
         self._metrics.add("datagrams_sent")
         self._metrics.add("datagram_bytes_sent", size)
         try:
--- a/dewridge/gateway/forwarding.py
+++ b/dewridge/gateway/forwarding.py
@@ -15,7 +15,7 @@
     read_answered_request,
     says_not_executed,
 )
-from dewridge.policy.losses import NOT_RUN, Loss
+from dewridge.policy.losses import NOT_RUN_REASONS, LossReason
 
 INLINE_BODY = 4_096
 """Bytes of a body that are sent before the answer is looked for. A longer one is
@@ -28,14 +28,14 @@
 class Lost:
     """An attempt without an answer; `is_not_run` is proved, not guessed."""
 
-    loss: Loss
+    loss: LossReason
     reason: str = ""
     status: int = 0
 
     @property
     def is_not_run(self) -> bool:
         """Whether the server provably did not run the request."""
-        return self.loss in NOT_RUN
+        return self.loss in NOT_RUN_REASONS
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
     if connection is None:
         connection = await pool.open(server)
     if connection is None:
-        return Lost(Loss.NOT_CONNECTED)
+        return Lost(LossReason.NOT_CONNECTED)
     is_kept = False
     try:
         head = await _exchange(connection, request, dispatch)
@@ -115,7 +115,7 @@
     except ConnectionBrokenError as error:
         if is_reused:
             pool.note_broken(server)
-        loss = Loss.MALFORMED if error.is_framing_fault else Loss.CUT_OFF
+        loss = LossReason.MALFORMED if error.is_framing_fault else LossReason.CUT_OFF
         return Lost(loss, str(error))
     finally:
         if not is_kept:
@@ -166,13 +166,13 @@
     """
     answered = read_answered_request(head)
     if answered is not None and answered != request.id:
-        return Lost(Loss.MISMATCHED, f"names {answered[:40]}")
+        return Lost(LossReason.MISMATCHED, f"names {answered[:40]}")
     if answered is None and is_reused:
-        return Lost(Loss.MISMATCHED, "names no request")
+        return Lost(LossReason.MISMATCHED, "names no request")
     if is_another_server(head):
-        return Lost(Loss.OTHER_SERVER, status=head.status)
+        return Lost(LossReason.OTHER_SERVER, status=head.status)
     if says_not_executed(head):
-        return Lost(Loss.REJECTED, status=head.status)
+        return Lost(LossReason.REJECTED, status=head.status)
     if 200 <= head.status < 300:
         return _judge_success(head, is_named=answered is not None)
     return None
@@ -180,9 +180,9 @@
 
 def _judge_success(head: ResponseHead, *, is_named: bool) -> Lost | None:
     if not (is_named and has_signature(head)):
-        return Lost(Loss.MALFORMED, "a success without its marks")
+        return Lost(LossReason.MALFORMED, "a success without its marks")
     if head.find(b"content-encoding") is not None:
-        return Lost(Loss.MALFORMED, "an encoded body")
+        return Lost(LossReason.MALFORMED, "an encoded body")
     return None
 
 
@@ -195,10 +195,10 @@
             pieces.append(piece)
             size += len(piece)
             if size > WHOLE_ANSWER_LIMIT:
-                return Lost(Loss.MALFORMED, "the answer is too large")
+                return Lost(LossReason.MALFORMED, "the answer is too large")
         return WholeAnswer(answer.head, b"".join(pieces))
     except ConnectionBrokenError as error:
-        loss = Loss.MALFORMED if error.is_framing_fault else Loss.CUT_OFF
+        loss = LossReason.MALFORMED if error.is_framing_fault else LossReason.CUT_OFF
         return Lost(loss, str(error))
     finally:
         answer.close()
--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -11,7 +11,12 @@
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import note_end
 from dewridge.ids import BackendServerId
-from dewridge.policy.losses import CUT, Reach, ServerVerdict, judge_loss
+from dewridge.policy.losses import (
+    INTERRUPTED_REASONS,
+    ConnectResult,
+    ServerVerdict,
+    classify_loss,
+)
 
 FULL_FOR = 0.1
 """Seconds that a server counts as full after it refused: a few answers' time."""
@@ -23,7 +28,7 @@
 @dataclass
 class _Look:
     begun_at: float
-    reach: Reach | None = None
+    reach: ConnectResult | None = None
     done: trio.Event = field(default_factory=trio.Event)
 
 
@@ -38,23 +43,25 @@
         """Draw the conclusions from a lost attempt."""
         state = self._state
         now = trio.current_time()
-        reach = await self._look(server) if lost.loss in CUT else None
+        reach = await self._look(server) if lost.loss in INTERRUPTED_REASONS else None
         self._tell(job, server, lost, reach, now)
-        verdict = judge_loss(
+        verdict = classify_loss(
             lost.loss,
             reach,
             is_leaving=state.servers.find_leaving(server.id) is not None,
-            begun_for=None if job.begun_at is None else now - job.begun_at,
+            seconds_since_first_event=None
+            if job.begun_at is None
+            else now - job.begun_at,
         )
         self._apply(server, verdict.server)
-        if verdict.blames_request:
+        if verdict.is_request_suspect:
             note_end(state, job, server.id, now)
         elif verdict.server is ServerVerdict.GONE and not lost.is_not_run:
             # The route's attempt limit bounds the servers that a request may cost; this
             # request is not blamed for the server's end.
             job.runs -= 1
 
-    async def _look(self, server: ServerRecord) -> Reach | None:
+    async def _look(self, server: ServerRecord) -> ConnectResult | None:
         """Return whether a server accepts connections, looked at once for all jobs."""
         known = self._looks.get(server.id)
         if known is not None and trio.current_time() - known.begun_at < LOOK_FOR:
@@ -101,7 +108,7 @@
         job: Job,
         server: ServerRecord,
         lost: Lost,
-        reach: Reach | None,
+        reach: ConnectResult | None,
         now: float,
     ) -> None:
         self._state.metrics.add("attempts_lost_total", loss=lost.loss.name)
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -9,8 +9,8 @@
 from dewridge.http1.client import ClientConnection, NotConnected, open_connection
 from dewridge.http1.reach import look
 from dewridge.ids import BackendServerId, ServiceName
-from dewridge.policy.idletime import IdleTime
-from dewridge.policy.losses import Reach
+from dewridge.policy.idletime import IdleLimitEstimator
+from dewridge.policy.losses import ConnectResult
 
 MOST_IDLE = 4
 """Idle connections kept for each server: what a burst of one round trip uses."""
@@ -33,7 +33,9 @@
 
     def __init__(self) -> None:
         self._idle: dict[BackendServerId, deque[Kept]] = defaultdict(deque)
-        self._times: dict[ServiceName, IdleTime] = defaultdict(IdleTime)
+        self._times: dict[ServiceName, IdleLimitEstimator] = defaultdict(
+            IdleLimitEstimator
+        )
         self.opened = 0
         self.reused = 0
 
@@ -65,7 +67,7 @@
         connection = await open_connection(server.address, CONNECT_TIMEOUT)
         return None if isinstance(connection, NotConnected) else connection
 
-    async def look(self, server: ServerRecord) -> Reach:
+    async def look(self, server: ServerRecord) -> ConnectResult:
         """Return whether a server accepts connections."""
         self.opened += 1
         return await look(server.address)
@@ -83,7 +85,7 @@
         A path that went silent, or a server that is gone without a word, shows only so;
         all connections to it are in the same state.
         """
-        self._times[server.service].note_closed(0.0)
+        self._times[server.service].record_closed(0.0)
         for kept in self._idle.pop(server.id, ()):
             kept.connection.close()
 
@@ -110,7 +112,7 @@
         """Return whether a connection is open, and learn how long they stay so."""
         is_open = kept.connection.is_quiet()
         if is_open:
-            self._times[kept.service].note_open(age)
+            self._times[kept.service].record_open(age)
         else:
-            self._times[kept.service].note_closed(age)
+            self._times[kept.service].record_closed(age)
         return is_open
--- a/dewridge/gateway/rollouts.py
+++ b/dewridge/gateway/rollouts.py
@@ -19,7 +19,7 @@
 )
 from dewridge.gateway.reports import OutcomeName, RolloutProgress
 from dewridge.ids import ServiceName
-from dewridge.policy.losses import Loss
+from dewridge.policy.losses import LossReason
 from dewridge.policy.rollouts import (
     FINAL,
     RANKS,
@@ -39,7 +39,9 @@
 """Answers on a route before its typical latency is used."""
 LATENCY_WEIGHT = 0.05
 """Weight of a new sample in the moving average."""
-NEUTRAL_LOSSES = frozenset({Loss.REJECTED, Loss.OTHER_SERVER, Loss.MOVED})
+NEUTRAL_LOSSES = frozenset(
+    {LossReason.REJECTED, LossReason.OTHER_SERVER, LossReason.MOVED}
+)
 """Losses that are not counted for or against a version."""
 REWRITE_TIME = 10.0
 """Seconds after a restore of the store during which an identical order counts as a
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -170,8 +170,8 @@
 
     def _find_load(self, service: Service, now: float) -> Load:
         return Load(
-            rate=self._state.demand[service.name].find_rate(now),
-            pace=self._state.paces[service.name].find(),
+            rate=self._state.demand[service.name].find_peak_rate(now),
+            pace=self._state.paces[service.name].estimate(),
             in_flight=self._state.count_in_flight(
                 self._state.servers.list_service(service.name)
             ),
@@ -226,7 +226,7 @@
         return True
 
     def _find_start_need(self, service: ServiceName, now: float) -> int:
-        since = self._state.demand[service].since
+        since = self._state.demand[service].first_arrival_at
         return find_start_need(
             self._found[service],
             self._sum_quotas(),
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -38,7 +38,7 @@
     ServiceName,
 )
 from dewridge.metrics.registry import Metrics
-from dewridge.policy.capacity import ReadingPace
+from dewridge.policy.capacity import PrefillRateMeter
 from dewridge.policy.demand import DemandMeter
 from dewridge.policy.quota import FleetView, QuotaLedger
 from dewridge.policy.retrybudget import RetryBudget
@@ -126,8 +126,8 @@
     demand: dict[ServiceName, DemandMeter] = field(
         default_factory=lambda: defaultdict(DemandMeter)
     )
-    paces: dict[ServiceName, ReadingPace] = field(
-        default_factory=lambda: defaultdict(ReadingPace)
+    paces: dict[ServiceName, PrefillRateMeter] = field(
+        default_factory=lambda: defaultdict(PrefillRateMeter)
     )
     own_demand: dict[ServiceName, float] = field(
         default_factory=lambda: defaultdict(float)
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -12,9 +12,9 @@
 from dewridge.policy.choice import (
     Candidate,
     Placement,
-    choose_fewest,
+    choose_fewest_requests,
     choose_least_loaded,
-    find_keeper,
+    find_cache_holder,
     place_prompt,
 )
 from dewridge.policy.serverhealth import (
@@ -82,7 +82,7 @@
     server = state.servers.find(placement.server)
     if server is None:
         return None
-    keeper = find_keeper(keepers, name_prefix(job), server.id)
+    keeper = find_cache_holder(keepers, name_prefix(job), server.id)
     if keeper is not None and now < state.find_health(keeper).rests_until:
         keeper = None
     address = None if keeper is None else settled[keeper].address
@@ -105,7 +105,7 @@
     beside it, so that an innocent one is not blamed for the same end again.
     """
     candidates = weigh(state, records, now)
-    chosen = choose_fewest(candidates, state.work.suspects, state.rng)
+    chosen = choose_fewest_requests(candidates, state.work.suspects, state.rng)
     server = None if chosen is None else state.servers.find(chosen.id)
     if server is None:
         return None
@@ -146,7 +146,7 @@
             sizes.prompt_tokens,
             rng,
             can_copy=can_copy,
-            news_age=news_age,
+            staleness=news_age,
         )
     chosen = choose_least_loaded(candidates, rng)
     return None if chosen is None else Placement(chosen.id, 0)
--- a/dewridge/policy/admission.py
+++ b/dewridge/policy/admission.py
@@ -33,9 +33,9 @@
         class_cost: work of the class that waits.
         account_cost: work of the class that waits for this account.
         account_share: the account's part of the class's pace, within 0 to 1.
-        class_pace: work of the class dispatched a second while some waits.
+        class_rate: work of the class dispatched a second while some waits.
         total_cost: all work that waits.
-        total_pace: all work dispatched a second while some waits.
+        total_rate: all work dispatched a second while some waits.
         has_servers: whether any backend server is there.
         budget_wait: seconds until the cost limit lets it start.
         exceeds_answer_limit: whether its own cost is above the limit.
@@ -47,9 +47,9 @@
     class_cost: float
     account_cost: float
     account_share: float
-    class_pace: float
+    class_rate: float
     total_cost: float
-    total_pace: float
+    total_rate: float
     has_servers: bool
     budget_wait: float
     exceeds_answer_limit: bool
@@ -136,9 +136,9 @@
     def check_bounds(view: AdmissionView) -> Failure | None:
         # Work, not count: a hundred status checks are gone in a second, a
         # hundred drafts keep the service busy for minutes.
-        bound = max(view.total_pace * queue_seconds, view.cost)
+        bound = max(view.total_rate * queue_seconds, view.cost)
         free = bound - view.total_cost
-        drain = max(view.total_pace, 1e-9)
+        drain = max(view.total_rate, 1e-9)
         if free < view.cost:
             wait = (view.cost - free) / drain
             return refuse(ResultCode.QUEUE_FULL, "the queue is full", wait)
@@ -161,7 +161,7 @@
     The account's own backlog at its share of the pace, and not the whole
     backlog at the whole pace: requests of accounts that wait less overtake it.
     """
-    pace = max(view.class_pace, 1e-9)
+    pace = max(view.class_rate, 1e-9)
     return view.account_cost / (pace * max(view.account_share, 1e-9))
 
 
--- a/dewridge/policy/backlog.py
+++ b/dewridge/policy/backlog.py
@@ -22,7 +22,7 @@
         self._delayed: dict[RequestId, QueueEntry] = {}
         self._delays: list[_Timer] = []
         self._expiries: list[_Timer] = []
-        self._hopeless: dict[RequestId, QueueEntry] = {}
+        self._expired: dict[RequestId, QueueEntry] = {}
         self._sequence = 0
         self._credits = 1.0
 
@@ -55,7 +55,7 @@
         self._delayed[entry.work.request] = entry
         self._push_timer(self._delays, due, entry)
 
-    def release(self, now: float) -> list[QueueEntry]:
+    def pop_due(self, now: float) -> list[QueueEntry]:
         """Take the delayed entries that are due; the caller queues them."""
         due = []
         while self._delays and self._delays[0][0] <= now:
@@ -65,18 +65,18 @@
                 due.append(entry)
         return due
 
-    def take(self, entry: QueueEntry, now: float) -> None:
+    def dequeue(self, entry: QueueEntry, now: float) -> None:
         """Remove a head of the queue, which is dispatched."""
-        self.queue.take(entry)
+        self.queue.dequeue(entry)
         del self._queued[entry.work.request]
-        self._paces[entry.work.work_class].note_dispatch(entry.cost)
-        self._total_pace.note_dispatch(entry.cost)
+        self._paces[entry.work.work_class].record_dispatch(entry.cost)
+        self._total_pace.record_dispatch(entry.cost)
         self._note_backlog(now)
 
     def withdraw(self, request: RequestId, now: float) -> None:
         """Forget a request, if it waits."""
         self._delayed.pop(request, None)
-        self._hopeless.pop(request, None)
+        self._expired.pop(request, None)
         entry = self._queued.pop(request, None)
         if entry is not None:
             self.queue.remove(entry)
@@ -96,19 +96,19 @@
             for entry in late:
                 self._set_aside(entry, now)
 
-    def take_hopeless(self, now: float) -> list[QueueEntry]:
+    def pop_expired(self, now: float) -> list[QueueEntry]:
         """Take the entries that would start too late."""
         while self._expiries and self._expiries[0][0] <= now:
             _, _, entry = heapq.heappop(self._expiries)
             if self._is_queued(entry) and entry.latest_start <= now:
                 self._set_aside(entry, now)
-        hopeless = list(self._hopeless.values())
-        self._hopeless.clear()
+        hopeless = list(self._expired.values())
+        self._expired.clear()
         return hopeless
 
     def find_next_time(self, now: float) -> float | None:
         """Return when an entry is due, or hopeless."""
-        if self._hopeless:
+        if self._expired:
             return now
         while self._delays and not self._is_delayed(self._delays[0][2]):
             heapq.heappop(self._delays)
@@ -123,13 +123,13 @@
         """Return all work in the queue."""
         return sum(self.queue.find_cost(work_class) for work_class in WorkClass)
 
-    def find_pace(self, work_class: WorkClass | None, guess: float) -> float:
+    def find_rate(self, work_class: WorkClass | None, guess: float) -> float:
         """Return work dispatched a second, of a class or of both.
 
         `guess` is what one credit is reckoned to do before it was seen.
         """
         meter = self._paces[work_class] if work_class else self._total_pace
-        return max(1e-9, meter.find_pace(self._credits, guess))
+        return max(1e-9, meter.find_rate(self._credits, guess))
 
     @property
     def queued(self) -> int:
@@ -154,10 +154,10 @@
     def _set_aside(self, entry: QueueEntry, now: float) -> None:
         del self._queued[entry.work.request]
         self.queue.remove(entry)
-        self._hopeless[entry.work.request] = entry
+        self._expired[entry.work.request] = entry
         self._note_backlog(now)
 
     def _note_backlog(self, now: float) -> None:
         for work_class, meter in self._paces.items():
-            meter.note_backlog(self.queue.has_work(work_class), self._credits, now)
-        self._total_pace.note_backlog(bool(self._queued), self._credits, now)
+            meter.record_backlog(self.queue.has_work(work_class), self._credits, now)
+        self._total_pace.record_backlog(bool(self._queued), self._credits, now)
--- a/dewridge/policy/capacity.py
+++ b/dewridge/policy/capacity.py
@@ -7,7 +7,7 @@
 KEPT = 200
 """Samples kept: half a minute of one host's requests in a small fleet, so that other
 prompts or slower engines show within that."""
-USUAL_PACE = 65_000.0
+DEFAULT_PREFILL_RATE = 65_000.0
 """Prompt tokens a second that an engine is taken to read until its pace is known: about
 what is learned of engines that read 40,000 to 57,000 with two fifths of them cached."""
 USUAL_WEIGHT = 60.0
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class ReadingPace:
+class PrefillRateMeter:
     """How many prompt tokens a second an engine without other work reads.
 
     Tokens that it has in its cache already count as read, as they do in the demand: a
@@ -37,16 +37,16 @@
         default_factory=lambda: deque(maxlen=KEPT)
     )
 
-    def add(self, tokens: int, seconds: float) -> None:
+    def add_sample(self, tokens: int, seconds: float) -> None:
         """Count a prompt whose answer began so long after it was sent."""
         if tokens > 0 and seconds > 0:
             self._samples.append((seconds, tokens))
 
-    def find(self) -> float:
+    def estimate(self) -> float:
         """Return tokens a second, near the usual pace while few samples are known."""
         count = len(self._samples)
         if not count:
-            return USUAL_PACE
+            return DEFAULT_PREFILL_RATE
         fixed = sorted(seconds for seconds, _ in self._samples)[int(FIXED_PART * count)]
         by_slowness = sorted(
             (max(0.0, seconds - fixed) / tokens, tokens)
@@ -55,7 +55,7 @@
         kept = by_slowness[: max(1, int(count * (1 - TRIMMED)))]
         busy = sum(slowness * tokens for slowness, tokens in kept)
         if busy <= 0:
-            return USUAL_PACE
+            return DEFAULT_PREFILL_RATE
         learned = sum(tokens for _, tokens in kept) / busy
         weight = count / (count + USUAL_WEIGHT)
-        return USUAL_PACE * math.pow(learned / USUAL_PACE, weight)
+        return DEFAULT_PREFILL_RATE * math.pow(learned / DEFAULT_PREFILL_RATE, weight)
--- a/dewridge/policy/choice.py
+++ b/dewridge/policy/choice.py
@@ -15,7 +15,7 @@
 is written beside it: a step of an engine takes some hundredths longer."""
 QUEUED_TOKENS = 4_000.0
 """The same for each request beyond a server's slots: it waits for one to end."""
-NEAR_TOKENS = 1_000.0
+EQUAL_LOAD_TOKENS = 1_000.0
 """Prompt tokens up to which two servers count as equally busy: some 25 ms of reading,
 less than other hosts' news is old. Always taking the best one, all hosts would send a
 burst to one server before they hear of each other."""
@@ -61,7 +61,7 @@
     is_usable: bool
 
     @property
-    def delay(self) -> float:
+    def delay_tokens(self) -> float:
         """What a newcomer waits for, in prompt tokens to be read before its own."""
         queued = max(0, self.requests + 1 - self.slots)
         return (
@@ -92,7 +92,7 @@
     rng: random.Random,
     *,
     can_copy: bool = False,
-    news_age: float = 0.0,
+    staleness: float = 0.0,
 ) -> Placement | None:
     """Choose the server at which a prompt is read soonest.
 
@@ -116,32 +116,34 @@
         prompt_tokens: of the whole prompt.
         rng: draws among servers that are about equally busy.
         can_copy: whether another server can copy the shared part from a home.
-        news_age: seconds by which the other hosts' news may lag.
+        staleness: seconds by which the other hosts' news may lag.
     """
     usable = [one for one in candidates if one.is_usable] or list(candidates)
     if not usable:
         return None
-    if news_age > OLD_NEWS:
-        usable = list_homes(usable, prefix)
-    least = min(one.delay for one in usable)
+    if staleness > OLD_NEWS:
+        usable = list_cache_holders(usable, prefix)
+    least = min(one.delay_tokens for one in usable)
     weight = COPIED_WEIGHT if can_copy else SHARED_WEIGHT
-    bound = least * (1 + BUSY_WEIGHT) + shared_tokens * weight + NEAR_TOKENS
-    for home in list_homes(usable, prefix):
-        if home.delay <= bound:
+    bound = least * (1 + BUSY_WEIGHT) + shared_tokens * weight + EQUAL_LOAD_TOKENS
+    for home in list_cache_holders(usable, prefix):
+        if home.delay_tokens <= bound:
             own_tokens = max(0, prompt_tokens - shared_tokens)
             return Placement(home.id, own_tokens, home.unread_tokens <= 0)
-    near = [one for one in usable if one.delay <= least + NEAR_TOKENS]
+    near = [one for one in usable if one.delay_tokens <= least + EQUAL_LOAD_TOKENS]
     chosen = rng.choice(near)
     tokens = prompt_tokens - shared_tokens if can_copy else prompt_tokens
     return Placement(chosen.id, max(0, tokens), chosen.unread_tokens <= 0)
 
 
-def list_homes(candidates: Sequence[Candidate], prefix: str) -> list[Candidate]:
+def list_cache_holders(candidates: Sequence[Candidate], prefix: str) -> list[Candidate]:
     """Return the servers that keep a prefix, the first one first; all hosts agree."""
-    return heapq.nlargest(HOMES, candidates, key=lambda one: score_home(prefix, one.id))
+    return heapq.nlargest(
+        HOMES, candidates, key=lambda one: score_cache_holder(prefix, one.id)
+    )
 
 
-def find_keeper(
+def find_cache_holder(
     settled: Sequence[BackendServerId], prefix: str, chosen: BackendServerId
 ) -> BackendServerId | None:
     """Return the server that likely keeps what the chosen one has not read yet.
@@ -157,17 +159,17 @@
         prefix: names the shared part.
         chosen: where the prompt goes.
     """
-    keeper = max(settled, key=lambda one: score_home(prefix, one), default=None)
+    keeper = max(settled, key=lambda one: score_cache_holder(prefix, one), default=None)
     return None if keeper == chosen else keeper
 
 
-def score_home(prefix: str, server: BackendServerId) -> int:
+def score_cache_holder(prefix: str, server: BackendServerId) -> int:
     """Return how well a server ranks as the home of a prefix."""
     seed = xxhash.xxh3_64_intdigest(prefix.encode())
     return score_prefix(seed, xxhash.xxh3_64_intdigest(server.encode()))
 
 
-def choose_fewest(
+def choose_fewest_requests(
     candidates: Sequence[Candidate],
     avoided: Container[BackendServerId],
     rng: random.Random,
--- a/dewridge/policy/cost.py
+++ b/dewridge/policy/cost.py
@@ -57,7 +57,7 @@
         excess = self._level + expected - self._limits.per_hour * BURST
         return max(0.0, excess * HOUR / self._limits.per_hour)
 
-    def exceeds_answer(self, expected: float) -> bool:
+    def exceeds_answer_limit(self, expected: float) -> bool:
         """Whether one answer would cost more than the profile allows."""
         limit = self._limits.per_answer
         return 0 < limit < expected
--- a/dewridge/policy/credits.py
+++ b/dewridge/policy/credits.py
@@ -41,7 +41,7 @@
 SPREADS = 2.0
 """Mean distances above the mean within which about 95 in 100 samples lie."""
 
-LEAST_LIMIT = 0.25
+MIN_LIMIT = 0.25
 """Credits at least. Fractions count in the sum over the host's servers; with none
 left on a server, nothing would tell that it got better."""
 
@@ -67,13 +67,16 @@
 
     Attributes:
         share: this host's even part of the server's capacity.
-        hash: of its id, for prefix affinity.
+        id_hash: of its id, for prefix affinity.
         first_token: smoothed seconds from dispatch to the first token; 0: none.
-        interactive: the same for interactive work only, which engines put first.
-        spread: smoothed distance of its samples from `interactive`.
+        interactive_first_token: the same for interactive work only, which engines
+            run first.
+        interactive_spread: smoothed distance of the samples from
+            `interactive_first_token`.
         token_time: smoothed seconds between tokens; 0: none yet.
-        heard_at: when anything came from it last.
-        waiting: dispatch times of requests without a first token, oldest first.
+        last_response_at: when anything came from it last.
+        awaiting_first_token: dispatch times of the requests without a first token,
+            oldest first.
         retry_at: when a suspended server may be probed.
         probe: the request that probes it now.
     """
@@ -81,15 +84,15 @@
     view: ServerView
     limit: float
     share: float
-    hash: int
+    id_hash: int
     in_flight: int = 0
     background: int = 0
     first_token: float = 0.0
-    interactive: float = 0.0
-    spread: float = 0.0
+    interactive_first_token: float = 0.0
+    interactive_spread: float = 0.0
     token_time: float = 0.0
-    heard_at: float = 0.0
-    waiting: dict[RequestId, float] = field(default_factory=dict)
+    last_response_at: float = 0.0
+    awaiting_first_token: dict[RequestId, float] = field(default_factory=dict)
     health: Health = Health.GOOD
     failures: int = 0
     pause: float = FIRST_PAUSE
@@ -120,21 +123,21 @@
         is_suspended = self.health is Health.SUSPENDED
         return is_suspended and self.view.leaving_at is None and now >= self.retry_at
 
-    def take(self, request: RequestId, work_class: WorkClass, now: float) -> None:
+    def acquire(self, request: RequestId, work_class: WorkClass, now: float) -> None:
         """Use a credit for a dispatch."""
         self.in_flight += 1
         self.background += work_class is WorkClass.BACKGROUND
-        self.waiting[request] = now
+        self.awaiting_first_token[request] = now
         if self.health is Health.SUSPENDED:
             self.health = Health.PROBING
             self.probe = request
 
-    def give_back(self, request: RequestId, work_class: WorkClass) -> None:
+    def release(self, request: RequestId, work_class: WorkClass) -> None:
         """Free the credit of a request that ended."""
         self.in_flight = max(0, self.in_flight - 1)
         if work_class is WorkClass.BACKGROUND:
             self.background = max(0, self.background - 1)
-        self.waiting.pop(request, None)
+        self.awaiting_first_token.pop(request, None)
 
     def find_first_token(self, now: float) -> float:
         """Return the expected time to a first token; 0 if nothing is known.
@@ -151,8 +154,8 @@
         Tokens of other requests break it: a server that is merely full still
         streams, one that hangs does not.
         """
-        oldest = next(iter(self.waiting.values()), now)
-        return now - max(oldest, self.heard_at)
+        oldest = next(iter(self.awaiting_first_token.values()), now)
+        return now - max(oldest, self.last_response_at)
 
     def find_late_first_token(self, now: float) -> float:
         """Return the time that nearly all interactive first tokens come within.
@@ -160,28 +163,28 @@
         The target speaks of 95 in 100 answers; a mean that just meets it would
         have a third of them late.
         """
-        usual = self.interactive + SPREADS * self.spread
+        usual = self.interactive_first_token + SPREADS * self.interactive_spread
         return max(usual, self.find_silence(now))
 
-    def note_first_token(
+    def record_first_token(
         self, request: RequestId, work_class: WorkClass, now: float
     ) -> float | None:
         """Learn from a first token; returns the time that it took."""
-        sent_at = self.waiting.pop(request, None)
+        sent_at = self.awaiting_first_token.pop(request, None)
         if sent_at is None:
             return None
         sample = max(0.0, now - sent_at)
-        self.heard_at = now
+        self.last_response_at = now
         self.first_token = _smooth(self.first_token, sample)
         if work_class is WorkClass.INTERACTIVE:
-            self.interactive = _smooth(self.interactive, sample)
-            distance = abs(sample - self.interactive)
-            self.spread += SMOOTHING * (distance - self.spread)
+            self.interactive_first_token = _smooth(self.interactive_first_token, sample)
+            distance = abs(sample - self.interactive_first_token)
+            self.interactive_spread += SMOOTHING * (distance - self.interactive_spread)
         return sample
 
-    def note_token_time(self, sample: float, now: float) -> None:
+    def record_token_time(self, sample: float, now: float) -> None:
         """Learn from the time between two tokens."""
-        self.heard_at = now
+        self.last_response_at = now
         self.token_time = _smooth(self.token_time, sample)
 
     def set_share(self, share: float) -> None:
@@ -191,7 +194,7 @@
         credits for the whole capacity, kept by all of them, would overrun it.
         """
         if share != self.share:
-            self.limit = max(LEAST_LIMIT, self.limit * share / self.share)
+            self.limit = max(MIN_LIMIT, self.limit * share / self.share)
             self.share = share
 
     def grow(self) -> None:
@@ -201,7 +204,7 @@
             ceiling = float(max(1, self.view.capacity))
             self.limit = min(ceiling, self.limit + pace / max(1.0, self.limit))
 
-    def cut(self, now: float, floor: float = LEAST_LIMIT) -> None:
+    def cut(self, now: float, floor: float = MIN_LIMIT) -> None:
         """Lose credits after a sign of overload, once a round trip.
 
         One moment of overload is seen by every request in flight; cutting for
@@ -210,13 +213,13 @@
         if now - self.cut_at < max(0.05, self.first_token):
             return
         self.cut_at = now
-        self.limit = max(min(floor, self.limit), self.limit * CUT, LEAST_LIMIT)
+        self.limit = max(min(floor, self.limit), self.limit * CUT, MIN_LIMIT)
 
     def yield_borrowed(self, now: float) -> None:
         """Lose credits above the even part: other hosts want theirs."""
         self.cut(now, self.share)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record a good answer; a long run of them shortens the next pause."""
         self.failures = 0
         self.pause = max(FIRST_PAUSE, self.pause * FORGIVING)
@@ -233,20 +236,20 @@
         self.failures = 0
         self.limit = min(1.0, self.share)
         self.first_token = sample
-        self.interactive = sample
-        self.spread = 0.0
+        self.interactive_first_token = sample
+        self.interactive_spread = 0.0
         self.token_time = 0.0
 
-    def note_refusal(self, request: RequestId, now: float, jitter: float) -> None:
+    def record_refusal(self, request: RequestId, now: float, jitter: float) -> None:
         """Record an attempt that the server refused to start: it is full."""
         self.cut(now)
         if self.probe == request:
             self.suspend(now, jitter)
 
-    def note_failure(self, now: float, jitter: float) -> None:
+    def record_failure(self, now: float, jitter: float) -> None:
         """Record a failed attempt; `jitter` is a random number within 0 to 1."""
         self.failures += 1
-        self.limit = max(LEAST_LIMIT, self.limit * CUT)
+        self.limit = max(MIN_LIMIT, self.limit * CUT)
         if self.failures >= FAILURE_LIMIT or self.health is Health.PROBING:
             self.suspend(now, jitter)
 
--- a/dewridge/policy/demand.py
+++ b/dewridge/policy/demand.py
@@ -17,22 +17,22 @@
 class DemandMeter:
     """Prompt tokens that arrived at all hosts for one service."""
 
-    since: float | None = None
+    first_arrival_at: float | None = None
     """When the first work came; None before."""
     _cells: deque[tuple[int, float]] = field(default_factory=deque)
     _rates: deque[tuple[float, float]] = field(default_factory=deque)
 
     def add(self, tokens: float, now: float) -> None:
         """Count arrivals."""
-        if self.since is None:
-            self.since = now
+        if self.first_arrival_at is None:
+            self.first_arrival_at = now
         cell = int(now / CELL)
         if self._cells and self._cells[-1][0] == cell:
             self._cells[-1] = cell, self._cells[-1][1] + tokens
         else:
             self._cells.append((cell, tokens))
 
-    def find_rate(self, now: float) -> float:
+    def find_peak_rate(self, now: float) -> float:
         """Return the highest rate held, in tokens a second."""
         newest = int(now / CELL) - 1
         while self._cells and self._cells[0][0] <= newest - RATE_CELLS:
--- a/dewridge/policy/idletime.py
+++ b/dewridge/policy/idletime.py
@@ -4,7 +4,7 @@
 
 FIRST_LIMIT = 0.6
 """Seconds at first: no server has been seen to close a connection so soon."""
-LEAST_LIMIT = 0.3
+MIN_LIMIT = 0.3
 """Seconds at the least: a server that crashes closes its connections at any age, and
 what others keep has nothing to do with it."""
 ANNOUNCED_SHARE = 0.5
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class IdleTime:
+class IdleLimitEstimator:
     """Learns for how long a service's servers leave idle connections open.
 
     Made for callers whose requests are spread over many servers: a connection is idle
@@ -39,14 +39,14 @@
 
     limit: float = FIRST_LIMIT
 
-    def note_open(self, age: float) -> None:
+    def record_open(self, age: float) -> None:
         """Learn that a connection idle for so long was open."""
         if age > self.limit:
             self.limit = min(age, self.limit * GROWTH)
 
-    def note_closed(self, age: float) -> None:
+    def record_closed(self, age: float) -> None:
         """Learn that the server had closed a connection idle for so long."""
-        self.limit = max(LEAST_LIMIT, min(self.limit, age * CLOSED_SHARE))
+        self.limit = max(MIN_LIMIT, min(self.limit, age * CLOSED_SHARE))
 
     def find_limit(self, announced: float | None, *, must_arrive: bool) -> float:
         """Return the seconds for which a connection may be used again.
--- a/dewridge/policy/losses.py
+++ b/dewridge/policy/losses.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-YOUNG = 0.5
+CRASH_BLAME_SECONDS = 0.5
 """Seconds from its first event within which a run counts as one that has just begun. A
 request that ends servers does so as it begins; a busy process notices tenths late."""
 
 
-class Loss(Enum):
+class LossReason(Enum):
     """Why an attempt has no answer to pass on."""
 
     NOT_CONNECTED = "not connected"
@@ -23,12 +23,14 @@
     MOVED = "moved to another server"
 
 
-NOT_RUN = frozenset({Loss.NOT_CONNECTED, Loss.REJECTED, Loss.OTHER_SERVER})
-CUT = frozenset({Loss.CUT_OFF, Loss.MALFORMED})
+NOT_RUN_REASONS = frozenset(
+    {LossReason.NOT_CONNECTED, LossReason.REJECTED, LossReason.OTHER_SERVER}
+)
+INTERRUPTED_REASONS = frozenset({LossReason.CUT_OFF, LossReason.MALFORMED})
 """Losses after which the server may be there or not."""
 
 
-class Reach(Enum):
+class ConnectResult(Enum):
     """What became of a new connection to a server."""
 
     ACCEPTED = "accepted"
@@ -53,19 +55,19 @@
 
     Attributes:
         server: what to think of the server.
-        blames_request: whether the server may have ended because of this request.
+        is_request_suspect: whether the server may have ended because of this request.
     """
 
     server: ServerVerdict
-    blames_request: bool = False
+    is_request_suspect: bool = False
 
 
-def judge_loss(
-    loss: Loss,
-    reach: Reach | None,
+def classify_loss(
+    loss: LossReason,
+    reach: ConnectResult | None,
     *,
     is_leaving: bool,
-    begun_for: float | None,
+    seconds_since_first_event: float | None,
 ) -> Verdict:
     """Return what a lost attempt says of its server and of its request.
 
@@ -80,18 +82,22 @@
         loss: how the attempt was lost.
         reach: what became of a new connection to the server; None if none was tried.
         is_leaving: whether it is known that the server leaves.
-        begun_for: seconds since the first event of this attempt; None without one.
+        seconds_since_first_event: time since the first event of this attempt; None
+            if there was none.
     """
     match loss:
-        case Loss.MOVED:
+        case LossReason.MOVED:
             return Verdict(ServerVerdict.NOTHING)
-        case Loss.OTHER_SERVER:
+        case LossReason.OTHER_SERVER:
             return Verdict(ServerVerdict.REPLACED)
-        case Loss.REJECTED:
+        case LossReason.REJECTED:
             return Verdict(ServerVerdict.FULL)
-        case Loss.NOT_CONNECTED:
+        case LossReason.NOT_CONNECTED:
             return Verdict(ServerVerdict.GONE)
-    if reach is not Reach.REFUSED:
+    if reach is not ConnectResult.REFUSED:
         return Verdict(ServerVerdict.FAILED)
-    is_young = begun_for is None or begun_for < YOUNG
+    is_young = (
+        seconds_since_first_event is None
+        or seconds_since_first_event < CRASH_BLAME_SECONDS
+    )
     return Verdict(ServerVerdict.GONE, is_young and not is_leaving)
--- a/dewridge/policy/pace.py
+++ b/dewridge/policy/pace.py
@@ -23,19 +23,19 @@
         self._credits = 0.0
         self._at: float | None = None
 
-    def note_backlog(self, has_backlog: bool, credits: float, now: float) -> None:
+    def record_backlog(self, has_backlog: bool, credits: float, now: float) -> None:
         """Record whether work waits from now on, before how many credits."""
         if self._at is not None:
             self._advance(now - self._at)
         self._at = now if has_backlog else None
         self._credits = credits
 
-    def note_dispatch(self, cost: float) -> None:
+    def record_dispatch(self, cost: float) -> None:
         """Record work dispatched; counts only while some waited."""
         if self._at is not None:
             self._work += cost
 
-    def find_pace(self, credits: float, guess: float) -> float:
+    def find_rate(self, credits: float, guess: float) -> float:
         """Return the pace with so many credits.
 
         `guess` is the work that a credit does in a second as far as is known
--- a/dewridge/policy/pacing.py
+++ b/dewridge/policy/pacing.py
@@ -15,12 +15,12 @@
 BYTES_PER_MEGABIT = 125_000
 
 
-def find_rate(link_mbps: float) -> float:
+def find_datagram_rate(link_mbps: float) -> float:
     """Return the bytes a second for datagrams; a link of 0 is not known."""
     return LINK_SHARE * (link_mbps or UNKNOWN_LINK) * BYTES_PER_MEGABIT
 
 
-class Pace:
+class DatagramPacer:
     """Keeps datagrams to a rate, in small bursts."""
 
     def __init__(self, rate: float) -> None:
@@ -36,6 +36,6 @@
         backlog = self._sent_through - now
         return backlog if backlog * self.rate >= BURST_BYTES else 0.0
 
-    def note_sent(self, size: int, now: float) -> None:
+    def record_sent(self, size: int, now: float) -> None:
         """Count a datagram of some bytes as sent."""
         self._sent_through = max(self._sent_through, now) + size / self.rate
--- a/dewridge/policy/placement.py
+++ b/dewridge/policy/placement.py
@@ -74,7 +74,7 @@
         near = [r for r in fitting if has_room(r.in_flight, mean, load)]
         if work.prefix == 0 or not near:
             return None
-        return max(near, key=lambda r: score_prefix(work.prefix, r.hash))
+        return max(near, key=lambda r: score_prefix(work.prefix, r.id_hash))
 
     def find_price(
         work: Work,
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -58,11 +58,11 @@
     latest_start: float = float("inf")
 
     @property
-    def order(self) -> tuple[bool, float, int]:
+    def sort_key(self) -> tuple[bool, float, int]:
         """Place within an account: work whose caller saw tokens goes first."""
         return not self.has_started, self.due, self.sequence
 
-    def note_failed(self, server: BackendServerId, outcome: AttemptOutcome) -> None:
+    def record_failure(self, server: BackendServerId, outcome: AttemptOutcome) -> None:
         """Record an attempt that did not answer."""
         self.refused += outcome is AttemptOutcome.NOT_STARTED
         self.lost += outcome is AttemptOutcome.LOST
@@ -79,7 +79,7 @@
     def list_heads(self) -> list[QueueEntry]:
         """Return the entries that may go next, the first choice first."""
 
-    def take(self, entry: QueueEntry) -> None:
+    def dequeue(self, entry: QueueEntry) -> None:
         """Remove one of the heads, which is dispatched."""
 
     def remove(self, entry: QueueEntry) -> None:
@@ -158,7 +158,7 @@
             self.active_weight += weight
             self._add_turn(queue.tag, entry)
         entry.ticket = next(self._tickets)
-        heapq.heappush(queue.heap, (entry.order, entry.ticket, entry))
+        heapq.heappush(queue.heap, (entry.sort_key, entry.ticket, entry))
         if is_charged:
             queue.charged.add(entry.work.request)
         queue.size += 1
@@ -178,7 +178,7 @@
             return queue.heap[0][2]
         return None
 
-    def take(self, entry: QueueEntry) -> None:
+    def dequeue(self, entry: QueueEntry) -> None:
         queue = self._accounts[entry.work.account]
         self._virtual_time = max(self._virtual_time, queue.tag)
         if entry.work.request in queue.charged:
@@ -276,7 +276,7 @@
             return [background, interactive]
         return [interactive, background]
 
-    def take(self, entry: QueueEntry) -> None:
+    def dequeue(self, entry: QueueEntry) -> None:
         """Remove one of the heads, which is dispatched."""
         background = self._classes[WorkClass.BACKGROUND]
         if entry.work.work_class is WorkClass.BACKGROUND:
@@ -286,7 +286,7 @@
             limit = OWED_LIMIT * (head.cost if head else 0.0)
             owed = self._owed + entry.cost * self._share / (1 - self._share)
             self._owed = min(limit, owed)
-        self._classes[entry.work.work_class].take(entry)
+        self._classes[entry.work.work_class].dequeue(entry)
 
     def remove(self, entry: QueueEntry) -> None:
         """Remove an entry that is not dispatched."""
@@ -336,7 +336,7 @@
         """Return the oldest entry."""
         return [next(iter(self._entries.values()))] if self._entries else []
 
-    def take(self, entry: QueueEntry) -> None:
+    def dequeue(self, entry: QueueEntry) -> None:
         """Remove the head, which is dispatched."""
         self.remove(entry)
 
--- a/dewridge/policy/recovery.py
+++ b/dewridge/policy/recovery.py
@@ -59,7 +59,7 @@
         return self.entry.work.request
 
     @property
-    def context(self) -> int:
+    def context_tokens(self) -> int:
         """Return the tokens whose KV cache would be lost with the server."""
         work = self.entry.work
         return work.prompt_tokens + work.tokens_done + self.tokens
@@ -70,22 +70,22 @@
     """A recovery policy.
 
     Attributes:
-        keeps_tokens: whether an attempt goes on from the tokens kept.
+        retains_tokens: whether an attempt goes on from the tokens kept.
         retry: decides what follows an attempt that did not answer.
         plan_moves: decides which attempts leave a reclaimed server; takes them
             with the seconds that each is expected to need, when the server
             goes, and the time now.
-        plan_rescue: decides which attempts leave a server that turned slow.
-        note_first_attempt: records a dispatch that is not a retry.
+        plan_slow_server_moves: decides which attempts leave a server that turned slow.
+        record_first_attempt: records a dispatch that is not a retry.
     """
 
-    keeps_tokens: bool
+    retains_tokens: bool
     retry: Callable[[QueueEntry, AttemptOutcome, float], Retry | Abandoned]
     plan_moves: Callable[
         [Sequence[tuple[RunningAttempt, float]], float, float], list[Move]
     ]
-    plan_rescue: Callable[[Sequence[RunningAttempt], float], list[Move]]
-    note_first_attempt: Callable[[], None]
+    plan_slow_server_moves: Callable[[Sequence[RunningAttempt], float], list[Move]]
+    record_first_attempt: Callable[[], None]
 
 
 def make_resume(parameters: Mapping[str, float], rng: random.Random) -> Recovery:
@@ -146,7 +146,7 @@
         # case it does not.
         last = max(now, leaving_at - margin)
         safe = (last - now) * RISKY_FINISH
-        ranked = sorted(running, key=lambda item: item[0].context, reverse=True)
+        ranked = sorted(running, key=lambda item: item[0].context_tokens, reverse=True)
         moved = [attempt for attempt, needed in ranked if needed > safe]
         kept = [attempt for attempt, needed in ranked if needed <= safe]
         moves = []
@@ -154,7 +154,7 @@
             # One after the other over the notice: a whole failure domain's work
             # arriving at one moment would crush the next one.
             at = now + (last - now) * (place + rng.random() * 0.5) / len(moved) * 0.5
-            exports = attempt.context >= export_tokens
+            exports = attempt.context_tokens >= export_tokens
             moves.append(Move(attempt.request, at, exports))
         moves += [Move(attempt.request, last, False) for attempt in kept]
         return moves
@@ -171,7 +171,7 @@
                 continue
             budget -= 1
             at = now + rng.uniform(0.0, RESCUE_SPREAD)
-            exports = attempt.context >= export_tokens
+            exports = attempt.context_tokens >= export_tokens
             moves.append(Move(attempt.request, at, exports))
         return moves
 
--- a/dewridge/policy/reserve.py
+++ b/dewridge/policy/reserve.py
@@ -24,11 +24,11 @@
         self._demand = 0.0
         self._at = 0.0
 
-    def note_offer(self, duration: float) -> None:
+    def record_offer(self, duration: float) -> None:
         """Record interactive work offered, by the seconds that it takes."""
         self._demand += duration / MEMORY
 
-    def settle(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let the demand of earlier times fade."""
         if now > self._at:
             self._demand *= math.exp((self._at - now) / MEMORY)
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from dewridge.ids import FailureDomain
-from dewridge.policy.capacity import USUAL_PACE
+from dewridge.policy.capacity import DEFAULT_PREFILL_RATE
 
 TARGET_LOAD = 0.42
 """Part of its time that a server is to read prompts at the highest rate of the last
@@ -72,7 +72,7 @@
     """
 
     rate: float
-    pace: float = USUAL_PACE
+    pace: float = DEFAULT_PREFILL_RATE
     in_flight: int = 0
     slots: int = 1
 
--- a/dewridge/policy/scheduler.py
+++ b/dewridge/policy/scheduler.py
@@ -96,7 +96,7 @@
         cost = measure_cost(work)
         if work.work_class is WorkClass.INTERACTIVE:
             duration = self._servers.usual.predict_duration(work)
-            self._servers.reserve.note_offer(duration)
+            self._servers.reserve.record_offer(duration)
         failure = self._admit(work, self._view_admission(work, cost, now), now)
         if failure is not None:
             self._usage.count_refusal(failure.code)
@@ -124,7 +124,7 @@
     def pick(self, now: float) -> Assignment | None:
         """Take the next request that can be sent now; call until None."""
         self._refresh(now)
-        for entry in self._backlog.release(now):
+        for entry in self._backlog.pop_due(now):
             self._enqueue(entry, False, now)
         for entry in self._backlog.find_heads(now):
             record = self._choose(entry.work, self._servers, entry.avoid, now)
@@ -138,11 +138,11 @@
         A caller whose request is hopeless is told at once, with when to come
         back, while there is still time to do without the answer.
         """
-        hopeless = self._backlog.take_hopeless(now)
+        hopeless = self._backlog.pop_expired(now)
         if not hopeless:
             return []
         self._usage.count("expired", len(hopeless))
-        pace = self._backlog.find_pace(None, self._guess_credit_pace(hopeless[0].work))
+        pace = self._backlog.find_rate(None, self._guess_credit_pace(hopeless[0].work))
         wait = self._backlog.find_cost() / pace
         return [abandon_late(entry, wait, self._rng) for entry in hopeless]
 
@@ -154,7 +154,7 @@
         known = [time for time in times if time is not None]
         return max(now, min(known)) if known else None
 
-    def note_first_token(
+    def record_first_token(
         self, request: RequestId, server: BackendServerId, now: float
     ) -> None:
         """Record that an attempt's first token (or whole plain answer) came."""
@@ -167,7 +167,7 @@
         work_class = attempt.entry.work.work_class
         self._servers.learn_first_token(server, request, work_class, now)
 
-    def note_tokens(
+    def record_tokens(
         self, request: RequestId, server: BackendServerId, count: int, now: float
     ) -> None:
         """Record that `count` more tokens came."""
@@ -177,10 +177,10 @@
             return
         attempt.tokens += count
         if attempt.last_token_at is not None:
-            record.note_token_time((now - attempt.last_token_at) / count, now)
+            record.record_token_time((now - attempt.last_token_at) / count, now)
         attempt.last_token_at = now
 
-    def note_ended(
+    def record_attempt_end(
         self,
         request: RequestId,
         server: BackendServerId,
@@ -193,7 +193,7 @@
         if attempt is None:
             return None
         if outcome is AttemptOutcome.DONE:
-            self.note_first_token(request, server, now)
+            self.record_first_token(request, server, now)
         record = self._end_attempt(attempt, outcome, now)
         if record is not None:
             self._servers.learn_end(record, request, outcome, now)
@@ -202,7 +202,7 @@
             return None
         return self._recover(attempt, outcome, tokens_done, now)
 
-    def note_leaving(
+    def handle_server_leaving(
         self, server: BackendServerId, leaving_at: float, now: float
     ) -> list[Move]:
         """Decide which running requests leave a reclaimed server, and when.
@@ -224,8 +224,9 @@
     def find_moves(self, now: float) -> list[Move]:
         """Decide which running requests leave servers that turned slow.
 
-        Call it after `pick`. Each Move is carried out as one of `note_leaving`:
-        stopped at its time, and its end noted as LEAVING.
+        Call it after `pick`. Moves are carried out as those of
+        `handle_server_leaving`: the attempt is stopped at the time given, and its end
+        is recorded as LEAVING.
         """
         moves: list[Move] = []
         for server in self._servers.take_slow():
@@ -234,7 +235,7 @@
                 for attempt in self._by_server.get(server, {}).values()
                 if attempt.moves_at is None
             ]
-            moves += self._recovery.plan_rescue(running, now)
+            moves += self._recovery.plan_slow_server_moves(running, now)
         self._note_moves(moves)
         return moves
 
@@ -285,12 +286,12 @@
             class_cost=queue.find_cost(work.work_class),
             account_cost=queue.find_account_cost(work.work_class, work.account),
             account_share=queue.find_share(work.work_class, work.account),
-            class_pace=self._backlog.find_pace(work.work_class, guess),
+            class_rate=self._backlog.find_rate(work.work_class, guess),
             total_cost=self._backlog.find_cost(),
-            total_pace=self._backlog.find_pace(None, guess),
+            total_rate=self._backlog.find_rate(None, guess),
             has_servers=bool(servers.fleet),
             budget_wait=self._budget.find_wait(expected, now),
-            exceeds_answer_limit=self._budget.exceeds_answer(expected),
+            exceeds_answer_limit=self._budget.exceeds_answer_limit(expected),
         )
 
     def _guess_credit_pace(self, work: Work) -> float:
@@ -319,14 +320,14 @@
         self, entry: QueueEntry, record: ServerCredits, now: float
     ) -> Assignment:
         work = entry.work
-        self._backlog.take(entry, now)
+        self._backlog.dequeue(entry, now)
         self._servers.take(record, work.request, work.work_class, now)
         price = find_slot_price(record.view)
         attempt = RunningAttempt(entry, record.view.id, now, price)
         self._running[work.request] = attempt
         self._by_server[record.view.id][work.request] = attempt
         if not entry.lost:
-            self._recovery.note_first_attempt()
+            self._recovery.record_first_attempt()
         self._usage.count("dispatched")
         return Assignment(work, record.view.id)
 
@@ -354,12 +355,12 @@
         now: float,
     ) -> Retry | Abandoned:
         entry = attempt.entry
-        entry.note_failed(attempt.server, outcome)
+        entry.record_failure(attempt.server, outcome)
         decision = self._recovery.retry(entry, outcome, now)
         if isinstance(decision, Abandoned):
             self._usage.count(f"abandoned.{decision.failure.code.name.lower()}")
             return decision
-        kept = tokens_done if self._recovery.keeps_tokens else 0
+        kept = tokens_done if self._recovery.retains_tokens else 0
         self._usage.count("retries")
         self._usage.count("tokens_dropped", tokens_done - kept)
         entry.work = replace(entry.work, tokens_done=kept)
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -9,7 +9,7 @@
 from dewridge.configuration.model import LatencyTargets
 from dewridge.ids import BackendServerId, FailureDomain, RequestId
 from dewridge.policy.cost import find_slot_price
-from dewridge.policy.credits import LEAST_LIMIT, Health, ServerCredits
+from dewridge.policy.credits import MIN_LIMIT, Health, ServerCredits
 from dewridge.policy.model import AttemptOutcome, ServerView, WorkClass
 from dewridge.policy.reserve import Reserve
 from dewridge.policy.subsets import choose_subset, find_sharers
@@ -131,7 +131,7 @@
         now: float,
     ) -> None:
         """Use a credit for a dispatch."""
-        record.take(request, work_class, now)
+        record.acquire(request, work_class, now)
         self.in_flight += 1
         self.background += work_class is WorkClass.BACKGROUND
 
@@ -139,7 +139,7 @@
         self, record: ServerCredits, request: RequestId, work_class: WorkClass
     ) -> None:
         """Free the credit of a request that ended."""
-        record.give_back(request, work_class)
+        record.release(request, work_class)
         self.in_flight -= 1
         self.background -= work_class is WorkClass.BACKGROUND
 
@@ -183,7 +183,7 @@
         record = self.records.get(server)
         if record is None:
             return
-        sample = record.note_first_token(request, work_class, now)
+        sample = record.record_first_token(request, work_class, now)
         if sample is None:
             return
         self.usual.note_sample(now)
@@ -201,9 +201,9 @@
     ) -> None:
         """Learn from how an attempt ended."""
         if outcome is AttemptOutcome.LOST:
-            record.note_failure(now, self._rng.random())
+            record.record_failure(now, self._rng.random())
         elif outcome is AttemptOutcome.NOT_STARTED:
-            record.note_refusal(request, now, self._rng.random())
+            record.record_refusal(request, now, self._rng.random())
         else:
             record.drop_probe(request)
 
@@ -261,7 +261,7 @@
         self.usual.learn(good)
         self.total_limit = sum(r.limit for r in good)
         self.mean_in_flight = sum(r.in_flight for r in good) / max(1, len(good))
-        self.reserve.settle(now)
+        self.reserve.decay(now)
 
     def _judge_probe(self, record: ServerCredits, sample: float, now: float) -> None:
         if self.usual.is_good(sample):
@@ -297,7 +297,7 @@
         return record
 
     def _find_share(self, view: ServerView) -> float:
-        return max(LEAST_LIMIT, view.capacity / self._sharers)
+        return max(MIN_LIMIT, view.capacity / self._sharers)
 
     def _forget(self, server: BackendServerId) -> None:
         record = self.records.get(server)
--- a/dewridge/policy/usual.py
+++ b/dewridge/policy/usual.py
@@ -105,7 +105,11 @@
     def is_slow(self, record: ServerCredits, now: float) -> bool:
         """Whether a server is far behind the others, or silent."""
         if record.health is Health.PROBING:
-            sent_at = record.waiting.get(record.probe, now) if record.probe else now
+            sent_at = (
+                record.awaiting_first_token.get(record.probe, now)
+                if record.probe
+                else now
+            )
             return not self.is_good(now - sent_at)
         if record.token_time > SLOW_FACTOR * self.token_time:
             return True
@@ -136,7 +140,7 @@
         elif record.first_token > QUEUED_FACTOR * self.base_first_token:
             record.yield_borrowed(now)
         else:
-            record.note_success()
+            record.record_success()
             record.grow()
 
     @property
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -343,10 +343,10 @@
         fresh = len(event.tokens)
         if not attempt.tokens:
             attempt.first_token_at = now
-            scheduler.note_first_token(record.request, attempt.server, now)
+            scheduler.record_first_token(record.request, attempt.server, now)
             fresh -= 1
         if fresh > 0:
-            scheduler.note_tokens(record.request, attempt.server, fresh, now)
+            scheduler.record_tokens(record.request, attempt.server, fresh, now)
         attempt.tokens += len(event.tokens)
         self._replicator.note(attempt.answer)
 
@@ -375,7 +375,7 @@
         ):
             now = self._shared.clock()
             entry = attempt.entry
-            entry.scheduler.note_ended(
+            entry.scheduler.record_attempt_end(
                 record.request, attempt.server, outcome, len(record.tokens), now
             )
             self._scheduling.withdraw(record)
@@ -401,7 +401,7 @@
         failure: Failure | None = None,
     ) -> None:
         record = attempt.record
-        decision = attempt.entry.scheduler.note_ended(
+        decision = attempt.entry.scheduler.record_attempt_end(
             record.request,
             attempt.server,
             outcome,
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -261,7 +261,7 @@
         now = self._shared.clock()
         at = server.leaving_at or now + NOTICE_UNKNOWN
         for entry in self._entries.values():
-            for move in entry.scheduler.note_leaving(server.id, at, now):
+            for move in entry.scheduler.handle_server_leaving(server.id, at, now):
                 self.on_move(move.request, move.at, move.export_cache)
 
     def read_usage(self) -> None:
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -25,7 +25,7 @@
 from dewridge.metrics.registry import Metrics
 from dewridge.peers.model import PeerIdentity, Peers
 from dewridge.peers.wire import ttypes as wire
-from dewridge.policy.losses import Reach
+from dewridge.policy.losses import ConnectResult
 from dewridge.policy.scheduler import Scheduler
 from dewridge.providers.model import KeyValue
 from dewridge.requests.acceptance import Acceptor
@@ -97,7 +97,7 @@
         seed: int = 0,
         make_scheduler: MakeScheduler = Scheduler,
         orders: EngineOrders | None = None,
-        look: Callable[[str], Awaitable[Reach]] = look,
+        look: Callable[[str], Awaitable[ConnectResult]] = look,
     ) -> None:
         self._shared = shared = Shared(
             settings=settings,
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -18,7 +18,7 @@
     split_request_id,
 )
 from dewridge.membership.model import Rumor, Rumors
-from dewridge.policy.losses import Loss, Reach, judge_loss
+from dewridge.policy.losses import ConnectResult, LossReason, classify_loss
 from dewridge.policy.suspects import (
     HOLD,
     MOST_SUSPECTS,
@@ -62,7 +62,7 @@
         self,
         shared: Shared,
         rumors: Rumors,
-        look: Callable[[str], Awaitable[Reach]],
+        look: Callable[[str], Awaitable[ConnectResult]],
     ) -> None:
         self._shared = shared
         self._rumors = rumors
@@ -103,13 +103,13 @@
         sent_at = now - (trio.current_time() - attempt.started)
         reach = await self._look(server.listed.address)
         begun_at = attempt.first_token_at
-        verdict = judge_loss(
-            Loss.CUT_OFF,
+        verdict = classify_loss(
+            LossReason.CUT_OFF,
             reach,
             is_leaving=server.state is not ServerState.LIVE,
-            begun_for=None if begun_at is None else now - begun_at,
+            seconds_since_first_event=None if begun_at is None else now - begun_at,
         )
-        if verdict.blames_request:
+        if verdict.is_request_suspect:
             self._note_end(attempt, End(now, sent_at))
 
     def _note_end(self, attempt: Attempt, end: End) -> None:
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -23,7 +23,7 @@
 )
 from dewridge.ids import BackendServerId, RequestDigest
 from dewridge.platform.store import Listing
-from dewridge.policy.losses import YOUNG, Loss, Reach
+from dewridge.policy.losses import CRASH_BLAME_SECONDS, ConnectResult, LossReason
 from dewridge.policy.suspects import HOLD, MOST_SUSPECTS, End, Suspect, SuspectLedger
 from dewridge.tests.gateway.memorystore import MemoryStore, StoreData
 from dewridge.tests.gateway.world import (
@@ -111,7 +111,7 @@
         async with trio.open_nursery() as nursery:
             for number in range(6):
                 nursery.start_soon(ask_beside, number)
-            await trio.sleep(YOUNG + 0.3)
+            await trio.sleep(CRASH_BLAME_SECONDS + 0.3)
             for number in range(SENDINGS):
                 await send_crashing(world, f"r-{number}")
         held = world.state.suspects.list_held(trio.current_time())
@@ -132,7 +132,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
             for _ in range(2):
-                await trio.sleep(YOUNG + 0.2)
+                await trio.sleep(CRASH_BLAME_SECONDS + 0.2)
                 next(one for one in servers if one.seen and not one.has_ended).end()
     assert answers[0].status == 200
     assert answers[0].is_whole
@@ -380,7 +380,7 @@
         look = world.state.pool.look
         looks = 0
 
-        async def look_slowly(server: ServerRecord) -> Reach:
+        async def look_slowly(server: ServerRecord) -> ConnectResult:
             nonlocal looks
             looks += 1
             if looks == 1:
@@ -393,7 +393,7 @@
         record = world.state.servers.list_all()[0]
         next(one for one in servers if one.id == record.id).end()
         await trio.sleep(0.01)
-        lost = Lost(Loss.CUT_OFF)
+        lost = Lost(LossReason.CUT_OFF)
         async with trio.open_nursery() as staying, trio.open_nursery() as leaving:
             leaving.start_soon(notes.note, make_job(world, b"left"), record, lost)
             await looked.wait()
--- a/dewridge/tests/gateway/keepers_tests.py
+++ b/dewridge/tests/gateway/keepers_tests.py
@@ -8,7 +8,7 @@
 from dewridge.gateway.model import ServerRecord
 from dewridge.gateway.servers import SETTLED_AFTER, ServerTable
 from dewridge.ids import BackendServerId, ServerName
-from dewridge.policy.choice import find_keeper, score_home
+from dewridge.policy.choice import find_cache_holder, score_cache_holder
 from dewridge.tests.gateway.world import (
     DOMAIN,
     ENGINE,
@@ -71,12 +71,12 @@
     keepers = Counter[str]()
     for number in range(200):
         prefix = f"p{number}"
-        home = max([*before, new], key=lambda one: score_home(prefix, one))
-        keeper = find_keeper(before, prefix, home)
+        home = max([*before, new], key=lambda one: score_cache_holder(prefix, one))
+        keeper = find_cache_holder(before, prefix, home)
         assert (keeper is None) == (home != new)
         keepers[str(keeper)] += 1
     assert 30 < 200 - keepers["None"] < 70
-    assert find_keeper([], "p", new) is None
+    assert find_cache_holder([], "p", new) is None
 
 
 async def test_an_engine_is_told_where_the_shared_part_is_kept() -> None:
@@ -92,7 +92,7 @@
         table = world.state.servers
         now = trio.current_time()
         table._joined_at = dict.fromkeys(table._joined_at, now - 2 * SETTLED_AFTER)
-        home = max(servers, key=lambda one: score_home(PREFIX, one.id))
+        home = max(servers, key=lambda one: score_cache_holder(PREFIX, one.id))
         record = table.find(home.id)
         assert record is not None
         await world.ask("/draft/a", method="POST", body=b"x", extra=PARTS)
--- a/dewridge/tests/gateway/pool_tests.py
+++ b/dewridge/tests/gateway/pool_tests.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewridge.policy.idletime import LEAST_LIMIT, IdleTime
+from dewridge.policy.idletime import MIN_LIMIT, IdleLimitEstimator
 from dewridge.tests.gateway.world import (
     ServerExchange,
     World,
@@ -22,7 +22,7 @@
         Connections used again, and those of them that the server had closed.
     """
     rng = random.Random(1)
-    times = IdleTime()
+    times = IdleLimitEstimator()
     reused = lost = 0
     for _ in range(600):
         age = rng.expovariate(0.5)
@@ -30,9 +30,9 @@
             reused += 1
             lost += age > closes_after
         if age > closes_after:
-            times.note_closed(age)
+            times.record_closed(age)
         else:
-            times.note_open(age)
+            times.record_open(age)
     return reused, lost
 
 
@@ -58,14 +58,14 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0, 1e4)), max_size=50))
 def test_the_limit_stays_within_bounds(events: list[tuple[bool, float]]) -> None:
-    times = IdleTime()
+    times = IdleLimitEstimator()
     for is_open, age in events:
         if is_open:
-            times.note_open(age)
+            times.record_open(age)
         else:
-            times.note_closed(age)
+            times.record_closed(age)
         limit = times.find_limit(10.0, must_arrive=False)
-        assert LEAST_LIMIT <= limit <= 5.0
+        assert MIN_LIMIT <= limit <= 5.0
         assert times.find_limit(None, must_arrive=True) < max(limit, 5.0)
 
 
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -21,7 +21,7 @@
 from dewridge.ids import BackendServerId, HostId, ServerName
 from dewridge.platform.names import ROLLOUT_STATUS_PREFIX, ROLLOUTS_PREFIX
 from dewridge.platform.store import Item
-from dewridge.policy.losses import Loss
+from dewridge.policy.losses import LossReason
 from dewridge.policy.rollouts import Stage
 from dewridge.tests.gateway.duties_tests import AlwaysHolder
 from dewridge.tests.gateway.memorystore import MemoryStore, StoreData
@@ -180,8 +180,8 @@
 
 def test_rejections_do_not_count_against_a_version() -> None:
     """Guards against reverting because servers are full."""
-    assert classify_attempt(Lost(Loss.REJECTED), 0) is AttemptResult.NOT_RUN
-    assert classify_attempt(Lost(Loss.CUT_OFF), 0) is AttemptResult.FAILED
+    assert classify_attempt(Lost(LossReason.REJECTED), 0) is AttemptResult.NOT_RUN
+    assert classify_attempt(Lost(LossReason.CUT_OFF), 0) is AttemptResult.FAILED
     assert classify_attempt(None, 500) is AttemptResult.FAILED
     assert classify_attempt(None, 404) is AttemptResult.ANSWERED
 
--- a/dewridge/tests/gateway/usagetelling_tests.py
+++ b/dewridge/tests/gateway/usagetelling_tests.py
@@ -8,7 +8,7 @@
 from dewridge.gateway.reports import HostUsage
 from dewridge.gateway.usagetelling import UsageOutbox
 from dewridge.ids import ClientAccount, HostId
-from dewridge.policy.pacing import Pace
+from dewridge.policy.pacing import DatagramPacer
 from dewridge.tests.gateway.weaklinks import use_weak_links
 
 OWN = HostId("host-1")
@@ -59,7 +59,10 @@
     have one to move.
     """
     network = use_weak_links(monkeypatch, rate=100_000.0, queue=32_768)
-    sender, receiver = PacedSocket("a", 1, Pace(25_000.0)), PacedSocket("b", 1, Pace(1))
+    sender, receiver = (
+        PacedSocket("a", 1, DatagramPacer(25_000.0)),
+        PacedSocket("b", 1, DatagramPacer(1)),
+    )
     heard: list[bytes] = []
 
     async def listen() -> None:
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -28,7 +28,7 @@
 )
 from dewridge.platform.cloud import Tenure
 from dewridge.platform.store import Item
-from dewridge.policy.pacing import LINK_SHARE, Pace
+from dewridge.policy.pacing import LINK_SHARE, DatagramPacer
 from dewridge.policy.suspects import ENDS_BORNE, SAME_MOMENT, End, Suspect
 from dewridge.tests.gateway.duties_tests import AlwaysHolder, RecordingCloud
 from dewridge.tests.gateway.memorystore import MemoryStore
@@ -67,7 +67,7 @@
         server = make_record("s-1")
         self.state.servers.update(server, 0.0)
         self.leaving = server.id
-        self.socket = PacedSocket(self.address, PORT, Pace(LINK_SHARE * LINK))
+        self.socket = PacedSocket(self.address, PORT, DatagramPacer(LINK_SHARE * LINK))
         self.teller = UsageTeller(
             sharing,
             self.state.hosts,
--- a/dewridge/tests/http1/reach_tests.py
+++ b/dewridge/tests/http1/reach_tests.py
@@ -3,7 +3,7 @@
 import trio
 
 from dewridge.http1.reach import look
-from dewridge.policy.losses import Reach
+from dewridge.policy.losses import ConnectResult
 from dewridge.tests.gateway.world import reset
 
 
@@ -24,7 +24,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(accept_one_and_end)
         reach = await look(address)
-    assert reach is Reach.REFUSED
+    assert reach is ConnectResult.REFUSED
 
 
 async def test_a_server_that_resets_connections_beyond_its_bound_lives() -> None:
@@ -38,7 +38,7 @@
         nursery.start_soon(trio.serve_listeners, reset_all, listeners)
         reach = await look(address)
         nursery.cancel_scope.cancel()
-    assert reach is Reach.ACCEPTED
+    assert reach is ConnectResult.ACCEPTED
 
 
 async def test_a_server_that_waits_for_requests_lives() -> None:
@@ -47,7 +47,7 @@
         nursery.start_soon(trio.serve_listeners, _wait, listeners)
         reach = await look(address)
         nursery.cancel_scope.cancel()
-    assert reach is Reach.ACCEPTED
+    assert reach is ConnectResult.ACCEPTED
 
 
 async def _wait(stream: trio.SocketStream) -> None:
--- a/dewridge/tests/policy/invariants_tests.py
+++ b/dewridge/tests/policy/invariants_tests.py
@@ -85,14 +85,16 @@
         request = self._choose(place)
         if request is not None:
             server = self.running[request]
-            self.scheduler.note_first_token(request, server, self.now)
+            self.scheduler.record_first_token(request, server, self.now)
 
     def do_end(self, place: int, outcome: AttemptOutcome) -> None:
         request = self._choose(place)
         if request is None:
             return
         server = self.running.pop(request)
-        decision = self.scheduler.note_ended(request, server, outcome, 1, self.now)
+        decision = self.scheduler.record_attempt_end(
+            request, server, outcome, 1, self.now
+        )
         if decision is None or isinstance(decision, Abandoned):
             self.known.discard(request)
 
@@ -107,7 +109,7 @@
     def do_leave(self, number: int) -> None:
         server = make_server(number).id
         self.leaving.add(server)
-        moves = self.scheduler.note_leaving(server, self.now + 3, self.now)
+        moves = self.scheduler.handle_server_leaving(server, self.now + 3, self.now)
         assert {self.running.get(move.request) for move in moves} <= {server}
 
     def do_expire(self) -> None:
@@ -125,7 +127,7 @@
     def check(self) -> None:
         state = self.scheduler.describe()
         assert state["running"] == len(self.running)
-        hopeless = len(self.scheduler._backlog._hopeless)
+        hopeless = len(self.scheduler._backlog._expired)
         waiting = state["queued"] + state["delayed"] + hopeless
         assert waiting + state["running"] == len(self.known)
         servers = self.scheduler._servers
@@ -162,7 +164,7 @@
     waiting = Counter(entry.work.account for entry in queue.entries())
     while min(waiting.values()) > 0:
         [head] = queue.list_heads()
-        queue.take(head)
+        queue.dequeue(head)
         waiting[head.work.account] -= 1
         served[head.work.account] += head.cost
         gap = abs(served["small"] - served["large"] / weight)
@@ -193,6 +195,6 @@
     taken: Counter[WorkClass] = Counter()
     for _ in range(100):
         head = queue.list_heads()[0]
-        queue.take(head)
+        queue.dequeue(head)
         taken[head.work.work_class] += 1
     assert 8 <= taken[WorkClass.BACKGROUND] <= 12
--- a/dewridge/tests/policy/oldnews_tests.py
+++ b/dewridge/tests/policy/oldnews_tests.py
@@ -108,7 +108,7 @@
                 size,
                 rng,
                 can_copy=kind.is_copied,
-                news_age=told_age,
+                staleness=told_age,
             )
             assert placement is not None
             server = int(placement.server.removeprefix("s-"))
@@ -147,7 +147,7 @@
     ]
     idle = [one for one in known if one.id == "s-7"]
     placement = place_prompt(
-        [*busy, *idle], "p", 0, 500, random.Random(1), news_age=0.15
+        [*busy, *idle], "p", 0, 500, random.Random(1), staleness=0.15
     )
     assert placement is not None
     assert placement.server == "s-7"
@@ -157,13 +157,13 @@
     """Both homes of a prefix rest after failures; the prompt goes to others."""
     known = list_known([], host=0, now=1.0, age=0.1)
     homes = {
-        place_prompt(known, "p", 0, 500, random.Random(n), news_age=1.0)
+        place_prompt(known, "p", 0, 500, random.Random(n), staleness=1.0)
         for n in range(20)
     }
     resting = {one.server for one in homes if one is not None}
     candidates = [
         Candidate(one.id, DOMAIN, 0, 0.0, 32, one.id not in resting) for one in known
     ]
-    placement = place_prompt(candidates, "p", 0, 500, random.Random(1), news_age=1.0)
+    placement = place_prompt(candidates, "p", 0, 500, random.Random(1), staleness=1.0)
     assert placement is not None
     assert placement.server not in resting
--- a/dewridge/tests/policy/pacing_tests.py
+++ b/dewridge/tests/policy/pacing_tests.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewridge.policy.pacing import BURST_BYTES, Pace, find_rate
+from dewridge.policy.pacing import BURST_BYTES, DatagramPacer, find_datagram_rate
 
 LARGEST = 3_600
 
@@ -19,12 +19,12 @@
 
     More than a burst beyond the rate, in any span, would overflow it.
     """
-    pace = Pace(rate)
+    pace = DatagramPacer(rate)
     now = 100.0
     sent: list[tuple[float, int]] = []
     for size in sizes:
         now += pace.find_wait(now)
-        pace.note_sent(size, now)
+        pace.record_sent(size, now)
         sent.append((now, size))
     for first, (begin, _) in enumerate(sent):
         total = 0
@@ -34,11 +34,11 @@
 
 
 def test_a_strong_link_never_waits() -> None:
-    pace = Pace(find_rate(1000.0))
+    pace = DatagramPacer(find_datagram_rate(1000.0))
     assert pace.find_wait(1.0) == 0.0
-    pace.note_sent(BURST_BYTES - 1, 1.0)
+    pace.record_sent(BURST_BYTES - 1, 1.0)
     assert pace.find_wait(1.0) == 0.0
 
 
 def test_a_link_of_unknown_bandwidth_is_taken_for_a_weak_one() -> None:
-    assert find_rate(0.0) == find_rate(10.0)
+    assert find_datagram_rate(0.0) == find_datagram_rate(10.0)
--- a/dewridge/tests/policy/scheduler_tests.py
+++ b/dewridge/tests/policy/scheduler_tests.py
@@ -16,8 +16,10 @@
     first = picked[0]
     assert first
     request = first.work.request
-    scheduler.note_first_token(request, first.server, 0.1)
-    done = scheduler.note_ended(request, first.server, AttemptOutcome.DONE, 10, 0.5)
+    scheduler.record_first_token(request, first.server, 0.1)
+    done = scheduler.record_attempt_end(
+        request, first.server, AttemptOutcome.DONE, 10, 0.5
+    )
     assert done is None
     assert scheduler.pick(0.5) is not None
     counters = scheduler.read_usage().counters
@@ -33,7 +35,7 @@
         scheduler.offer(make_work(number), 0.0)
         picked = scheduler.pick(0.0)
         assert picked
-        scheduler.note_first_token(picked.work.request, picked.server, 0.1)
+        scheduler.record_first_token(picked.work.request, picked.server, 0.1)
     scheduler.offer(make_work(9, deadline=5.0, tokens=100), 0.1)
     at = scheduler.find_next_time(0.1)
     assert at is not None
@@ -52,7 +54,7 @@
     assert scheduler.offer(make_work(1, deadline=0.05, tokens=1), 0.0) is None
     picked = scheduler.pick(0.0)
     assert picked
-    scheduler.note_ended(
+    scheduler.record_attempt_end(
         picked.work.request, picked.server, AttemptOutcome.DONE, 1, 0.4
     )
     hopeless = make_work(2, arrival=1.0, deadline=1.05, tokens=1)
@@ -70,14 +72,14 @@
     scheduler.offer(make_work(1, idempotent=False), 0.0)
     first = scheduler.pick(0.0)
     assert first
-    decision = scheduler.note_ended(
+    decision = scheduler.record_attempt_end(
         first.work.request, first.server, AttemptOutcome.NOT_STARTED, 0, 0.1
     )
     assert decision == Retry(0.0)
     second = scheduler.pick(0.1)
     assert second
     assert second.server != first.server
-    decision = scheduler.note_ended(
+    decision = scheduler.record_attempt_end(
         second.work.request, second.server, AttemptOutcome.LOST, 0, 0.2
     )
     assert isinstance(decision, Abandoned)
@@ -95,11 +97,11 @@
     scheduler.offer(work, 0.0)
     first = scheduler.pick(0.0)
     assert first
-    [move] = scheduler.note_leaving(first.server, 5.0, 1.0)
+    [move] = scheduler.handle_server_leaving(first.server, 5.0, 1.0)
     assert move.request == work.request
     assert 1.0 <= move.at < 4.0
     assert move.export_cache
-    retry = scheduler.note_ended(
+    retry = scheduler.record_attempt_end(
         work.request, first.server, AttemptOutcome.LEAVING, 70, move.at
     )
     assert isinstance(retry, Retry)
@@ -116,7 +118,7 @@
     scheduler.offer(make_work(1), 0.0)
     picked = scheduler.pick(0.0)
     assert picked
-    scheduler.note_ended(
+    scheduler.record_attempt_end(
         picked.work.request, picked.server, AttemptOutcome.DONE, 10, 20.0
     )
     refusal = scheduler.offer(make_work(2, arrival=20.0, deadline=30.0), 20.0)
@@ -137,7 +139,7 @@
     scheduler.set_profile(service, make_profile("random", "fifo", "restart"), 0.1)
     for picked in running:
         assert picked
-        scheduler.note_ended(
+        scheduler.record_attempt_end(
             picked.work.request, picked.server, AttemptOutcome.DONE, 10, 0.2
         )
     scheduler.set_profile(service, make_profile("balanced"), 0.3)
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -8,14 +8,14 @@
 from dataclasses import replace
 
 from dewridge.ids import BackendServerId, FailureDomain
-from dewridge.policy.capacity import USUAL_PACE, ReadingPace
+from dewridge.policy.capacity import DEFAULT_PREFILL_RATE, PrefillRateMeter
 from dewridge.policy.choice import (
-    NEAR_TOKENS,
+    EQUAL_LOAD_TOKENS,
     Candidate,
     Placement,
-    choose_fewest,
+    choose_fewest_requests,
     choose_least_loaded,
-    list_homes,
+    list_cache_holders,
     place_prompt,
 )
 from dewridge.policy.demand import DemandMeter
@@ -88,7 +88,7 @@
     for number in range(180):
         placement = place_at(make_candidates(unread), "dossier", seed=number)
         unread[int(placement.server.removeprefix("s-"))] += placement.tokens
-    assert max(unread) <= 2 * min(unread) + 2 * 6_000 + 9_000 + NEAR_TOKENS
+    assert max(unread) <= 2 * min(unread) + 2 * 6_000 + 9_000 + EQUAL_LOAD_TOKENS
 
 
 def test_a_short_question_is_not_kept_waiting_for_what_it_shares() -> None:
@@ -111,7 +111,7 @@
     """Keep a prefix to its home until this has three requests more than the mean."""
     bound = 1.3 * sum(one.requests for one in candidates) / len(candidates) + 3
     with_room = [one for one in candidates if one.requests <= bound]
-    return Placement(list_homes(with_room, prefix)[0].id, 0)
+    return Placement(list_cache_holders(with_room, prefix)[0].id, 0)
 
 
 def place_soonest(candidates: list[Candidate], prefix: str, shared: int) -> Placement:
@@ -365,7 +365,7 @@
         for part in range(10):
             meter.add(rate / 10, second + part / 10)
         now = second + 1.0
-        needed = find_needed(Load(meter.find_rate(now)))
+        needed = find_needed(Load(meter.find_peak_rate(now)))
         totals.append(find_total(needed, totals[-1] if totals else 0, 4))
     return totals
 
@@ -406,17 +406,17 @@
     Planned with one figure for both, the first pays for servers that stand idle, or the
     second's callers wait.
     """
-    fast, slow = ReadingPace(), ReadingPace()
+    fast, slow = PrefillRateMeter(), PrefillRateMeter()
     rng = random.Random(2)
     for _ in range(200):
         tokens = rng.randrange(200, 9_000)
         waited = rng.random() < 0.05
-        fast.add(tokens, tokens / 60_000 + waited)
-        slow.add(tokens, tokens / 20_000 + waited)
-    needed = [find_needed(Load(100_000.0, pace.find())) for pace in (fast, slow)]
+        fast.add_sample(tokens, tokens / 60_000 + waited)
+        slow.add_sample(tokens, tokens / 20_000 + waited)
+    needed = [find_needed(Load(100_000.0, pace.estimate())) for pace in (fast, slow)]
     assert needed[0] == 4
     assert 8 <= needed[1] <= 12
-    assert ReadingPace().find() == USUAL_PACE
+    assert PrefillRateMeter().estimate() == DEFAULT_PREFILL_RATE
 
 
 def test_a_few_answers_do_not_move_the_plan() -> None:
@@ -424,11 +424,11 @@
 
     Believed, they would halve the fleet, and callers would wait for it to come back.
     """
-    pace = ReadingPace()
+    pace = PrefillRateMeter()
     for _ in range(2):
-        pace.add(9_000, 0.02)
-        pace.add(9_000, 0.05)
-    assert pace.find() < 1.2 * USUAL_PACE
+        pace.add_sample(9_000, 0.02)
+        pace.add_sample(9_000, 0.05)
+    assert pace.estimate() < 1.2 * DEFAULT_PREFILL_RATE
 
 
 def test_long_answers_need_servers_for_their_slots() -> None:
@@ -436,7 +436,7 @@
 
     Counted by what is read alone one server would do, and the rest would queue.
     """
-    assert find_needed(Load(1_000.0, USUAL_PACE, in_flight=96, slots=32)) == 5
+    assert find_needed(Load(1_000.0, DEFAULT_PREFILL_RATE, in_flight=96, slots=32)) == 5
 
 
 def test_a_wave_does_not_move_servers_up_and_down() -> None:
@@ -457,7 +457,7 @@
     much is to come; where they have no limit, what operators put there does.
     """
     quotas = 3_000_000.0
-    asked = math.ceil(0.33 * quotas / (USUAL_PACE * TARGET_LOAD))
+    asked = math.ceil(0.33 * quotas / (DEFAULT_PREFILL_RATE * TARGET_LOAD))
     assert find_start_need(20, quotas, 0.0, None) == asked
     assert find_start_need(20, quotas, 5.0, None) == asked
     assert find_start_need(20, 0.0, 5.0, None) == 16
@@ -539,13 +539,16 @@
     live, dead = make_candidates([0.0, 0.0])
     dead = replace(dead, is_usable=False)
     rng = random.Random(1)
-    assert choose_fewest([live, dead], {live.id}, rng) == live
-    assert choose_fewest([dead], {live.id}, rng) == dead
-    assert choose_fewest([], set(), rng) is None
+    assert choose_fewest_requests([live, dead], {live.id}, rng) == live
+    assert choose_fewest_requests([dead], {live.id}, rng) == dead
+    assert choose_fewest_requests([], set(), rng) is None
 
 
 def test_suspects_are_kept_apart_where_the_fewest_others_run() -> None:
     busy, idle, taken = make_candidates([0.0, 0.0, 0.0])
     busy = replace(busy, requests=5)
     idle = replace(idle, requests=2)
-    assert choose_fewest([busy, idle, taken], {taken.id}, random.Random(1)) == idle
+    assert (
+        choose_fewest_requests([busy, idle, taken], {taken.id}, random.Random(1))
+        == idle
+    )
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -7,7 +7,13 @@
 from hypothesis import strategies as st
 
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest, ServiceName
-from dewridge.policy.losses import YOUNG, Loss, Reach, ServerVerdict, judge_loss
+from dewridge.policy.losses import (
+    CRASH_BLAME_SECONDS,
+    ConnectResult,
+    LossReason,
+    ServerVerdict,
+    classify_loss,
+)
 from dewridge.policy.suspects import (
     ENDS_BORNE,
     HOLD,
@@ -156,28 +162,79 @@
 @pytest.mark.parametrize(
     ("loss", "reach", "is_leaving", "begun_for", "blames", "server"),
     [
-        (Loss.CUT_OFF, Reach.REFUSED, False, None, True, ServerVerdict.GONE),
-        (Loss.MALFORMED, Reach.REFUSED, False, None, True, ServerVerdict.GONE),
-        (Loss.CUT_OFF, Reach.REFUSED, False, YOUNG / 2, True, ServerVerdict.GONE),
-        (Loss.CUT_OFF, Reach.REFUSED, False, YOUNG * 2, False, ServerVerdict.GONE),
-        (Loss.CUT_OFF, Reach.REFUSED, True, None, False, ServerVerdict.GONE),
-        (Loss.CUT_OFF, Reach.ACCEPTED, False, None, False, ServerVerdict.FAILED),
-        (Loss.CUT_OFF, Reach.SILENT, False, None, False, ServerVerdict.FAILED),
-        (Loss.MISMATCHED, None, False, None, False, ServerVerdict.FAILED),
-        (Loss.NOT_CONNECTED, None, False, None, False, ServerVerdict.GONE),
-        (Loss.REJECTED, None, False, None, False, ServerVerdict.FULL),
-        (Loss.OTHER_SERVER, None, False, None, False, ServerVerdict.REPLACED),
-        (Loss.MOVED, None, False, None, False, ServerVerdict.NOTHING),
+        (
+            LossReason.CUT_OFF,
+            ConnectResult.REFUSED,
+            False,
+            None,
+            True,
+            ServerVerdict.GONE,
+        ),
+        (
+            LossReason.MALFORMED,
+            ConnectResult.REFUSED,
+            False,
+            None,
+            True,
+            ServerVerdict.GONE,
+        ),
+        (
+            LossReason.CUT_OFF,
+            ConnectResult.REFUSED,
+            False,
+            CRASH_BLAME_SECONDS / 2,
+            True,
+            ServerVerdict.GONE,
+        ),
+        (
+            LossReason.CUT_OFF,
+            ConnectResult.REFUSED,
+            False,
+            CRASH_BLAME_SECONDS * 2,
+            False,
+            ServerVerdict.GONE,
+        ),
+        (
+            LossReason.CUT_OFF,
+            ConnectResult.REFUSED,
+            True,
+            None,
+            False,
+            ServerVerdict.GONE,
+        ),
+        (
+            LossReason.CUT_OFF,
+            ConnectResult.ACCEPTED,
+            False,
+            None,
+            False,
+            ServerVerdict.FAILED,
+        ),
+        (
+            LossReason.CUT_OFF,
+            ConnectResult.SILENT,
+            False,
+            None,
+            False,
+            ServerVerdict.FAILED,
+        ),
+        (LossReason.MISMATCHED, None, False, None, False, ServerVerdict.FAILED),
+        (LossReason.NOT_CONNECTED, None, False, None, False, ServerVerdict.GONE),
+        (LossReason.REJECTED, None, False, None, False, ServerVerdict.FULL),
+        (LossReason.OTHER_SERVER, None, False, None, False, ServerVerdict.REPLACED),
+        (LossReason.MOVED, None, False, None, False, ServerVerdict.NOTHING),
     ],
 )
 def test_only_the_end_of_a_server_blames_what_it_had_just_begun(
-    loss: Loss,
-    reach: Reach | None,
+    loss: LossReason,
+    reach: ConnectResult | None,
     is_leaving: bool,
     begun_for: float | None,
     blames: bool,
     server: ServerVerdict,
 ) -> None:
     """Guards against blaming requests for reclaims, cut links and lost answers."""
-    verdict = judge_loss(loss, reach, is_leaving=is_leaving, begun_for=begun_for)
-    assert (verdict.blames_request, verdict.server) == (blames, server)
+    verdict = classify_loss(
+        loss, reach, is_leaving=is_leaving, seconds_since_first_event=begun_for
+    )
+    assert (verdict.is_request_suspect, verdict.server) == (blames, server)
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -43,7 +43,7 @@
 from dewridge.membership.model import Member, MemberState, Rumor
 from dewridge.metrics.registry import Metrics
 from dewridge.peers.model import Handler, PeerIdentity
-from dewridge.policy.losses import Reach
+from dewridge.policy.losses import ConnectResult
 from dewridge.providers.model import Entry, HostState, ListedServer, ServerKind
 from dewridge.requests.model import (
     EndedEvent,
@@ -514,10 +514,10 @@
         self.tell(member)
         return node
 
-    async def look(self, address: str) -> Reach:
+    async def look(self, address: str) -> ConnectResult:
         """Try a connection to a server; its name stands for its address."""
         is_over = BackendServerId(address) in self.workers.ended
-        return Reach.REFUSED if is_over else Reach.ACCEPTED
+        return ConnectResult.REFUSED if is_over else ConnectResult.ACCEPTED
 
     async def _run(self, node: Node) -> None:
         with node.scope:
