--- a/dewridge/policy/__init__.py
+++ b/dewridge/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load, free of input and output."""
+"""Scheduling, admission, scaling and failover decisions, without I/O."""
--- a/dewridge/policy/admission.py
+++ b/dewridge/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what is taken into the queue, and what is refused at once."""
+"""Admission: decides which requests are queued and which are refused at once."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -9,36 +9,42 @@
 from dewridge.policy.model import Work, WorkClass
 from dewridge.sentinels import Failure
 
-LEAST_WAIT = 0.2
-"""Seconds at least until a refused caller comes back: a few round trips, so that
-a caller that obeys can't turn refusals into load of their own."""
+MIN_RETRY_AFTER = 0.2
+"""Shortest retry-after of a refusal, in seconds: a few round trips, so that callers
+that follow it don't add load by retrying."""
 
-MOST_WAIT = 60.0
-"""Seconds at most. The estimate behind it is of the present load; a caller sent
-away for longer would stay away after the load is gone."""
+MAX_RETRY_AFTER = 60.0
+"""Longest retry-after of a refusal, in seconds. It is estimated from the current load;
+with a longer one, callers would stay away after the load has dropped."""
 
-
-LEAST_PART = 0.25
-"""Part of an interactive target that may be waited even where servers are slow."""
+MIN_TARGET_SHARE = 0.25
+"""Share of an interactive latency target that a request may wait in the queue even if
+the servers are too slow to meet the target."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionView:
-    """What an admission decision looks at.
+    """State of the queue, the servers and the cost limits that admission uses.
+
+    Costs of work are in units of generated tokens. The work class is that of the
+    offered request.
 
     Attributes:
-        cost: work offered, in units of generated tokens.
-        first_token: seconds that an attempt takes to its first token.
-        duration: seconds that its attempt is expected to take; 0: unknown.
-        class_cost: work of the class that waits.
-        account_cost: work of the class that waits for this account.
-        account_share: the account's part of the class's pace, within 0 to 1.
-        class_rate: work of the class dispatched a second while some waits.
-        total_cost: all work that waits.
-        total_rate: all work dispatched a second while some waits.
-        has_servers: whether any backend server is there.
-        budget_wait: seconds until the cost limit lets it start.
-        exceeds_answer_limit: whether its own cost is above the limit.
+        cost: cost of the offered request.
+        first_token: expected seconds from dispatch to the first token.
+        duration: expected seconds of an attempt; 0 if unknown.
+        class_cost: queued cost of the work class.
+        account_cost: queued cost of the work class for the request's account.
+        account_share: the account's share of the dispatch rate of the class, 0 to 1.
+        class_rate: cost of the class dispatched per second while the class has a
+            backlog.
+        total_cost: queued cost of all classes.
+        total_rate: cost of all classes dispatched per second while there is a
+            backlog.
+        has_servers: whether the service has any backend server.
+        budget_wait: seconds until the hourly cost limit allows the request to start.
+        exceeds_answer_limit: whether the request would cost more than the limit for
+            one answer.
     """
 
     cost: float
@@ -56,16 +62,16 @@
 
 
 Admit = Callable[[Work, AdmissionView, float], Failure | None]
-"""Admits work, or says why not and when to come back."""
+"""Returns None to admit work, or a failure with a retry-after time."""
 
 
-Maker = Callable[[Mapping[str, float], LatencyTargets, random.Random], Admit]
+AdmissionMaker = Callable[[Mapping[str, float], LatencyTargets, random.Random], Admit]
 
 
 def make_fifo(
     parameters: Mapping[str, float], targets: LatencyTargets, rng: random.Random
 ) -> Admit:
-    """Make the plain baseline, which takes everything."""
+    """Make the baseline policy, which admits everything."""
 
     def admit(work: Work, view: AdmissionView, now: float) -> Failure | None:
         return None
@@ -76,15 +82,16 @@
 def make_fair(
     parameters: Mapping[str, float], targets: LatencyTargets, rng: random.Random
 ) -> Admit:
-    """Make the admission by deadlines, shares, bounds and cost limits."""
+    """Make the policy that checks deadlines, fair shares, queue bounds and costs."""
     queue_seconds = parameters["queue_seconds"]
     margin = parameters["deadline_margin"]
     spread = parameters["retry_spread"]
 
     def refuse(code: ResultCode, reason: str, wait: float) -> Failure:
-        # Callers refused in one burst would come back as one burst. The random
-        # part grows with the wait, so that a longer queue spreads them wider.
-        base = min(MOST_WAIT, max(LEAST_WAIT, wait))
+        # Adds jitter, because callers refused in one burst would otherwise retry in
+        # one burst. The jitter grows with the wait, so that a longer queue spreads
+        # the retries over a longer time.
+        base = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait))
         retry_after = base * rng.uniform(1.0, 1.5) + rng.uniform(0.0, spread)
         return Failure(code, reason, round(retry_after, 3))
 
@@ -101,52 +108,52 @@
                 "the cost limit an hour is reached",
                 view.budget_wait,
             )
-        # An accepted request whose deadline passes in the queue cost its caller
-        # the whole wait for nothing. Refused at once, the caller still has the
-        # time to go elsewhere, and what is accepted keeps its promise.
-        wait = find_wait(view)
-        late = find_lateness(work, view, wait * margin, now)
-        if late > 0:
+        # Refuses requests that are unlikely to meet their deadline: a caller that is
+        # refused at once has time to go elsewhere, while a request that expires in
+        # the queue has cost its caller the whole wait.
+        wait = estimate_wait(view)
+        lateness = find_lateness(work, view, wait * margin, now)
+        if lateness > 0:
             return refuse(
                 ResultCode.DEADLINE_UNREACHABLE,
                 "the deadline can't be met at the present load",
-                late,
+                lateness,
             )
         return check_bounds(view)
 
     def find_lateness(
         work: Work, view: AdmissionView, wait: float, now: float
     ) -> float:
-        # Answers are up to half as long again as expected; that counts only when
-        # there is a queue, since on an idle server trying costs nobody anything.
+        # Answers take up to half as long again as expected. The margin applies only
+        # when there is a queue: on an idle server, trying delays nobody else.
         needed = view.duration * (margin if wait > 0 else 1.0)
-        late = now + wait + needed - work.deadline
+        lateness = now + wait + needed - work.deadline
         if work.work_class is WorkClass.BACKGROUND:
-            return late
-        # Somebody waits: what is accepted is to meet the profile's target too,
-        # and a queue longer than that would make everyone in it late. A part of
-        # the target may always be waited, since servers which can't meet it at
-        # all would otherwise have everything refused.
+            return lateness
+        # Interactive work also has to meet the profile's latency target: a queue
+        # longer than that would make every request in it late. A share of the target
+        # is always allowed for the queue, because servers that can't meet the target
+        # at all would otherwise cause every request to be refused.
         if work.expected_tokens > 1:
-            target, least = targets.first_token, view.first_token
+            target, expected = targets.first_token, view.first_token
         else:
-            target, least = targets.whole_answer, view.duration
-        return max(late, wait - max(LEAST_PART * target, target - least))
+            target, expected = targets.whole_answer, view.duration
+        return max(lateness, wait - max(MIN_TARGET_SHARE * target, target - expected))
 
     def check_bounds(view: AdmissionView) -> Failure | None:
-        # Work, not count: a hundred status checks are gone in a second, a
-        # hundred drafts keep the service busy for minutes.
+        # Bounds the queue by cost and not by count: a hundred status checks take a
+        # second, a hundred drafts keep the service busy for minutes.
         bound = max(view.total_rate * queue_seconds, view.cost)
         free = bound - view.total_cost
-        drain = max(view.total_rate, 1e-9)
+        drain_rate = max(view.total_rate, 1e-9)
         if free < view.cost:
-            wait = (view.cost - free) / drain
+            wait = (view.cost - free) / drain_rate
             return refuse(ResultCode.QUEUE_FULL, "the queue is full", wait)
-        # The room that one account may take shrinks with the room that is left
-        # (a dynamic threshold). One large account alone gets half of the queue,
-        # and a small one that comes later always finds a place.
+        # Dynamic threshold: an account may queue as much as is left free. A single
+        # large account gets half of the queue, so that a small one that sends later
+        # always finds room.
         if view.account_cost > free:
-            wait = (view.account_cost - free) / 2 / drain
+            wait = (view.account_cost - free) / 2 / drain_rate
             return refuse(
                 ResultCode.SHARE_EXCEEDED, "the account's share is used up", wait
             )
@@ -155,17 +162,18 @@
     return admit
 
 
-def find_wait(view: AdmissionView) -> float:
-    """Return the seconds that offered work would wait for a server.
+def estimate_wait(view: AdmissionView) -> float:
+    """Return the expected seconds in the queue.
 
-    The account's own backlog at its share of the pace, and not the whole
-    backlog at the whole pace: requests of accounts that wait less overtake it.
+    Uses the backlog of the account at the account's share of the dispatch rate, because
+    fair queueing serves accounts with a smaller backlog first.
     """
-    pace = max(view.class_rate, 1e-9)
-    return view.account_cost / (pace * max(view.account_share, 1e-9))
+    rate = max(view.class_rate, 1e-9)
+    return view.account_cost / (rate * max(view.account_share, 1e-9))
 
 
-MAKERS: dict[str, Maker] = {
+MAKERS: dict[str, AdmissionMaker] = {
     "fair": make_fair,
     "fifo": make_fifo,
 }
+"""Admission policies by their name in a profile."""
--- a/dewridge/policy/affinity.py
+++ b/dewridge/policy/affinity.py
@@ -1,25 +1,32 @@
-"""Prefix affinity: requests with one prompt prefix go to one server."""
+"""Prefix affinity: sends requests with the same prompt prefix to the same server."""
 
-MASK = (1 << 64) - 1
-GOLDEN = 0x9E3779B97F4A7C15
+UINT64_MASK = (1 << 64) - 1
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15
+"""2**64 divided by the golden ratio, as in Fibonacci hashing."""
 
 
 def score_prefix(prefix: int, server_hash: int) -> int:
-    """Return a server's rendezvous score for a prefix; the highest one has it.
+    """Return the rendezvous score of a server for a prefix.
 
-    The prefix is salted with the client account before it gets here, so that
-    no account learns from the timing what another one's prompts begin with.
+    The server with the highest score is the prefix's cache holder. Callers salt the
+    prefix with the client account, so that no account can find out from response times
+    what the prompts of another account begin with.
     """
-    mixed = ((prefix & MASK) ^ server_hash) * GOLDEN & MASK
-    mixed = (mixed ^ (mixed >> 32)) * GOLDEN & MASK
+    mixed = ((prefix & UINT64_MASK) ^ server_hash) * HASH_MULTIPLIER & UINT64_MASK
+    mixed = (mixed ^ (mixed >> 32)) * HASH_MULTIPLIER & UINT64_MASK
     return mixed ^ (mixed >> 29)
 
 
-def has_room(in_flight: int, mean: float, load: float) -> bool:
-    """Whether a server may keep a prefix: its load is near the mean.
+def is_within_load_bound(in_flight: int, mean: float, load: float) -> bool:
+    """Return whether the load of a server is low enough for prefix affinity.
 
-    Made for skewed demand: one dossier template that most requests begin with.
-    Without the bound its server would get nearly all work while the others
-    stand idle; with it the overflow goes to the prefix's next server.
+    Consistent hashing with bounded loads. When most requests share one prefix, such as
+    a document template, the bound keeps its server from getting nearly all the work
+    while the others are idle: the overflow goes to the next server by score.
+
+    Args:
+        in_flight: requests in flight to the server.
+        mean: mean number of requests in flight over all servers.
+        load: bound, as a multiple of the mean.
     """
     return in_flight + 1 <= load * (mean + 1)
--- a/dewridge/policy/backlog.py
+++ b/dewridge/policy/backlog.py
@@ -5,19 +5,19 @@
 
 from dewridge.ids import RequestId
 from dewridge.policy.model import WorkClass
-from dewridge.policy.pace import PaceMeter
+from dewridge.policy.pace import DispatchRateMeter
 from dewridge.policy.queueing import FairQueue, FifoQueue, QueueEntry, WorkQueue
 
 _Timer = tuple[float, int, QueueEntry]
 
 
 class Backlog:
-    """Owns the queue, the delays of retries, the expiries and the pace."""
+    """Holds the queue, the timers for retries and expiries, and the dispatch rates."""
 
     def __init__(self) -> None:
         self.queue: WorkQueue = FifoQueue()
-        self._paces = {work_class: PaceMeter() for work_class in WorkClass}
-        self._total_pace = PaceMeter()
+        self._rates = {work_class: DispatchRateMeter() for work_class in WorkClass}
+        self._total_rate = DispatchRateMeter()
         self._queued: dict[RequestId, QueueEntry] = {}
         self._delayed: dict[RequestId, QueueEntry] = {}
         self._delays: list[_Timer] = []
@@ -27,13 +27,19 @@
         self._credits = 1.0
 
     def set_credits(self, credits: float) -> None:
-        """Say how many credits the host has now, for the pace."""
+        """Set the number of credits of this host, which dispatch rates are based on."""
         self._credits = max(1.0, credits)
 
     def configure(
         self, weights: Mapping[str, float], background_share: float | None
     ) -> None:
-        """Change to a fair queue, or to a plain one without a share."""
+        """Replace the queue, keeping its entries.
+
+        Args:
+            weights: weights of client accounts in a fair queue.
+            background_share: share of background work while interactive work waits;
+                None selects a FIFO queue.
+        """
         waiting = sorted(self.queue.entries(), key=lambda entry: entry.sequence)
         if background_share is None:
             self.queue = FifoQueue()
@@ -43,12 +49,12 @@
             self.queue.push(entry, True)
 
     def add(self, entry: QueueEntry, is_charged: bool, now: float) -> None:
-        """Queue an entry, with a timer for the latest time that it may start."""
+        """Queue an entry, and start a timer for the latest time that it may start."""
         self.queue.push(entry, is_charged)
         self._queued[entry.work.request] = entry
         if entry.latest_start < float("inf"):
             self._push_timer(self._expiries, entry.latest_start, entry)
-        self._note_backlog(now)
+        self._record_backlog(now)
 
     def delay(self, entry: QueueEntry, due: float) -> None:
         """Keep an entry out of the queue until a time."""
@@ -56,7 +62,7 @@
         self._push_timer(self._delays, due, entry)
 
     def pop_due(self, now: float) -> list[QueueEntry]:
-        """Take the delayed entries that are due; the caller queues them."""
+        """Remove and return the delayed entries that are due."""
         due = []
         while self._delays and self._delays[0][0] <= now:
             _, _, entry = heapq.heappop(self._delays)
@@ -66,27 +72,27 @@
         return due
 
     def dequeue(self, entry: QueueEntry, now: float) -> None:
-        """Remove a head of the queue, which is dispatched."""
+        """Remove a head of the queue for dispatch."""
         self.queue.dequeue(entry)
         del self._queued[entry.work.request]
-        self._paces[entry.work.work_class].record_dispatch(entry.cost)
-        self._total_pace.record_dispatch(entry.cost)
-        self._note_backlog(now)
+        self._rates[entry.work.work_class].record_dispatch(entry.cost)
+        self._total_rate.record_dispatch(entry.cost)
+        self._record_backlog(now)
 
     def withdraw(self, request: RequestId, now: float) -> None:
-        """Forget a request, if it waits."""
+        """Remove a request if it is queued, delayed or expired."""
         self._delayed.pop(request, None)
         self._expired.pop(request, None)
         entry = self._queued.pop(request, None)
         if entry is not None:
             self.queue.remove(entry)
-            self._note_backlog(now)
+            self._record_backlog(now)
 
     def find_heads(self, now: float) -> list[QueueEntry]:
-        """Return the entries that may go next, the first choice first.
+        """Return the entries that may be dispatched next, the preferred one first.
 
-        A head that expired since the last look at the timers is set aside, so
-        that it neither runs in vain nor blocks those behind it.
+        Heads that have expired since `pop_expired` was called are taken out of the
+        queue, so that they neither run in vain nor block the entries behind them.
         """
         while True:
             heads = self.queue.list_heads()
@@ -94,20 +100,20 @@
             if not late:
                 return heads
             for entry in late:
-                self._set_aside(entry, now)
+                self._mark_expired(entry, now)
 
     def pop_expired(self, now: float) -> list[QueueEntry]:
-        """Take the entries that would start too late."""
+        """Remove and return the entries that can no longer start in time."""
         while self._expiries and self._expiries[0][0] <= now:
             _, _, entry = heapq.heappop(self._expiries)
             if self._is_queued(entry) and entry.latest_start <= now:
-                self._set_aside(entry, now)
-        hopeless = list(self._expired.values())
+                self._mark_expired(entry, now)
+        expired = list(self._expired.values())
         self._expired.clear()
-        return hopeless
+        return expired
 
     def find_next_time(self, now: float) -> float | None:
-        """Return when an entry is due, or hopeless."""
+        """Return when the next entry becomes due or expires; None if none does."""
         if self._expired:
             return now
         while self._delays and not self._is_delayed(self._delays[0][2]):
@@ -120,25 +126,28 @@
         )
 
     def find_cost(self) -> float:
-        """Return all work in the queue."""
+        """Return the cost of all queued work."""
         return sum(self.queue.find_cost(work_class) for work_class in WorkClass)
 
-    def find_rate(self, work_class: WorkClass | None, guess: float) -> float:
-        """Return work dispatched a second, of a class or of both.
+    def find_rate(self, work_class: WorkClass | None, prior_rate: float) -> float:
+        """Return the cost dispatched per second.
 
-        `guess` is what one credit is reckoned to do before it was seen.
+        Args:
+            work_class: the class to measure; None for all classes.
+            prior_rate: expected rate of one credit, used while there are few
+                measurements.
         """
-        meter = self._paces[work_class] if work_class else self._total_pace
-        return max(1e-9, meter.find_rate(self._credits, guess))
+        meter = self._rates[work_class] if work_class else self._total_rate
+        return max(1e-9, meter.find_rate(self._credits, prior_rate))
 
     @property
     def queued(self) -> int:
-        """Return how many requests are queued."""
+        """Number of queued requests."""
         return len(self._queued)
 
     @property
     def delayed(self) -> int:
-        """Return how many requests wait for a retry."""
+        """Number of requests that wait for a retry."""
         return len(self._delayed)
 
     def _push_timer(self, timers: list[_Timer], at: float, entry: QueueEntry) -> None:
@@ -151,13 +160,13 @@
     def _is_delayed(self, entry: QueueEntry) -> bool:
         return self._delayed.get(entry.work.request) is entry
 
-    def _set_aside(self, entry: QueueEntry, now: float) -> None:
+    def _mark_expired(self, entry: QueueEntry, now: float) -> None:
         del self._queued[entry.work.request]
         self.queue.remove(entry)
         self._expired[entry.work.request] = entry
-        self._note_backlog(now)
+        self._record_backlog(now)
 
-    def _note_backlog(self, now: float) -> None:
-        for work_class, meter in self._paces.items():
+    def _record_backlog(self, now: float) -> None:
+        for work_class, meter in self._rates.items():
             meter.record_backlog(self.queue.has_work(work_class), self._credits, now)
-        self._total_pace.record_backlog(bool(self._queued), self._credits, now)
+        self._total_rate.record_backlog(bool(self._queued), self._credits, now)
--- a/dewridge/policy/capacity.py
+++ b/dewridge/policy/capacity.py
@@ -1,61 +1,71 @@
-"""What one model engine of a service carries, learned from its own answers."""
+"""Prefill rate of the model engines of a service, measured from their answers."""
 
 import math
 from collections import deque
 from dataclasses import dataclass, field
 
-KEPT = 200
-"""Samples kept: half a minute of one host's requests in a small fleet, so that other
-prompts or slower engines show within that."""
+MAX_SAMPLES = 200
+"""Number of most recent samples that are stored: half a minute of one host's requests
+in a small fleet, so that the rate follows a change of prompts or of engine speed within
+that time."""
 DEFAULT_PREFILL_RATE = 65_000.0
-"""Prompt tokens a second that an engine is taken to read until its pace is known: about
-what is learned of engines that read 40,000 to 57,000 with two fifths of them cached."""
-USUAL_WEIGHT = 60.0
-"""Samples that the usual pace counts as: learned from fifteen alone the pace moved
-between 42,000 and 155,000 within one day, and half of the servers came and went."""
-TRIMMED = 0.4
-"""Part of the samples, the slowest, that are left out: what other hosts sent in the
-same moment was read before them. With a tenth, a crowded service seemed to read at half
-of its pace, and servers were ordered until it was not crowded any more."""
-FIXED_PART = 0.05
-"""Part of the samples, the quickest, whose time is taken for the way there and back and
-the first step, which an engine spends on other prompts. With it counted as reading, a
-service of short questions seemed to read at two thirds of its pace."""
+"""Prompt tokens per second that an engine is assumed to read before it is measured:
+about what is measured for engines that read 40,000 to 57,000 tokens per second with two
+fifths of the prompt tokens cached."""
+DEFAULT_WEIGHT = 60.0
+"""Weight of the default rate, as a number of samples. Without it, estimates from
+fifteen samples varied between 42,000 and 155,000 within a day, and half of the servers
+were released and ordered again."""
+TRIMMED_SHARE = 0.4
+"""Share of the samples, the slowest, that are left out: they include the time that the
+engine spent on prompts which other hosts sent at the same moment. With a tenth, a
+crowded service seemed to read at half of its rate, so that servers were ordered until
+the service was no longer crowded."""
+FIXED_TIME_QUANTILE = 0.05
+"""Quantile of the response times that is taken as the fixed time of a request: the
+network round trip and the first engine step, which is spent on other prompts. With the
+fixed time counted as reading, a service with short prompts seemed to read at two thirds
+of its rate."""
 
 
 @dataclass
 class PrefillRateMeter:
-    """How many prompt tokens a second an engine without other work reads.
+    """Estimates how many prompt tokens per second an otherwise idle engine reads.
 
-    Tokens that it has in its cache already count as read, as they do in the demand: a
-    service whose prompts share much needs fewer engines for the same tokens. Made in
-    place of one figure for all services, with which a calm fleet ordered three times
-    the engines that its work needed, and a service that reads slowly too few.
+    Tokens found in the prefix cache count as read, as they do in the demand: a service
+    whose prompts share long prefixes needs fewer engines for the same tokens. The rate
+    is measured per service, because with one rate for all services a lightly loaded
+    fleet ordered three times the engines that it needed, and a service with slow
+    engines ordered too few.
     """
 
     _samples: deque[tuple[float, int]] = field(
-        default_factory=lambda: deque(maxlen=KEPT)
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
     )
 
     def add_sample(self, tokens: int, seconds: float) -> None:
-        """Count a prompt whose answer began so long after it was sent."""
+        """Add a prompt and the seconds from sending it to the start of its answer."""
         if tokens > 0 and seconds > 0:
             self._samples.append((seconds, tokens))
 
     def estimate(self) -> float:
-        """Return tokens a second, near the usual pace while few samples are known."""
+        """Return tokens per second, close to the default rate while samples are few."""
         count = len(self._samples)
         if not count:
             return DEFAULT_PREFILL_RATE
-        fixed = sorted(seconds for seconds, _ in self._samples)[int(FIXED_PART * count)]
-        by_slowness = sorted(
-            (max(0.0, seconds - fixed) / tokens, tokens)
+        fixed_time = sorted(seconds for seconds, _ in self._samples)[
+            int(FIXED_TIME_QUANTILE * count)
+        ]
+        by_time_per_token = sorted(
+            (max(0.0, seconds - fixed_time) / tokens, tokens)
             for seconds, tokens in self._samples
         )
-        kept = by_slowness[: max(1, int(count * (1 - TRIMMED)))]
-        busy = sum(slowness * tokens for slowness, tokens in kept)
-        if busy <= 0:
+        fastest = by_time_per_token[: max(1, int(count * (1 - TRIMMED_SHARE)))]
+        reading_time = sum(
+            time_per_token * tokens for time_per_token, tokens in fastest
+        )
+        if reading_time <= 0:
             return DEFAULT_PREFILL_RATE
-        learned = sum(tokens for _, tokens in kept) / busy
-        weight = count / (count + USUAL_WEIGHT)
-        return DEFAULT_PREFILL_RATE * math.pow(learned / DEFAULT_PREFILL_RATE, weight)
+        measured = sum(tokens for _, tokens in fastest) / reading_time
+        weight = count / (count + DEFAULT_WEIGHT)
+        return DEFAULT_PREFILL_RATE * math.pow(measured / DEFAULT_PREFILL_RATE, weight)
--- a/dewridge/policy/choice.py
+++ b/dewridge/policy/choice.py
@@ -1,4 +1,4 @@
-"""Choosing a backend server for one request."""
+"""Choice of the backend server for one request."""
 
 import heapq
 import random
@@ -10,47 +10,53 @@
 from dewridge.ids import BackendServerId, FailureDomain
 from dewridge.policy.affinity import score_prefix
 
-REQUEST_TOKENS = 200.0
-"""Prompt tokens whose reading delays a newcomer about as much as one more answer that
-is written beside it: a step of an engine takes some hundredths longer."""
-QUEUED_TOKENS = 4_000.0
-"""The same for each request beyond a server's slots: it waits for one to end."""
+RUNNING_REQUEST_TOKENS = 200.0
+"""Load of a running request, in prompt tokens to read: a request that generates tokens
+delays a new prompt about as much as this many tokens, because each engine step takes a
+few percent longer."""
+QUEUED_REQUEST_TOKENS = 4_000.0
+"""Additional load of each request beyond a server's slots, in prompt tokens to read: a
+new prompt has to wait for another request to complete."""
 EQUAL_LOAD_TOKENS = 1_000.0
-"""Prompt tokens up to which two servers count as equally busy: some 25 ms of reading,
-less than other hosts' news is old. Always taking the best one, all hosts would send a
-burst to one server before they hear of each other."""
-
-HOMES = 2
-"""Servers that keep a prefix: with one, what it has no time for is read again at any
-other server, each time another one."""
+"""Difference in load, in prompt tokens, up to which two servers count as equally
+loaded: about 25 ms of reading, less than the staleness of other hosts' reports. If
+every host chose the single best server, a burst would go to one server before the hosts
+receive each other's reports."""
+
+HOLDERS_PER_PREFIX = 2
+"""Number of cache holders of a prefix. With a single one, prompts that it has no time
+for would be read completely at other servers, each time at a different one."""
 SHARED_WEIGHT = 2.0
-"""How much longer than the reading of its shared part a prompt waits for its home: read
-again elsewhere, it delays what comes after it there as well. In a replay of bursts at
-seven tenths of the servers' pace 2.3% were late at 1, 0.5% at 2."""
+"""Load that a cache holder may have above the least loaded server, as a multiple of the
+prompt's shared tokens. It is more than 1 because reading the shared tokens again at
+another server also delays the prompts that follow there: in a replay of bursts at 70%
+of the servers' capacity, 2.3% of the answers were late with 1 and 0.5% with 2."""
 COPIED_WEIGHT = 0.75
-"""The same where the shared part can be copied from a server that keeps it: a copy
-takes a tenth of the time, and its price is that of some milliseconds."""
+"""As SHARED_WEIGHT, if the shared tokens can be copied from another cache holder. A
+copy takes a tenth of the time of reading them, and costs some milliseconds of work."""
 BUSY_WEIGHT = 1.0
-"""How much longer than at the least busy server, as a part of the wait there: the
-busier all are, the less can be read twice. In the same replay at nine tenths 14% were
-late at 0, 7% at 1."""
+"""Load that a cache holder may have above the least loaded server, as a multiple of the
+load of that server: the busier all servers are, the less can be read twice. In the same
+replay at 90% of the capacity, 14% of the answers were late with 0 and 7% with 1."""
 
-OLD_NEWS = 0.4
-"""Seconds by which the other hosts' news may lag until it is too old to tell the least
-busy server by: in that time a busy server reads all that it had waiting."""
+MAX_STALENESS = 0.4
+"""Staleness of the other hosts' reports, in seconds, above which they don't show which
+server is least loaded: a busy server reads its whole backlog in that time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A server that may take the request.
+    """A server that the request may be sent to.
 
     Attributes:
-        id: the server.
-        failure_domain: where it runs.
-        requests: in flight there from all hosts.
-        unread_tokens: of their prompts, as far as is known, that it has yet to read.
-        slots: requests that it works on at once.
-        is_usable: whether it should get work while others can take it.
+        id: id of the server.
+        failure_domain: failure domain of the server.
+        requests: requests in flight to the server from all hosts.
+        unread_tokens: prompt tokens of these requests that the server has not read
+            yet, as far as is known.
+        slots: requests that the server runs concurrently.
+        is_usable: whether to send work to the server while there are other usable
+            ones.
     """
 
     id: BackendServerId
@@ -62,21 +68,23 @@
 
     @property
     def delay_tokens(self) -> float:
-        """What a newcomer waits for, in prompt tokens to be read before its own."""
+        """Load that delays a new prompt, in prompt tokens to read before it."""
         queued = max(0, self.requests + 1 - self.slots)
         return (
-            self.unread_tokens + self.requests * REQUEST_TOKENS + queued * QUEUED_TOKENS
+            self.unread_tokens
+            + self.requests * RUNNING_REQUEST_TOKENS
+            + queued * QUEUED_REQUEST_TOKENS
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A server chosen.
+    """The server chosen for a prompt.
 
     Attributes:
-        server: where to send the prompt.
-        tokens: of it that the server likely has to read.
-        is_idle: whether nothing is known to be read there before it.
+        server: id of the server.
+        tokens: tokens of the prompt that the server probably has to read.
+        is_idle: whether the server has no other prompts to read, as far as is known.
     """
 
     server: BackendServerId
@@ -94,77 +102,95 @@
     can_copy: bool = False,
     staleness: float = 0.0,
 ) -> Placement | None:
-    """Choose the server at which a prompt is read soonest.
+    """Choose the server that is expected to read a prompt soonest.
+
+    All hosts rank the servers alike for a prefix, so that the shared tokens of a prompt
+    are read at the cache holders of the prefix only, without communication between
+    hosts. Any other server has to read the shared tokens again. A cache holder is
+    therefore preferred until its load exceeds that of the least loaded server by a
+    bound that depends on the shared tokens.
 
-    All hosts rank the servers alike for a prefix, so that its shared part is read by
-    its homes alone, without a word between hosts. Elsewhere it has to be read again, so
-    that a home may be busier by that; beyond it, the least busy server begins sooner.
-    Made for bursts of long prompts beside short questions:
-    kept to their homes until these had three requests more than the mean, seven
-    requests stood at one server while eight were idle, and one answer in ten of a calm
-    day was late.
+    The bound is on load and not on the number of requests, for bursts of long prompts
+    that arrive beside short ones. When cache holders were used until they had three
+    requests more than the mean, seven requests waited at one server while eight
+    servers were idle, and a tenth of the answers were late under light load.
 
-    A large fleet's news is old, and its servers are many: some are always told to be
-    idle, all hosts take these for the least busy ones, and bursts of all of them meet
-    there. Sent by chance the prompts would be read sooner. So with old news only a
-    prompt's two homes are compared, other ones for each prefix.
+    In a large fleet the reports of other hosts are stale, and some servers are always
+    reported as idle. If all hosts chose these, their bursts would meet there, which is
+    worse than a random choice. With stale reports, only the cache holders are compared,
+    which differ by prefix.
 
     Args:
         candidates: the service's servers.
-        prefix: names the shared part.
-        shared_tokens: its size.
-        prompt_tokens: of the whole prompt.
-        rng: draws among servers that are about equally busy.
-        can_copy: whether another server can copy the shared part from a home.
-        staleness: seconds by which the other hosts' news may lag.
+        prefix: names the shared part of the prompt.
+        shared_tokens: number of tokens of the shared part.
+        prompt_tokens: number of tokens of the whole prompt.
+        rng: draws among servers that are about equally loaded.
+        can_copy: whether another server can copy the shared part from a cache holder.
+        staleness: seconds by which the reports of other hosts may lag behind.
+
+    Returns:
+        The server; None if there are no candidates.
     """
-    usable = [one for one in candidates if one.is_usable] or list(candidates)
+    usable = [server for server in candidates if server.is_usable] or list(candidates)
     if not usable:
         return None
-    if staleness > OLD_NEWS:
+    if staleness > MAX_STALENESS:
         usable = list_cache_holders(usable, prefix)
-    least = min(one.delay_tokens for one in usable)
+    lowest = min(server.delay_tokens for server in usable)
     weight = COPIED_WEIGHT if can_copy else SHARED_WEIGHT
-    bound = least * (1 + BUSY_WEIGHT) + shared_tokens * weight + EQUAL_LOAD_TOKENS
-    for home in list_cache_holders(usable, prefix):
-        if home.delay_tokens <= bound:
-            own_tokens = max(0, prompt_tokens - shared_tokens)
-            return Placement(home.id, own_tokens, home.unread_tokens <= 0)
-    near = [one for one in usable if one.delay_tokens <= least + EQUAL_LOAD_TOKENS]
-    chosen = rng.choice(near)
+    bound = lowest * (1 + BUSY_WEIGHT) + shared_tokens * weight + EQUAL_LOAD_TOKENS
+    for holder in list_cache_holders(usable, prefix):
+        if holder.delay_tokens <= bound:
+            unshared_tokens = max(0, prompt_tokens - shared_tokens)
+            return Placement(holder.id, unshared_tokens, holder.unread_tokens <= 0)
+    least_loaded = [
+        server for server in usable if server.delay_tokens <= lowest + EQUAL_LOAD_TOKENS
+    ]
+    chosen = rng.choice(least_loaded)
     tokens = prompt_tokens - shared_tokens if can_copy else prompt_tokens
     return Placement(chosen.id, max(0, tokens), chosen.unread_tokens <= 0)
 
 
 def list_cache_holders(candidates: Sequence[Candidate], prefix: str) -> list[Candidate]:
-    """Return the servers that keep a prefix, the first one first; all hosts agree."""
+    """Return the cache holders of a prefix, best first; the same on all hosts."""
     return heapq.nlargest(
-        HOMES, candidates, key=lambda one: score_cache_holder(prefix, one.id)
+        HOLDERS_PER_PREFIX,
+        candidates,
+        key=lambda server: score_cache_holder(prefix, server.id),
     )
 
 
 def find_cache_holder(
-    settled: Sequence[BackendServerId], prefix: str, chosen: BackendServerId
+    warm_servers: Sequence[BackendServerId], prefix: str, chosen: BackendServerId
 ) -> BackendServerId | None:
-    """Return the server that likely keeps what the chosen one has not read yet.
+    """Return the server that probably has a prefix cached, if the chosen one has not.
 
-    Made for the seconds after a reclaim: each prefix of the servers that left, and its
-    part of those that came, has a new home with an empty cache, and all of them are
-    read anew just when there are fewest servers. Copied from the home before, also from
-    one that is leaving, a shared part of 6,000 tokens is there in a tenth of the time.
+    After a reclaim, the prefixes of the servers that left have new cache holders with
+    empty caches, and so have a share of the other prefixes once new servers join. All
+    of these would be read again just when there are the fewest servers. Copying a
+    shared part of 6,000 tokens from the previous cache holder, which may be a leaving
+    server, takes a tenth of the time.
 
     Args:
-        settled: the servers that have been there for long enough to have read their
-            prefixes, the leaving ones included.
-        prefix: names the shared part.
-        chosen: where the prompt goes.
+        warm_servers: servers that have been running long enough to have read their
+            prefixes, including leaving ones.
+        prefix: names the shared part of the prompt.
+        chosen: the server that the prompt is sent to.
+
+    Returns:
+        The server to copy from; None if it is the chosen one or there is none.
     """
-    keeper = max(settled, key=lambda one: score_cache_holder(prefix, one), default=None)
-    return None if keeper == chosen else keeper
+    holder = max(
+        warm_servers,
+        key=lambda server: score_cache_holder(prefix, server),
+        default=None,
+    )
+    return None if holder == chosen else holder
 
 
 def score_cache_holder(prefix: str, server: BackendServerId) -> int:
-    """Return how well a server ranks as the home of a prefix."""
+    """Return the rendezvous score of a server as cache holder of a prefix."""
     seed = xxhash.xxh3_64_intdigest(prefix.encode())
     return score_prefix(seed, xxhash.xxh3_64_intdigest(server.encode()))
 
@@ -174,29 +200,32 @@
     avoided: Container[BackendServerId],
     rng: random.Random,
 ) -> Candidate | None:
-    """Choose the server with the fewest requests, drawing among equals.
+    """Choose the server with the fewest requests, at random among equals.
 
     Args:
         candidates: the service's servers.
-        avoided: servers that are chosen only where all usable ones are among them.
+        avoided: servers that are chosen only if all usable servers are among them.
         rng: draws among equals.
     """
-    usable = [one for one in candidates if one.is_usable] or list(candidates)
-    apart = [one for one in usable if one.id not in avoided] or usable
-    if not apart:
+    usable = [server for server in candidates if server.is_usable] or list(candidates)
+    preferred = [server for server in usable if server.id not in avoided] or usable
+    if not preferred:
         return None
-    return min(apart, key=lambda one: (one.requests, rng.random()))
+    return min(preferred, key=lambda server: (server.requests, rng.random()))
 
 
 def choose_least_loaded(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate | None:
-    """Choose the server with the most free slots, drawing among equals.
+    """Choose the server with the lowest share of used slots, at random among equals.
 
-    Hosts that all know the same loads and choose alike would send a burst to one
-    server; the draw among equals spreads it.
+    Hosts that know the same loads and choose in the same way would send a burst to one
+    server; the random choice among equals spreads it.
     """
-    usable = [one for one in candidates if one.is_usable] or list(candidates)
+    usable = [server for server in candidates if server.is_usable] or list(candidates)
     if not usable:
         return None
-    return min(usable, key=lambda one: (one.requests / max(1, one.slots), rng.random()))
+    return min(
+        usable,
+        key=lambda server: (server.requests / max(1, server.slots), rng.random()),
+    )
--- a/dewridge/policy/credits.py
+++ b/dewridge/policy/credits.py
@@ -1,4 +1,4 @@
-"""What this entry host has learned of one backend server, and its credits."""
+"""Concurrency credits and measurements of one backend server at this entry host."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,43 +7,46 @@
 from dewridge.ids import RequestId
 from dewridge.policy.model import ServerView, WorkClass
 
-SMOOTHING = 0.2
-"""Weight of a new sample. Five samples move a figure two thirds of the way: a
-server that turns slow is seen after a handful of answers, one outlier is not."""
+SMOOTHING_WEIGHT = 0.2
+"""Weight of a new sample in an exponential average. Five samples move the average two
+thirds of the way: a server that becomes slow is detected after a few answers, while a
+single outlier has little effect."""
 
-GROWTH = 0.25
-"""Credits gained over one round of good answers, shared by all in flight. Each
-entry host grows on its own; a faster pace would have several of them overrun a
-shared server between two of its refusals."""
+CREDIT_GAIN = 0.25
+"""Credits gained per round of good answers, one answer for each credit. Entry hosts
+gain credits independently; with a higher gain several of them would overload a shared
+server between two of its refusals."""
 
-REGROWTH = 1.0
-"""The same below the host's even part of the capacity, which nobody else counts
-on: what one bad moment took comes back within a few answers."""
+CREDIT_REGAIN = 1.0
+"""As CREDIT_GAIN, while the host has less than its equal share of the server's
+capacity, which no other host counts on. Credits lost in a single event return within a
+few answers."""
 
-CUT = 0.7
-"""Factor on the credits after a sign of overload. Half would leave capacity idle
-after each probe of the limit, nine tenths would take many refusals to back off."""
+CUT_FACTOR = 0.7
+"""Factor on the credits after a sign of overload. With 0.5, capacity would be idle each
+time that the limit is exceeded; with 0.9, backing off would take many refusals."""
 
-FIRST_PAUSE = 0.5
-LAST_PAUSE = 30.0
-"""Seconds that a failing server gets nothing, doubling from the first to the
-last. A server that restarts is back within seconds; one that stays broken costs
-two requests a minute at most."""
+MIN_PAUSE = 0.5
+MAX_PAUSE = 30.0
+"""Seconds for which a failing server gets no requests, doubled from the minimum to the
+maximum. A server that restarts is used again within seconds; one that stays broken
+costs at most two requests per minute."""
 
-FORGIVING = 0.9
-"""Factor on the pause for each good answer. A server that fails again soon after
-its probe went well keeps its long pause; a score of good answers clears it."""
+PAUSE_DECAY = 0.9
+"""Factor on the pause for each good answer. A server that fails again soon after a good
+probe keeps its long pause; twenty good answers shorten it to about an eighth."""
 
 FAILURE_LIMIT = 2
-"""Failures in a row that suspend a server. One may be the request's own fault."""
+"""Consecutive failures that suspend a server. A single one may be caused by the request
+itself."""
 
-
-SPREADS = 2.0
-"""Mean distances above the mean within which about 95 in 100 samples lie."""
+SPREAD_MULTIPLE = 2.0
+"""Multiple of the mean deviation above the mean within which about 95% of the samples
+lie."""
 
 MIN_LIMIT = 0.25
-"""Credits at least. Fractions count in the sum over the host's servers; with none
-left on a server, nothing would tell that it got better."""
+"""Lower bound of the credits for a server. Fractions count in the sum over the host's
+servers; without any credit, the host would not notice that the server has recovered."""
 
 
 class Health(Enum):
@@ -51,34 +54,42 @@
 
     GOOD = "good"
     SUSPENDED = "suspended"
-    """Gets none until its pause is over."""
+    """Gets no requests until its pause has passed."""
     PROBING = "probing"
-    """Gets one request, whose outcome decides."""
+    """Gets one request, whose outcome decides whether the server gets more."""
 
 
 @dataclass(slots=True)
 class ServerCredits:
-    """A backend server as this entry host knows it from its own responses.
+    """What this entry host knows of a backend server from its own requests.
 
-    Reported load lags and every entry host sees the same report; deciding by it
-    sends all hosts' work to one server until the next report. Credits are
-    private to the host: it may have `limit` requests in flight there, grown by
-    good answers and cut by refusals and slowness.
+    Reported load is stale and the same for all entry hosts, so that deciding by it
+    would send the work of all hosts to one server until the next report. Credits are
+    private to a host: it may have up to `limit` requests in flight to the server. Good
+    answers increase the limit, refusals and slow answers reduce it.
 
     Attributes:
-        share: this host's even part of the server's capacity.
-        id_hash: of its id, for prefix affinity.
-        first_token: smoothed seconds from dispatch to the first token; 0: none.
+        view: properties of the server.
+        limit: credits, which may be a fraction.
+        share: this host's equal share of the server's capacity.
+        id_hash: hash of the server's id, for prefix affinity.
+        in_flight: requests of this host in flight to the server.
+        background: those of them that are background work.
+        first_token: smoothed seconds from dispatch to the first token; 0 before the
+            first sample.
         interactive_first_token: the same for interactive work only, which engines
             run first.
-        interactive_spread: smoothed distance of the samples from
-            `interactive_first_token`.
-        token_time: smoothed seconds between tokens; 0: none yet.
-        last_response_at: when anything came from it last.
+        interactive_spread: smoothed mean deviation from `interactive_first_token`.
+        token_time: smoothed seconds between tokens; 0 before the first sample.
+        last_response_at: when the last token was received.
         awaiting_first_token: dispatch times of the requests without a first token,
             oldest first.
+        health: whether the server gets work.
+        failures: consecutive failures.
+        pause: seconds of the next suspension.
         retry_at: when a suspended server may be probed.
-        probe: the request that probes it now.
+        cut_at: when the credits were last reduced.
+        probe: the request that is probing the server.
     """
 
     view: ServerView
@@ -95,31 +106,33 @@
     awaiting_first_token: dict[RequestId, float] = field(default_factory=dict)
     health: Health = Health.GOOD
     failures: int = 0
-    pause: float = FIRST_PAUSE
+    pause: float = MIN_PAUSE
     retry_at: float = 0.0
     cut_at: float = 0.0
     probe: RequestId | None = None
 
-    def has_room(self, work_class: WorkClass, kept: float, now: float) -> bool:
-        """Whether a credit is free for work of a class.
+    def has_room(
+        self, work_class: WorkClass, reserved_share: float, now: float
+    ) -> bool:
+        """Return whether a credit is free for work of a class.
 
         Args:
-            work_class: background work may not use the credits kept free.
-            kept: part of the credits that interactive work finds free.
-            now: the time, for servers that may be probed.
+            work_class: class of the work; background work can't use reserved credits.
+            reserved_share: share of the credits reserved for interactive work.
+            now: current time, for suspended servers that may be probed.
         """
         if self.view.leaving_at is not None:
             return False
         if self.health is not Health.GOOD:
             return self.is_probe_due(now)
-        allowed = ceil(self.limit)
+        max_in_flight = ceil(self.limit)
         if work_class is WorkClass.BACKGROUND:
-            most = ceil(self.limit * (1 - kept))
-            return self.in_flight < allowed and self.background < most
-        return self.in_flight < allowed + min(1, self.background)
+            max_background = ceil(self.limit * (1 - reserved_share))
+            return self.in_flight < max_in_flight and self.background < max_background
+        return self.in_flight < max_in_flight + min(1, self.background)
 
     def is_probe_due(self, now: float) -> bool:
-        """Whether a suspended server may get the one request that probes it."""
+        """Return whether the server is suspended and may be probed with a request."""
         is_suspended = self.health is Health.SUSPENDED
         return is_suspended and self.view.leaving_at is None and now >= self.retry_at
 
@@ -133,43 +146,45 @@
             self.probe = request
 
     def release(self, request: RequestId, work_class: WorkClass) -> None:
-        """Free the credit of a request that ended."""
+        """Free the credit of a request that has ended."""
         self.in_flight = max(0, self.in_flight - 1)
         if work_class is WorkClass.BACKGROUND:
             self.background = max(0, self.background - 1)
         self.awaiting_first_token.pop(request, None)
 
     def find_first_token(self, now: float) -> float:
-        """Return the expected time to a first token; 0 if nothing is known.
+        """Return the expected seconds to a first token; 0 if unknown.
 
-        A server that stopped answering sends no samples, so its silence counts
-        as one. Its work would otherwise go on flowing there until the first
+        A server that has stopped answering yields no samples, so the time since its
+        last response counts as one. Otherwise it would get work until the first
         timeout.
         """
         return max(self.first_token, self.find_silence(now))
 
     def find_silence(self, now: float) -> float:
-        """Return how long nothing came though a request waits for its first token.
+        """Return the seconds without a response while a request awaits its first token.
 
-        Tokens of other requests break it: a server that is merely full still
+        Tokens of any request count as a response: a server that is merely full still
         streams, one that hangs does not.
         """
         oldest = next(iter(self.awaiting_first_token.values()), now)
         return now - max(oldest, self.last_response_at)
 
     def find_late_first_token(self, now: float) -> float:
-        """Return the time that nearly all interactive first tokens come within.
+        """Return the seconds within which about 95% of interactive first tokens come.
 
-        The target speaks of 95 in 100 answers; a mean that just meets it would
-        have a third of them late.
+        The latency target applies to 95% of the answers; if the mean just met the
+        target, a third of them would be late.
         """
-        usual = self.interactive_first_token + SPREADS * self.interactive_spread
-        return max(usual, self.find_silence(now))
+        typical = (
+            self.interactive_first_token + SPREAD_MULTIPLE * self.interactive_spread
+        )
+        return max(typical, self.find_silence(now))
 
     def record_first_token(
         self, request: RequestId, work_class: WorkClass, now: float
     ) -> float | None:
-        """Learn from a first token; returns the time that it took."""
+        """Record a first token; returns its seconds, or None if it was not awaited."""
         sent_at = self.awaiting_first_token.pop(request, None)
         if sent_at is None:
             return None
@@ -179,57 +194,64 @@
         if work_class is WorkClass.INTERACTIVE:
             self.interactive_first_token = _smooth(self.interactive_first_token, sample)
             distance = abs(sample - self.interactive_first_token)
-            self.interactive_spread += SMOOTHING * (distance - self.interactive_spread)
+            self.interactive_spread += SMOOTHING_WEIGHT * (
+                distance - self.interactive_spread
+            )
         return sample
 
     def record_token_time(self, sample: float, now: float) -> None:
-        """Learn from the time between two tokens."""
+        """Record the seconds between two tokens."""
         self.last_response_at = now
         self.token_time = _smooth(self.token_time, sample)
 
     def set_share(self, share: float) -> None:
-        """Take over another even part, as hosts or servers came or went.
+        """Change the host's share of the capacity and scale its credits accordingly.
 
-        Hosts that start one after the other each think to be alone at first;
-        credits for the whole capacity, kept by all of them, would overrun it.
+        The share changes when hosts or servers join or leave. Hosts that start one
+        after the other each know only themselves at first; if all of them retained
+        credits for the whole capacity, they would overload the server.
         """
         if share != self.share:
             self.limit = max(MIN_LIMIT, self.limit * share / self.share)
             self.share = share
 
     def grow(self) -> None:
-        """Gain a part of a credit after a good answer, if credits were short."""
+        """Add a fraction of a credit after a good answer, if nearly all were in use."""
         if self.health is Health.GOOD and self.in_flight + 1 >= self.limit:
-            pace = REGROWTH if self.limit < self.share else GROWTH
-            ceiling = float(max(1, self.view.capacity))
-            self.limit = min(ceiling, self.limit + pace / max(1.0, self.limit))
+            gain = CREDIT_REGAIN if self.limit < self.share else CREDIT_GAIN
+            max_limit = float(max(1, self.view.capacity))
+            self.limit = min(max_limit, self.limit + gain / max(1.0, self.limit))
 
     def cut(self, now: float, floor: float = MIN_LIMIT) -> None:
-        """Lose credits after a sign of overload, once a round trip.
+        """Reduce the credits after a sign of overload, at most once per round trip.
+
+        All requests in flight notice the same overload; reducing the credits for each
+        of them would remove all credits for a single event.
 
-        One moment of overload is seen by every request in flight; cutting for
-        each of them would take all credits for a single event.
+        Args:
+            now: current time.
+            floor: credits that are retained if the host has them.
         """
         if now - self.cut_at < max(0.05, self.first_token):
             return
         self.cut_at = now
-        self.limit = max(min(floor, self.limit), self.limit * CUT, MIN_LIMIT)
+        self.limit = max(min(floor, self.limit), self.limit * CUT_FACTOR, MIN_LIMIT)
 
     def yield_borrowed(self, now: float) -> None:
-        """Lose credits above the even part: other hosts want theirs."""
+        """Reduce the credits above the host's share, which other hosts use again."""
         self.cut(now, self.share)
 
     def record_success(self) -> None:
-        """Record a good answer; a long run of them shortens the next pause."""
+        """Record a good answer, which shortens the pause after the next failure."""
         self.failures = 0
-        self.pause = max(FIRST_PAUSE, self.pause * FORGIVING)
+        self.pause = max(MIN_PAUSE, self.pause * PAUSE_DECAY)
 
     def recover(self, sample: float) -> None:
-        """Return after a good probe, with one credit and nothing else known.
+        """Use the server again after a good probe, with at most one credit.
 
-        One credit, not those it had: a server that comes back cold would get
-        the load that broke it at one moment from every entry host. What was
-        learned while it was slow would have it suspended again at once.
+        With its previous credits, a server that has just recovered would at once get
+        the load that made it fail, from every entry host. Earlier measurements are
+        dropped: those taken while it was slow would suspend it again immediately.
         """
         self.health = Health.GOOD
         self.probe = None
@@ -241,34 +263,34 @@
         self.token_time = 0.0
 
     def record_refusal(self, request: RequestId, now: float, jitter: float) -> None:
-        """Record an attempt that the server refused to start: it is full."""
+        """Record an attempt that the server refused because it is full."""
         self.cut(now)
         if self.probe == request:
             self.suspend(now, jitter)
 
     def record_failure(self, now: float, jitter: float) -> None:
-        """Record a failed attempt; `jitter` is a random number within 0 to 1."""
+        """Record a failed attempt; `jitter` is a random number from 0 to 1."""
         self.failures += 1
-        self.limit = max(MIN_LIMIT, self.limit * CUT)
+        self.limit = max(MIN_LIMIT, self.limit * CUT_FACTOR)
         if self.failures >= FAILURE_LIMIT or self.health is Health.PROBING:
             self.suspend(now, jitter)
 
     def drop_probe(self, request: RequestId) -> None:
-        """Forget a probe that ended without telling anything."""
+        """End a probe that showed nothing about the server; it stays suspended."""
         if self.probe == request:
             self.probe = None
             self.health = Health.SUSPENDED
 
     def suspend(self, now: float, jitter: float) -> None:
-        """Give it nothing for a while, longer each time."""
+        """Send no requests for a pause that doubles each time."""
         self.health = Health.SUSPENDED
         self.probe = None
         self.retry_at = now + self.pause * (0.5 + jitter)
-        self.pause = min(LAST_PAUSE, self.pause * 2)
+        self.pause = min(MAX_PAUSE, self.pause * 2)
         self.limit = min(1.0, self.share)
 
 
-def _smooth(known: float, sample: float) -> float:
-    if known == 0.0:
+def _smooth(average: float, sample: float) -> float:
+    if average == 0.0:
         return sample
-    return known + SMOOTHING * (sample - known)
+    return average + SMOOTHING_WEIGHT * (sample - average)
--- a/dewridge/policy/entry.py
+++ b/dewridge/policy/entry.py
@@ -1,4 +1,4 @@
-"""Order and choice of entry addresses for a client account."""
+"""Choice and order of the entry hosts that a client account connects to."""
 
 from collections.abc import Sequence
 from typing import Protocol, TypeVar
@@ -9,7 +9,7 @@
 
 
 class EntryHost(Protocol):
-    """What the choice needs of a member; `membership.model.Member` has it."""
+    """A host that callers may connect to; `membership.model.Member` conforms."""
 
     @property
     def host(self) -> HostId:
@@ -17,11 +17,11 @@
 
     @property
     def failure_domain(self) -> FailureDomain:
-        """Failure domain that it is in."""
+        """Failure domain of the host."""
 
     @property
     def takes_work(self) -> bool:
-        """Whether new work may be given to it."""
+        """Whether the host accepts new work."""
 
 
 AnyHost = TypeVar("AnyHost", bound=EntryHost)
@@ -30,24 +30,29 @@
 def choose_entry_hosts(
     account: str, members: Sequence[AnyHost], count: int, caller: str = ""
 ) -> list[AnyHost]:
-    """Order entry hosts for a client account and take the first `count`.
-
-    Made for callers that keep the answer a while and connect by themselves.
-    Each account draws its own order, so that accounts spread evenly and all
-    hosts give the same account the same answer; `caller` (an address, say)
-    spreads the callers of one large account, which would otherwise all sit on
-    one host. The first addresses lie in different failure domains, so that the
-    next one on the list outlives the reclaim of the first one's domain.
+    """Return the first `count` entry hosts for a client account, in order.
+
+    Callers cache the list and connect by themselves. The order is a hash of the
+    account, so that accounts spread evenly over the hosts and every host returns the
+    same list for an account. The first hosts are in different failure domains, so that
+    the next one remains when the domain of the first is reclaimed.
+
+    Args:
+        account: the client account.
+        members: known hosts; those that don't accept work are left out.
+        count: number of hosts to return.
+        caller: names a caller within the account, such as its address. It spreads the
+            callers of a large account, which would otherwise all use the same host.
     """
     live = [member for member in members if member.takes_work]
     subject = f"{account}|{caller}"
     live.sort(key=lambda member: _score(subject, member.host))
-    turn: dict[FailureDomain, int] = {}
+    domain_counts: dict[FailureDomain, int] = {}
     rounds = []
-    for place, member in enumerate(live):
-        seen = turn.get(member.failure_domain, 0)
-        turn[member.failure_domain] = seen + 1
-        rounds.append((seen, place, member))
+    for rank, member in enumerate(live):
+        round_number = domain_counts.get(member.failure_domain, 0)
+        domain_counts[member.failure_domain] = round_number + 1
+        rounds.append((round_number, rank, member))
     rounds.sort(key=lambda item: item[:2])
     return [member for _, _, member in rounds[: max(0, count)]]
 
--- a/dewridge/policy/idletime.py
+++ b/dewridge/policy/idletime.py
@@ -1,62 +1,64 @@
-"""How long an idle connection to a service's servers may be used again."""
+"""How long an idle connection to the servers of a service may be reused."""
 
 from dataclasses import dataclass
 
-FIRST_LIMIT = 0.6
-"""Seconds at first: no server has been seen to close a connection so soon."""
+INITIAL_LIMIT = 0.6
+"""Limit in seconds before anything is learned: no server has been observed to close an
+idle connection this early."""
 MIN_LIMIT = 0.3
-"""Seconds at the least: a server that crashes closes its connections at any age, and
-what others keep has nothing to do with it."""
+"""Lower bound of the limit in seconds. A server that crashes closes its connections at
+any age, which says nothing about the idle timeout of the other servers."""
 ANNOUNCED_SHARE = 0.5
-"""Part of the time that a server announces which is believed at the most: some close
-connections sooner than they say."""
-LONGEST_UNANNOUNCED = 5.0
-"""Seconds at the most where a server announces nothing."""
-GROWTH = 1.25
-"""Growth with each connection that was seen open for longer than the limit: a handful
-of them double it."""
+"""Share of an announced keep-alive time that is relied on at most: some servers close
+connections earlier than they announce."""
+MAX_UNANNOUNCED = 5.0
+"""Upper bound in seconds for servers that announce no keep-alive time."""
+GROWTH_FACTOR = 1.25
+"""Largest factor by which the limit grows with each connection found open after a
+longer idle time: a few of them double it."""
 CLOSED_SHARE = 0.5
-"""Part of the age at which a connection was found closed that is still trusted: the
-server may have closed it at any time before."""
-SURE_SHARE = 0.7
-"""Part of the limit for a request that can't be sent again: the others bear the risk
-of finding out where the limit lies."""
+"""New limit, as a share of the idle time of a connection that was found closed: the
+server may have closed it at any earlier time."""
+MUST_ARRIVE_SHARE = 0.7
+"""Share of the limit that is used for requests that can't be sent again. Requests that
+can be repeated use the whole limit and so find out where it lies."""
 
 
 @dataclass
 class IdleLimitEstimator:
-    """Learns for how long a service's servers leave idle connections open.
+    """Learns how long the servers of a service leave idle connections open.
 
-    Made for callers whose requests are spread over many servers: a connection is idle
-    for seconds before its next request, and a new one for each costs the server's time
-    and the caller a round trip. Sent on a connection that the server has just closed, a
-    request is lost; how long servers keep them differs by service, and not all announce
-    it truly.
+    Requests are spread over many servers, so that a connection is idle for seconds
+    before its next request. A new connection for each request would cost server time
+    and a round trip; a request that is sent on a connection which the server has just
+    closed is lost. The idle timeout of servers differs by service, and not all servers
+    announce it correctly.
 
     Attributes:
-        limit: seconds for which an idle connection is trusted.
+        limit: seconds for which an idle connection is considered usable.
     """
 
-    limit: float = FIRST_LIMIT
+    limit: float = INITIAL_LIMIT
 
     def record_open(self, age: float) -> None:
-        """Learn that a connection idle for so long was open."""
+        """Record that a connection was still open after `age` idle seconds."""
         if age > self.limit:
-            self.limit = min(age, self.limit * GROWTH)
+            self.limit = min(age, self.limit * GROWTH_FACTOR)
 
     def record_closed(self, age: float) -> None:
-        """Learn that the server had closed a connection idle for so long."""
+        """Record that a connection was found closed after `age` idle seconds."""
         self.limit = max(MIN_LIMIT, min(self.limit, age * CLOSED_SHARE))
 
     def find_limit(self, announced: float | None, *, must_arrive: bool) -> float:
-        """Return the seconds for which a connection may be used again.
+        """Return the idle seconds up to which a connection may be reused.
 
         Args:
-            announced: seconds that the server says it keeps it; None if it does not.
-            must_arrive: whether what is sent on it can't be sent again.
+            announced: keep-alive seconds that the server announces; None if it
+                announces none.
+            must_arrive: whether the request can't be sent again.
         """
-        most = LONGEST_UNANNOUNCED
+        max_limit = MAX_UNANNOUNCED
         if announced is not None:
-            most = announced * ANNOUNCED_SHARE
-        limit = min(self.limit, most)
-        return limit * SURE_SHARE if must_arrive else limit
+            max_limit = announced * ANNOUNCED_SHARE
+        limit = min(self.limit, max_limit)
+        return limit * MUST_ARRIVE_SHARE if must_arrive else limit
--- a/dewridge/policy/losses.py
+++ b/dewridge/policy/losses.py
@@ -1,61 +1,65 @@
-"""What a lost attempt says: of the server, of the link, of the request itself."""
+"""Classification of lost attempts: caused by the server, the link or the request."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 CRASH_BLAME_SECONDS = 0.5
-"""Seconds from its first event within which a run counts as one that has just begun. A
-request that ends servers does so as it begins; a busy process notices tenths late."""
+"""Seconds from an attempt's first event within which a server crash is attributed to
+its request. A request that crashes servers does so as it starts to run; a busy process
+may notice the crash some tenths of a second late."""
 
 
 class LossReason(Enum):
-    """Why an attempt has no answer to pass on."""
+    """Why an attempt has no answer that can be returned to the caller."""
 
     NOT_CONNECTED = "not connected"
     REJECTED = "rejected"
-    """The server says that it did not run the request."""
+    """The server reports that it did not run the request."""
     OTHER_SERVER = "another server has the address"
     FAILED = "failed"
-    """The server answers with a failure of its own."""
+    """The server returned an error."""
     CUT_OFF = "cut off"
     MISMATCHED = "the answer belongs to another request"
     MALFORMED = "malformed answer"
     MOVED = "moved to another server"
+    """The gateway itself stopped the attempt to move it."""
 
 
 NOT_RUN_REASONS = frozenset(
     {LossReason.NOT_CONNECTED, LossReason.REJECTED, LossReason.OTHER_SERVER}
 )
 INTERRUPTED_REASONS = frozenset({LossReason.CUT_OFF, LossReason.MALFORMED})
-"""Losses after which the server may be there or not."""
+"""Reasons that don't show whether the server is still running."""
 
 
 class ConnectResult(Enum):
-    """What became of a new connection to a server."""
+    """Result of opening a new connection to a server."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
-    """Its host answers that nothing listens there: the process has ended."""
+    """The server's host refused the connection: the server process has ended."""
     SILENT = "silent"
 
 
 class ServerVerdict(Enum):
-    """What to think of the server."""
+    """What a lost attempt shows about its server."""
 
     NOTHING = "nothing"
     REPLACED = "replaced"
+    """Another server has its address now."""
     FULL = "full"
     FAILED = "failed"
     GONE = "gone"
+    """Its process has ended, or it can't be connected to."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a lost attempt says.
+    """What a lost attempt shows about its server and its request.
 
     Attributes:
-        server: what to think of the server.
-        is_request_suspect: whether the server may have ended because of this request.
+        server: what the loss shows about the server.
+        is_request_suspect: whether the request may have crashed the server.
     """
 
     server: ServerVerdict
@@ -64,24 +68,25 @@
 
 def classify_loss(
     loss: LossReason,
-    reach: ConnectResult | None,
+    connect_result: ConnectResult | None,
     *,
     is_leaving: bool,
     seconds_since_first_event: float | None,
 ) -> Verdict:
-    """Return what a lost attempt says of its server and of its request.
+    """Return what a lost attempt shows about its server and its request.
 
-    Made for a request that ends each server that begins to run it. Taken for failures
-    of servers, its losses are repeated at one server after the other. The server's end
-    takes everything else along that runs there: what has been answered for some time is
-    not its cause, nor is anything when the server had said that it leaves. A server
-    that still accepts connections lost an answer, and one that is silent may be cut
-    off: neither says anything of the request.
+    A request may crash each server that starts to run it. If its losses were treated as
+    server failures, the request would be retried at one server after the other. A crash
+    also ends all other requests at the server, so that only requests that have just
+    started are suspects, and none are if the server had announced that it leaves. A
+    server that still accepts connections lost a single answer, and one that does not
+    respond may be partitioned: neither case says anything about the request.
 
     Args:
-        loss: how the attempt was lost.
-        reach: what became of a new connection to the server; None if none was tried.
-        is_leaving: whether it is known that the server leaves.
+        loss: why the attempt was lost.
+        connect_result: result of a new connection to the server; None if none was
+            tried.
+        is_leaving: whether the server is known to be leaving.
         seconds_since_first_event: time since the first event of this attempt; None
             if there was none.
     """
@@ -94,10 +99,10 @@
             return Verdict(ServerVerdict.FULL)
         case LossReason.NOT_CONNECTED:
             return Verdict(ServerVerdict.GONE)
-    if reach is not ConnectResult.REFUSED:
+    if connect_result is not ConnectResult.REFUSED:
         return Verdict(ServerVerdict.FAILED)
-    is_young = (
+    is_recent = (
         seconds_since_first_event is None
         or seconds_since_first_event < CRASH_BLAME_SECONDS
     )
-    return Verdict(ServerVerdict.GONE, is_young and not is_leaving)
+    return Verdict(ServerVerdict.GONE, is_recent and not is_leaving)
--- a/dewridge/policy/model.py
+++ b/dewridge/policy/model.py
@@ -1,4 +1,4 @@
-"""Types shared by the decisions. Times are seconds on the caller's clock."""
+"""Types shared by the scheduling policies. Times are seconds on the caller's clock."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -14,7 +14,7 @@
 
 
 class WorkClass(Enum):
-    """Whether somebody waits for the answer."""
+    """Whether a user waits for the answer."""
 
     INTERACTIVE = "interactive"
     BACKGROUND = "background"
@@ -22,15 +22,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the decisions see it.
+    """The properties of a request that scheduling uses.
 
     Attributes:
-        arrival: when it was accepted.
-        deadline: when the whole answer is due.
+        arrival: when the request was accepted.
+        deadline: when the complete answer is due.
         prompt_tokens: size of the input.
-        expected_tokens: size of the answer that is reckoned with.
-        prefix: account-salted hash of the prompt's first part; 0 for none.
-        tokens_done: tokens kept from earlier attempts.
+        expected_tokens: expected size of the answer.
+        idempotent: whether the request may be repeated after it may have run.
+        prefix: hash of the prompt's first part, salted with the account; 0 for none.
+        tokens_done: tokens retained from earlier attempts.
     """
 
     request: RequestId
@@ -47,20 +48,21 @@
 
     @property
     def size(self) -> int:
-        """Tokens that are still to be computed, prompt included."""
+        """Tokens that remain to be processed, including the prompt."""
         return self.prompt_tokens + max(1, self.expected_tokens - self.tokens_done)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """A backend server as the decisions see it.
+    """The properties of a backend server that scheduling uses.
 
     Attributes:
         price: money per hour.
-        capacity: requests that it runs side by side at most.
-        leaving_at: when it goes, if it is leaving; it gets no new work.
-        load: queued and running requests as last reported, stale.
-        load_at: when that was reported.
+        reclaimable: whether the platform may reclaim the server at short notice.
+        capacity: maximum number of concurrent requests.
+        leaving_at: when a leaving server ends; it gets no new work.
+        load: queued and running requests in the last report, which may be stale.
+        load_at: time of that report.
     """
 
     id: BackendServerId
@@ -76,36 +78,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """A request and the backend server that it is to be sent to now."""
+    """A request and the backend server to send it to now."""
 
     work: Work
     server: BackendServerId
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended, as far as the decisions care."""
+    """How an attempt ended."""
 
     DONE = "done"
     NOT_STARTED = "not_started"
-    """Provably did not start: safe to send elsewhere, even if not idempotent."""
+    """It certainly did not start, and may be repeated even if it is not idempotent."""
     REJECTED = "rejected"
-    """The input is at fault; no other server would take it."""
+    """The server rejected the input, as every other server would."""
     LOST = "lost"
-    """It broke, failed or went silent: it may have run."""
+    """It failed, or its connection broke or went silent; it may have run."""
     LEAVING = "leaving"
-    """Stopped by us because its server is being reclaimed."""
+    """This host stopped it because its server is being reclaimed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Try again: the work is back in the queue and comes out of `pick`."""
+    """The request is queued again after `after` seconds; `pick` returns it later."""
 
     after: float
 
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """A request that gets its final answer now."""
+    """A request that ends now with a failure."""
 
     request: RequestId
     failure: Failure
@@ -113,12 +115,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A running request to be stopped and sent elsewhere, at a time.
+    """A running request that is to be stopped and sent to another server.
 
     Attributes:
-        at: when to stop it; now or a little later, so that the work of a
-            failure domain does not reach the next one at one moment.
-        export_cache: whether to ask the engine for its KV cache first.
+        at: when to stop the request. Moves are spread over time, so that the work of a
+            failure domain does not arrive at another one all at once.
+        export_cache: whether to export the request's KV cache from the engine first.
     """
 
     request: RequestId
@@ -128,6 +130,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a profile cost and lost on this host, by counter name."""
+    """Counters of answers, costs and losses of a profile on this host, by name."""
 
     counters: dict[str, float]
--- a/dewridge/policy/pace.py
+++ b/dewridge/policy/pace.py
@@ -1,55 +1,63 @@
-"""How fast queued work is dispatched, learned while some waits."""
+"""Rate at which queued work is dispatched, measured while there is a backlog."""
 
 import math
 
-MEMORY = 10.0
-"""Seconds over which the pace is averaged. An entry host may dispatch but one
-draft a second, and over less time one draft more or less would swing admission
-between refusing everything and admitting too much."""
+AVERAGING_SECONDS = 10.0
+"""Time constant of the average. An entry host may dispatch as little as one draft per
+second; with a shorter time, a single draft would make admission alternate between
+refusing everything and admitting too much."""
 
 
-class PaceMeter:
-    """Averages the work that one credit dispatched a second while work waited.
+class DispatchRateMeter:
+    """Averages the cost dispatched per second and credit while there is a backlog.
 
-    Kept a credit and not as a total, so that the estimate follows at once when
-    servers are reclaimed or suspended; a total would go on admitting for
-    servers that are gone until the average had forgotten them.
+    The rate is per credit and not a total, so that the estimate changes immediately
+    when servers are reclaimed or suspended. With a total, requests would be admitted
+    for departed servers until the average had adapted.
     """
 
     def __init__(self) -> None:
-        self._work = 0.0
+        self._dispatched_cost = 0.0
         self._credit_seconds = 0.0
-        self._time = 0.0
+        self._observed_time = 0.0
         self._credits = 0.0
-        self._at: float | None = None
+        self._backlog_since: float | None = None
 
     def record_backlog(self, has_backlog: bool, credits: float, now: float) -> None:
-        """Record whether work waits from now on, before how many credits."""
-        if self._at is not None:
-            self._advance(now - self._at)
-        self._at = now if has_backlog else None
+        """Record whether there is a backlog from now on, and the number of credits."""
+        if self._backlog_since is not None:
+            self._advance(now - self._backlog_since)
+        self._backlog_since = now if has_backlog else None
         self._credits = credits
 
     def record_dispatch(self, cost: float) -> None:
-        """Record work dispatched; counts only while some waited."""
-        if self._at is not None:
-            self._work += cost
+        """Record the cost of dispatched work; counts only while there is a backlog."""
+        if self._backlog_since is not None:
+            self._dispatched_cost += cost
 
-    def find_rate(self, credits: float, guess: float) -> float:
-        """Return the pace with so many credits.
+    def find_rate(self, credits: float, prior_rate: float) -> float:
+        """Return the cost dispatched per second with a number of credits.
 
-        `guess` is the work that a credit does in a second as far as is known
-        otherwise; it stands in for the time not yet observed.
+        Args:
+            credits: the number of credits.
+            prior_rate: expected cost per second and credit, which replaces the
+                measurement for the time that has not been observed yet.
         """
-        missing = max(0.0, MEMORY - self._time) / MEMORY
-        observed = self._work / self._credit_seconds if self._credit_seconds else 0.0
-        return credits * (guess * missing + observed * (1 - missing))
+        prior_weight = (
+            max(0.0, AVERAGING_SECONDS - self._observed_time) / AVERAGING_SECONDS
+        )
+        observed = (
+            self._dispatched_cost / self._credit_seconds
+            if self._credit_seconds
+            else 0.0
+        )
+        return credits * (prior_rate * prior_weight + observed * (1 - prior_weight))
 
     def _advance(self, elapsed: float) -> None:
         if elapsed <= 0:
             return
-        decay = math.exp(-elapsed / MEMORY)
-        self._work *= decay
+        decay = math.exp(-elapsed / AVERAGING_SECONDS)
+        self._dispatched_cost *= decay
         self._credit_seconds *= decay
         self._credit_seconds += elapsed * max(self._credits, 1e-6)
-        self._time = self._time * decay + elapsed
+        self._observed_time = self._observed_time * decay + elapsed
--- a/dewridge/policy/pacing.py
+++ b/dewridge/policy/pacing.py
@@ -1,41 +1,41 @@
-"""How fast a host's datagrams may follow each other on its own link.
+"""Rate limit for the datagrams that a host sends on its network link.
 
-A round of reports goes to many hosts at once. Sent without a pause it fills the queue
-in front of a weak link, which drops what does not fit: each time the same last ones, so
-that what they tell never arrives.
+A host sends a round of reports to many hosts at once. Without pauses the round would
+overflow the send queue of a slow link, which drops the last datagrams of each round, so
+that the same reports would never arrive.
 """
 
 LINK_SHARE = 0.25
-"""Part of a link that datagrams may take for a time; the rest is for callers."""
-UNKNOWN_LINK = 10.0
-"""Megabits a second that a link is taken for whose bandwidth nobody told."""
+"""Share of the link's bandwidth for datagrams; the rest is for callers' traffic."""
+DEFAULT_LINK_MBPS = 10.0
+"""Assumed bandwidth in megabits per second of a link without a configured one."""
 BURST_BYTES = 8_192
-"""Bytes that may go without a pause: two large datagrams fit into the smallest queues,
-and a pause for each datagram would wake the process too often."""
+"""Bytes that are sent without a pause. Two large datagrams fit into the smallest send
+queues, and a pause for each datagram would wake the process too often."""
 BYTES_PER_MEGABIT = 125_000
 
 
 def find_datagram_rate(link_mbps: float) -> float:
-    """Return the bytes a second for datagrams; a link of 0 is not known."""
-    return LINK_SHARE * (link_mbps or UNKNOWN_LINK) * BYTES_PER_MEGABIT
+    """Return the bytes per second for datagrams; `link_mbps` is 0 if unknown."""
+    return LINK_SHARE * (link_mbps or DEFAULT_LINK_MBPS) * BYTES_PER_MEGABIT
 
 
 class DatagramPacer:
-    """Keeps datagrams to a rate, in small bursts."""
+    """Limits datagrams to a rate in bytes per second, with small bursts."""
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
         self._sent_through = float("-inf")
 
     def find_wait(self, now: float) -> float:
-        """Return the seconds until something may be sent.
+        """Return the seconds until a datagram may be sent.
 
-        After a burst all of it must have gone at the rate: waiting for one datagram's
-        room each time would take a wake-up for each of them.
+        After a burst, waits until all of it has been sent at the rate. Waiting only
+        until one more datagram fits would need a wake-up for each datagram.
         """
         backlog = self._sent_through - now
         return backlog if backlog * self.rate >= BURST_BYTES else 0.0
 
     def record_sent(self, size: int, now: float) -> None:
-        """Count a datagram of some bytes as sent."""
+        """Record a sent datagram of `size` bytes."""
         self._sent_through = max(self._sent_through, now) + size / self.rate
--- a/dewridge/policy/placement.py
+++ b/dewridge/policy/placement.py
@@ -5,9 +5,9 @@
 
 from dewridge.configuration.model import LatencyTargets
 from dewridge.ids import BackendServerId
-from dewridge.policy.affinity import has_room, score_prefix
+from dewridge.policy.affinity import is_within_load_bound, score_prefix
 from dewridge.policy.cost import find_slot_price
-from dewridge.policy.credits import LAST_PAUSE, Health, ServerCredits
+from dewridge.policy.credits import MAX_PAUSE, Health, ServerCredits
 from dewridge.policy.model import Work, WorkClass
 from dewridge.policy.servers import Servers
 
@@ -71,7 +71,7 @@
         work: Work, servers: Servers, fitting: Sequence[ServerCredits]
     ) -> ServerCredits | None:
         mean = servers.mean_in_flight
-        near = [r for r in fitting if has_room(r.in_flight, mean, load)]
+        near = [r for r in fitting if is_within_load_bound(r.in_flight, mean, load)]
         if work.prefix == 0 or not near:
             return None
         return max(near, key=lambda r: score_prefix(work.prefix, r.id_hash))
@@ -157,7 +157,7 @@
     slack = work.deadline - now
     if slack < PROBE_SLACK * servers.usual.predict_duration(work):
         return None
-    patience = 0.0 if work.idempotent else LAST_PAUSE
+    patience = 0.0 if work.idempotent else MAX_PAUSE
     for record in servers.subset:
         if record.is_probe_due(now - patience):
             return record
--- a/dewridge/policy/reserve.py
+++ b/dewridge/policy/reserve.py
@@ -1,39 +1,39 @@
-"""Credits that background work leaves free for interactive work."""
+"""Credits that are reserved for interactive work."""
 
 import math
 
-MEMORY = 30.0
-"""Seconds over which the demand is averaged: long enough to span the pauses of a
-handful of technicians, short enough to give the credits back within a minute."""
+AVERAGING_SECONDS = 30.0
+"""Time constant of the average demand: long enough to span the pauses of a few users,
+short enough to release the credits within a minute."""
 
-HEADROOM = 1.0
-"""Standard deviations of a Poisson demand kept free above its mean. What goes
-beyond waits for one of the questions to end, a second at most; kept free for it,
-the credits of a small host would stand idle nearly all of the time."""
+HEADROOM_DEVIATIONS = 1.0
+"""Standard deviations of a Poisson demand that are reserved above its mean. Requests
+beyond that wait at most a second for a short interactive request to complete; credits
+reserved for them would be idle nearly all of the time on a small host."""
 
 
 class Reserve:
-    """Follows how many credits interactive work uses side by side.
+    """Estimates how many credits interactive work uses concurrently.
 
-    Made for long drafts beside short questions: a draft holds its credit for
-    many seconds, and a question that finds none free waits for one to end. A
-    fixed part kept free would stand idle at a service that has no questions.
+    A long background request holds its credit for many seconds, and a short interactive
+    request that finds no free credit has to wait for it to complete. A fixed reserve
+    would be idle in services without interactive work.
     """
 
     def __init__(self) -> None:
         self._demand = 0.0
-        self._at = 0.0
+        self._decayed_at = 0.0
 
     def record_offer(self, duration: float) -> None:
-        """Record interactive work offered, by the seconds that it takes."""
-        self._demand += duration / MEMORY
+        """Record an interactive request and the seconds that it is expected to take."""
+        self._demand += duration / AVERAGING_SECONDS
 
     def decay(self, now: float) -> None:
-        """Let the demand of earlier times fade."""
-        if now > self._at:
-            self._demand *= math.exp((self._at - now) / MEMORY)
-            self._at = now
+        """Apply the exponential decay of the demand up to now."""
+        if now > self._decayed_at:
+            self._demand *= math.exp((self._decayed_at - now) / AVERAGING_SECONDS)
+            self._decayed_at = now
 
     def find_credits(self, limit: float) -> float:
-        """Return the credits to keep free, at most `limit`."""
-        return min(limit, self._demand + HEADROOM * math.sqrt(self._demand))
+        """Return the number of credits to reserve, at most `limit`."""
+        return min(limit, self._demand + HEADROOM_DEVIATIONS * math.sqrt(self._demand))
--- a/dewridge/policy/shedding.py
+++ b/dewridge/policy/shedding.py
@@ -1,49 +1,50 @@
-"""Refusing the least urgent work while model engines have more than they can run."""
+"""Load shedding: refuses the least urgent requests while the engines are overloaded."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Ramp:
-    """Part of the requests refused, rising from none to all over a span of load.
+    """Share of requests to refuse, rising linearly from 0 to 1 between two loads.
 
     Attributes:
-        begin: requests in flight for each slot at which refusals begin.
-        end: the same from which all are refused.
+        begin: load in requests per slot up to which none are refused.
+        end: load in requests per slot from which all are refused.
     """
 
     begin: float
     end: float
 
     def find_share(self, load: float) -> float:
-        """Return the part to refuse."""
+        """Return the share of requests to refuse at a load in requests per slot."""
         return min(1.0, max(0.0, (load - self.begin) / (self.end - self.begin)))
 
 
-RAMPS = (Ramp(2.0, 3.5), Ramp(1.4, 2.2), Ramp(1.0, 1.5))
-"""By urgency, the most urgent first; what is less urgent than all has the last one.
-Engines run a request for each slot and queue the rest, the most urgent first: with one
-request a slot waiting, the least urgent ones run out of time in the queue or are
-preempted in the middle, and what was read for them is read in vain."""
+SHEDDING_RAMPS = (Ramp(2.0, 3.5), Ramp(1.4, 2.2), Ramp(1.0, 1.5))
+"""Ramps by urgency, most urgent first; the last one is for all lower urgencies. Engines
+run one request per slot and queue the rest, most urgent first. With one queued request
+per slot, the least urgent requests miss their deadline in the queue or are preempted
+while they run, and the work done for them is wasted."""
 
 
 def must_shed(in_flight: float, slots: int, urgency: int, draw: float) -> bool:
-    """Return whether to refuse a request at once.
+    """Return whether to refuse a request on arrival.
 
-    Made for the seconds in which reclaims have taken more servers than can be replaced
-    at once, under full traffic. Without it all kinds of work slow down together: short
-    checks wait until their deadline, long drafts beside them come late, and half of
-    what the engines read is read for requests that nobody waits for any more. A refused
-    caller is told at once when to come back. Refusals rise with the load, since hosts
-    know it late and would otherwise refuse all and nothing by turns.
+    Sheds load in the seconds after reclaims have removed more servers than can be
+    replaced at once, under full traffic. Without it all classes of work slow down
+    together: short requests wait until their deadline, long ones beside them complete
+    late, and half of what the engines read is for requests that have already expired. A
+    refused caller gets a retry time at once. The share of refusals rises gradually with
+    the load, because hosts know the load with a delay and would otherwise alternate
+    between refusing all requests and none.
 
     Args:
-        in_flight: requests that all hosts have at the service's servers.
-        slots: requests that these work on at once.
-        urgency: of the route; 0 is the most urgent.
-        draw: a random number from 0 up to 1.
+        in_flight: requests in flight to the service's servers from all hosts.
+        slots: requests that these servers run concurrently.
+        urgency: urgency of the route; 0 is the most urgent.
+        draw: random number from 0 to 1, excluding 1.
     """
     if slots <= 0:
         return False
-    ramp = RAMPS[min(urgency, len(RAMPS) - 1)]
+    ramp = SHEDDING_RAMPS[min(urgency, len(SHEDDING_RAMPS) - 1)]
     return draw < ramp.find_share(in_flight / slots)
