--- a/dewridge/policy/affinity.py
+++ b/dewridge/policy/affinity.py
@@ -17,7 +17,7 @@
     return mixed ^ (mixed >> 29)
 
 
-def is_within_load_bound(in_flight: int, mean: float, load: float) -> bool:
+def is_within_load_bound(in_flight: int, mean: float, load_bound: float) -> bool:
     """Return whether the load of a server is low enough for prefix affinity.
 
     Consistent hashing with bounded loads. When most requests share one prefix, such as
@@ -27,6 +27,6 @@
     Args:
         in_flight: requests in flight to the server.
         mean: mean number of requests in flight over all servers.
-        load: bound, as a multiple of the mean.
+        load_bound: bound of the load, as a multiple of the mean.
     """
-    return in_flight + 1 <= load * (mean + 1)
+    return in_flight + 1 <= load_bound * (mean + 1)
--- a/dewridge/policy/placement.py
+++ b/dewridge/policy/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which backend server a request is sent to."""
+"""Placement: chooses the backend server for a request."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -11,35 +11,41 @@
 from dewridge.policy.model import Work, WorkClass
 from dewridge.policy.servers import Servers
 
-DITHER = 0.15
-"""Random part added to a price. Entry hosts that see the same prices would all
-fill the same server first; within this difference they choose at random."""
+PRICE_DITHER = 0.15
+"""Random surcharge on a price, as a share of it. Entry hosts with the same prices would
+otherwise all fill the same server first; prices within this range are chosen at
+random."""
 
 AFFINITY_FACTOR = 0.8
-"""Factor on the price of the server that has the prefix cached. It outweighs the
-dither but not a real difference in price: a prefill saved is worth tenths of a
-second, not a machine of another class."""
+"""Factor on the price of the server that has the prefix cached. It outweighs the dither
+but not a real difference in price: a saved prefill is worth tenths of a second, but not
+a machine of another class."""
 
-RISK_PERIOD = 60.0
-"""Seconds that the parameter `reclaim_risk` speaks of."""
+RISK_PERIOD_SECONDS = 60.0
+"""Seconds that the policy parameter `reclaim_risk` refers to."""
 
-PROBE_SLACK = 5.0
-"""A probe is only for work with this many times its usual duration left, so that
-it can be tried once more elsewhere when the server turns out to be still slow."""
+PROBE_SLACK_FACTOR = 5.0
+"""Multiple of its expected duration that a request must have left until its
+deadline to be sent as a probe, so that it can be repeated at another server if the
+probed one is still slow."""
 
-Choose = Callable[[Work, Servers, BackendServerId | None, float], ServerCredits | None]
-"""Chooses a server for work, given the one to avoid and the time, or none yet."""
+ChooseServer = Callable[
+    [Work, Servers, BackendServerId | None, float], ServerCredits | None
+]
+"""Chooses a server for work, given a server to avoid and the time; None to wait."""
 
-Maker = Callable[[Mapping[str, float], LatencyTargets, random.Random], Choose]
+PlacementMaker = Callable[
+    [Mapping[str, float], LatencyTargets, random.Random], ChooseServer
+]
 
 
 def make_cost_aware(
     parameters: Mapping[str, float], targets: LatencyTargets, rng: random.Random
-) -> Choose:
-    """Make the placement by price against the latency target."""
+) -> ChooseServer:
+    """Make the policy that chooses the cheapest server within the latency target."""
     reserve = parameters["interactive_reserve"]
-    share = parameters["latency_share"]
-    load = parameters["affinity_load"]
+    target_share = parameters["latency_share"]
+    load_bound = parameters["affinity_load"]
     risk = parameters["reclaim_risk"]
 
     def choose(
@@ -51,30 +57,42 @@
         free = list_free(work, servers, reserve, avoid, now)
         if len(free) < 2:
             return free[0] if free else None
-        # Paying for a faster machine buys nothing once the target is met; where
-        # nothing meets it, money is no object for an answer already late.
+        # Among servers that meet the latency target, a faster one has no benefit, so
+        # that the price decides. If none meets it, the answer is late anyway and the
+        # fastest server is chosen at any price.
         fitting = [record for record in free if meets_target(work, record, now)]
         if not fitting:
-            return min(free, key=lambda r: predict_end(work, servers, r, now))
+            return min(
+                free,
+                key=lambda record: estimate_loaded_duration(work, servers, record, now),
+            )
         cached = find_cached(work, servers, fitting)
-        return min(fitting, key=lambda r: find_price(work, servers, r, cached, now))
+        return min(
+            fitting, key=lambda record: find_price(work, servers, record, cached, now)
+        )
 
     def meets_target(work: Work, record: ServerCredits, now: float) -> bool:
-        if record.token_time > share * targets.between_tokens:
+        if record.token_time > target_share * targets.between_tokens:
             return False
         if work.work_class is WorkClass.BACKGROUND:
             return True
-        left = work.arrival + targets.first_token - now
-        return record.find_late_first_token(now) <= share * left
+        time_left = work.arrival + targets.first_token - now
+        return record.find_late_first_token(now) <= target_share * time_left
 
     def find_cached(
         work: Work, servers: Servers, fitting: Sequence[ServerCredits]
     ) -> ServerCredits | None:
         mean = servers.mean_in_flight
-        near = [r for r in fitting if is_within_load_bound(r.in_flight, mean, load)]
-        if work.prefix == 0 or not near:
+        below_bound = [
+            record
+            for record in fitting
+            if is_within_load_bound(record.in_flight, mean, load_bound)
+        ]
+        if work.prefix == 0 or not below_bound:
             return None
-        return max(near, key=lambda r: score_prefix(work.prefix, r.id_hash))
+        return max(
+            below_bound, key=lambda record: score_prefix(work.prefix, record.id_hash)
+        )
 
     def find_price(
         work: Work,
@@ -87,20 +105,20 @@
         price = find_slot_price(record.view) * duration
         view = record.view
         if view.reclaimable and servers.is_under_notice(view.failure_domain, now):
-            # Reclaims come in waves: a long draft put beside a server that was
-            # just reclaimed is likely to be moved, and to be paid for twice.
-            price *= 1 + min(1.0, risk * duration / RISK_PERIOD)
+            # Reclaims come in waves: a long request in a failure domain where a
+            # server was just reclaimed is likely to be moved, and to be paid twice.
+            price *= 1 + min(1.0, risk * duration / RISK_PERIOD_SECONDS)
         if record is cached:
             price *= AFFINITY_FACTOR
-        return price * (1 + DITHER * rng.random())
+        return price * (1 + PRICE_DITHER * rng.random())
 
     return choose
 
 
 def make_balanced(
     parameters: Mapping[str, float], targets: LatencyTargets, rng: random.Random
-) -> Choose:
-    """Make the placement by the best of a few random servers."""
+) -> ChooseServer:
+    """Make the policy that chooses the best of a few random servers."""
     reserve = parameters["interactive_reserve"]
     choices = int(parameters["choices"])
 
@@ -111,11 +129,13 @@
         if probe is not None:
             return probe
         free = list_free(work, servers, reserve, avoid, now)
-        # Few and random, because hosts that all take the best of everything
-        # take the same one; two choices already even out the load.
-        drawn = rng.sample(free, min(choices, len(free)))
+        # Compares a few random servers only: hosts that all choose the best of all
+        # servers choose the same one. Two random choices already balance the load.
+        sampled = rng.sample(free, min(choices, len(free)))
         return min(
-            drawn, key=lambda r: predict_end(work, servers, r, now), default=None
+            sampled,
+            key=lambda record: estimate_loaded_duration(work, servers, record, now),
+            default=None,
         )
 
     return choose
@@ -128,17 +148,19 @@
     avoid: BackendServerId | None,
     now: float,
 ) -> list[ServerCredits]:
-    """List servers in good health with a credit, without the one to avoid.
+    """Return the healthy servers with a free credit, without the one to avoid.
 
-    The subset is bounded, so this costs the same in a fleet of any size.
+    The server to avoid is returned if it is the only one. The subset is bounded, so
+    that the cost does not depend on the size of the fleet.
     """
     if not servers.has_credit(work.work_class, reserve):
         return []
-    kept = servers.find_kept(reserve)
+    reserved_share = servers.find_kept(reserve)
     free = [
         record
         for record in servers.subset
-        if record.health is Health.GOOD and record.has_room(work.work_class, kept, now)
+        if record.health is Health.GOOD
+        and record.has_room(work.work_class, reserved_share, now)
     ]
     if avoid is not None and len(free) > 1:
         free = [record for record in free if record.view.id != avoid]
@@ -146,37 +168,37 @@
 
 
 def find_probe(work: Work, servers: Servers, now: float) -> ServerCredits | None:
-    """Return a suspended server that this work may try again.
+    """Return a suspended server that may be probed with this work, if there is one.
 
-    Only idempotent work with time to spare: lost on the way, it is repeated
-    elsewhere. A call that may not be repeated would end with its outcome
-    unknown, so it probes only a server that nothing else has tried for long.
+    Only work with enough time left is used, because a lost probe is repeated at
+    another server. A lost request that is not idempotent would fail with an unknown
+    outcome, so that it only probes servers whose probe has been due for MAX_PAUSE.
     """
     if not servers.has_suspended:
         return None
     slack = work.deadline - now
-    if slack < PROBE_SLACK * servers.usual.predict_duration(work):
+    if slack < PROBE_SLACK_FACTOR * servers.usual.predict_duration(work):
         return None
-    patience = 0.0 if work.idempotent else MAX_PAUSE
+    min_overdue = 0.0 if work.idempotent else MAX_PAUSE
     for record in servers.subset:
-        if record.is_probe_due(now - patience):
+        if record.is_probe_due(now - min_overdue):
             return record
     return None
 
 
-def predict_end(
+def estimate_loaded_duration(
     work: Work, servers: Servers, record: ServerCredits, now: float
 ) -> float:
-    """Return the expected duration, longer the more credits are in use."""
-    first = max(servers.usual.first_token, record.find_first_token(now))
-    rest = servers.usual.predict_duration(work, record)
-    return (first + rest) * (1 + record.in_flight / record.limit)
+    """Return the expected seconds of an attempt, weighted by the credits in use."""
+    first_token = max(servers.usual.first_token, record.find_first_token(now))
+    duration = servers.usual.predict_duration(work, record)
+    return (first_token + duration) * (1 + record.in_flight / record.limit)
 
 
 def make_random(
     parameters: Mapping[str, float], targets: LatencyTargets, rng: random.Random
-) -> Choose:
-    """Make the baseline that draws any server."""
+) -> ChooseServer:
+    """Make the baseline policy that chooses a random server."""
     limit = parameters["in_flight_limit"]
 
     def choose(
@@ -184,15 +206,15 @@
     ) -> ServerCredits | None:
         if not servers.fleet:
             return None
-        return _check_limit(servers, rng.choice(servers.fleet).id, limit)
+        return _find_below_limit(servers, rng.choice(servers.fleet).id, limit)
 
     return choose
 
 
 def make_round_robin(
     parameters: Mapping[str, float], targets: LatencyTargets, rng: random.Random
-) -> Choose:
-    """Make the baseline that takes each server in its turn."""
+) -> ChooseServer:
+    """Make the baseline policy that chooses the servers in turn."""
     limit = parameters["in_flight_limit"]
     turn = rng.randrange(1_000_000)
 
@@ -204,15 +226,15 @@
             return None
         turn += 1
         view = servers.fleet[turn % len(servers.fleet)]
-        return _check_limit(servers, view.id, limit)
+        return _find_below_limit(servers, view.id, limit)
 
     return choose
 
 
 def make_least_loaded(
     parameters: Mapping[str, float], targets: LatencyTargets, rng: random.Random
-) -> Choose:
-    """Make the baseline that believes the last report of load."""
+) -> ChooseServer:
+    """Make the baseline policy that chooses the lowest reported load."""
     limit = parameters["in_flight_limit"]
 
     def choose(
@@ -221,14 +243,15 @@
         if not servers.fleet:
             return None
         view = min(
-            servers.fleet, key=lambda v: (v.load / max(1, v.capacity), rng.random())
+            servers.fleet,
+            key=lambda view: (view.load / max(1, view.capacity), rng.random()),
         )
-        return _check_limit(servers, view.id, limit)
+        return _find_below_limit(servers, view.id, limit)
 
     return choose
 
 
-def _check_limit(
+def _find_below_limit(
     servers: Servers, server: BackendServerId, limit: float
 ) -> ServerCredits | None:
     record = servers.find(server)
@@ -237,10 +260,11 @@
     return record
 
 
-MAKERS: dict[str, Maker] = {
+MAKERS: dict[str, PlacementMaker] = {
     "cost_aware": make_cost_aware,
     "balanced": make_balanced,
     "random": make_random,
     "round_robin": make_round_robin,
     "least_loaded": make_least_loaded,
 }
+"""Placement policies by their name in a profile."""
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -1,4 +1,4 @@
-"""Queues of work: fair among client accounts, or plain first in, first out."""
+"""Work queues: fair among client accounts, or first in, first out."""
 
 import heapq
 from collections.abc import Mapping
@@ -9,41 +9,42 @@
 from dewridge.ids import BackendServerId, ClientAccount, RequestId
 from dewridge.policy.model import AttemptOutcome, Work, WorkClass
 
-OWED_LIMIT = 4.0
-"""Background work that may be owed, in multiples of the work at its head. It
-bounds the burst of drafts after a long time of status checks only."""
+MAX_OWED_MULTIPLE = 4.0
+"""Upper bound of the background work owed, as a multiple of the cost of the background
+head. It bounds the burst of background work after a long time of interactive work."""
 
 BURST_REQUESTS = 8.0
-"""Requests that an account may have served at once after it was idle."""
+"""Requests of an account that may be served in a burst after it was idle."""
 
 SHARE_SAMPLE = 5.0
-"""Requests whose service weighs as much as the weights in an account's share."""
-SHARE_MEMORY = 20.0
-"""Multiple of that sample after which what was served counts half."""
+"""Number of requests whose served cost counts as much as the configured weight in the
+estimate of an account's share."""
+SHARE_HALVING_MULTIPLE = 20.0
+"""Multiple of that sample after which the served cost is halved in the estimate."""
 
-ACCOUNTS_KEPT = 1024
-"""Accounts whose part is remembered while others wait; one forgotten may have
-one burst more."""
+MAX_ACCOUNTS = 1024
+"""Number of accounts above which idle accounts are dropped. A dropped account may send
+one more burst than its share allows."""
 
-SLACK = 32
-"""Removed entries that a heap may hold besides as many as live ones."""
+MAX_EXTRA_REMOVED = 32
+"""Removed entries that a heap may hold in addition to the number of live ones."""
 
 
 @dataclass(slots=True, eq=False)
 class QueueEntry:
-    """A request that waits or runs.
+    """A request that is queued, delayed or running.
 
     Attributes:
-        cost: work in units of generated tokens.
-        sequence: order of arrival, to settle ties.
-        due: when the answer should come, the deadline or before it.
-        ticket: names its present place in the queue; 0 when it has none.
-        has_started: whether an attempt may have run; it can't be called not run
-            any more.
-        lost: attempts that failed.
-        refused: attempts that provably did not start.
+        cost: cost in units of generated tokens.
+        sequence: order of arrival, to break ties.
+        due: when the answer should be complete, at the latest at the deadline.
+        ticket: identifies the current position in a queue; 0 if not queued.
+        has_started: whether an attempt may have run, so that the request can't be
+            reported as not run.
+        lost: number of failed attempts.
+        refused: number of attempts that certainly did not start.
         avoid: server of the last failed attempt.
-        latest_start: from when on its deadline can't be met.
+        latest_start: the latest start time that can meet the deadline.
     """
 
     work: Work
@@ -59,11 +60,15 @@
 
     @property
     def sort_key(self) -> tuple[bool, float, int]:
-        """Place within an account: work whose caller saw tokens goes first."""
+        """Sort key within an account.
+
+        Requests that may have run come first, because their callers may have received
+        tokens.
+        """
         return not self.has_started, self.due, self.sequence
 
     def record_failure(self, server: BackendServerId, outcome: AttemptOutcome) -> None:
-        """Record an attempt that did not answer."""
+        """Record an attempt that did not complete."""
         self.refused += outcome is AttemptOutcome.NOT_STARTED
         self.lost += outcome is AttemptOutcome.LOST
         self.has_started |= outcome is not AttemptOutcome.NOT_STARTED
@@ -71,16 +76,22 @@
 
 
 class WorkQueue(Protocol):
-    """What the scheduler asks of a queue."""
+    """Queue of entries that the scheduler dispatches from."""
 
     def push(self, entry: QueueEntry, is_charged: bool) -> None:
-        """Add an entry; work that comes back is not charged again."""
+        """Add an entry.
+
+        Args:
+            entry: the entry.
+            is_charged: whether its cost counts for its account's share; False for
+                retries, which were charged before.
+        """
 
     def list_heads(self) -> list[QueueEntry]:
-        """Return the entries that may go next, the first choice first."""
+        """Return the entries that may be dispatched next, the preferred one first."""
 
     def dequeue(self, entry: QueueEntry) -> None:
-        """Remove one of the heads, which is dispatched."""
+        """Remove one of the heads for dispatch."""
 
     def remove(self, entry: QueueEntry) -> None:
         """Remove an entry that is not dispatched."""
@@ -89,46 +100,58 @@
         """Return all entries."""
 
     def has_work(self, work_class: WorkClass) -> bool:
-        """Whether work of a class waits."""
+        """Return whether work of a class is queued."""
 
     def find_cost(self, work_class: WorkClass) -> float:
-        """Return the work of a class that waits."""
+        """Return the queued cost of a class."""
 
     def find_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
-        """Return the work of a class that waits for an account."""
+        """Return the queued cost of a class for an account."""
 
     def find_share(self, work_class: WorkClass, account: ClientAccount) -> float:
-        """Return the part of a class's pace that an account gets, within 0 to 1."""
+        """Return an account's share of the dispatch rate of a class, from 0 to 1."""
 
 
-_Place = tuple[tuple[bool, float, int], int, QueueEntry]
-"""Order, ticket and entry. An entry that left and came back has a new ticket,
-so that its old place, still in the heap, counts for nothing."""
+_HeapItem = tuple[tuple[bool, float, int], int, QueueEntry]
+"""Sort key, ticket and entry. An entry that is removed and added again gets a new
+ticket, which invalidates its old item in the heap."""
 
 
-def _is_live(place: _Place) -> bool:
-    return place[1] == place[2].ticket
+def _is_live(item: _HeapItem) -> bool:
+    return item[1] == item[2].ticket
 
 
 @dataclass(slots=True)
 class _AccountQueue:
+    """Queue of one account within a work class.
+
+    Attributes:
+        weight: weight of the account.
+        tag: virtual start time of the next entry.
+        cost: queued cost.
+        served: cost served for the account since `since`.
+        since: cost served for all accounts when this one became active.
+        size: number of queued entries.
+        heap: queued entries by sort key, with removed ones.
+        charged: queued requests that count for the account's share.
+    """
+
     weight: float
     tag: float = 0.0
     cost: float = 0.0
     served: float = 0.0
     since: float = 0.0
     size: int = 0
-    heap: list[_Place] = field(default_factory=list)
+    heap: list[_HeapItem] = field(default_factory=list)
     charged: set[RequestId] = field(default_factory=set)
 
 
 class _ClassQueue:
-    """Start-time fair queueing over accounts, by cost; deadline order inside.
+    """Start-time fair queueing among accounts by cost, by due time within an account.
 
-    Made for a few large accounts beside several small ones: each account's tag
-    advances by the cost of what it was served over its weight, and the account
-    with the lowest tag is next. A large account's backlog delays a small one by
-    one request, not by the backlog.
+    The tag of an account advances by the cost of each served request divided by the
+    account's weight; the account with the lowest tag is next. A large account therefore
+    delays a small one by one request and not by its whole backlog.
     """
 
     def __init__(self) -> None:
@@ -146,15 +169,15 @@
         if queue is None:
             queue = self._accounts[entry.work.account] = _AccountQueue(weight)
         if queue.size == 0:
-            # An account that was idle may claim a little of what it missed, so
-            # that two or three of its requests at once do not wait a round of
-            # all accounts each. Claiming all of it would starve the others
-            # until it had caught up.
+            # An account that was idle gets credit for a small part of the service
+            # that it missed, so that two or three requests at once don't each wait
+            # for a round of all accounts. With credit for all of it, the account
+            # would starve the others until it had caught up.
             queue.weight = weight
             queue.since = self._served
             queue.served = 0.0
-            missed = BURST_REQUESTS * entry.cost / weight
-            queue.tag = max(queue.tag, self._virtual_time - missed)
+            burst_credit = BURST_REQUESTS * entry.cost / weight
+            queue.tag = max(queue.tag, self._virtual_time - burst_credit)
             self.active_weight += weight
             self._add_turn(queue.tag, entry)
         entry.ticket = next(self._tickets)
@@ -201,10 +224,10 @@
             queue.cost = 0.0
             queue.heap.clear()
             self.active_weight -= queue.weight
-            if len(self._accounts) > ACCOUNTS_KEPT:
+            if len(self._accounts) > MAX_ACCOUNTS:
                 del self._accounts[entry.work.account]
-        elif len(queue.heap) > 2 * queue.size + SLACK:
-            queue.heap = [place for place in queue.heap if _is_live(place)]
+        elif len(queue.heap) > 2 * queue.size + MAX_EXTRA_REMOVED:
+            queue.heap = [item for item in queue.heap if _is_live(item)]
             heapq.heapify(queue.heap)
         if self.size == 0:
             self._reset()
@@ -214,32 +237,34 @@
         return queue.cost if queue else 0.0
 
     def find_share(self, account: ClientAccount, weight: float) -> float:
-        """Return an account's part of the pace: its weight's, then what it got.
+        """Return an account's share of the dispatch rate.
 
-        The weights of those that wait say too much to a large account: small
-        ones that come and go take their part ahead of it without waiting.
+        The share starts at the account's share of the active weights and approaches the
+        measured share of the served cost. The weights alone overestimate the share of a
+        large account, because small accounts that are only active for a short time are
+        served before it without a backlog.
         """
         queue = self._accounts.get(account)
         if queue is None or queue.size == 0:
             return weight / (self.active_weight + weight)
         by_weight = queue.weight / self.active_weight
-        known = SHARE_SAMPLE * queue.cost / queue.size
+        prior_cost = SHARE_SAMPLE * queue.cost / queue.size
         total = self._served - queue.since
-        if total > SHARE_MEMORY * known:
+        if total > SHARE_HALVING_MULTIPLE * prior_cost:
             queue.served /= 2
             queue.since += total / 2
             total /= 2
-        return (by_weight * known + queue.served) / (known + total)
+        return (by_weight * prior_cost + queue.served) / (prior_cost + total)
 
     def entries(self) -> list[QueueEntry]:
         queues = self._accounts.values()
-        return [place[2] for q in queues for place in q.heap if _is_live(place)]
+        return [item[2] for queue in queues for item in queue.heap if _is_live(item)]
 
     def _add_turn(self, tag: float, entry: QueueEntry) -> None:
         heapq.heappush(self._turns, (tag, entry.sequence, entry.work.account))
 
     def _reset(self) -> None:
-        # With nobody waiting, nobody was served at another's expense.
+        # With an empty queue, no account is behind another one: all tags are reset.
         self._accounts.clear()
         self._virtual_time = 0.0
         self.cost = 0.0
@@ -248,11 +273,11 @@
 
 
 class FairQueue:
-    """Interactive before background; within each, fair among accounts.
+    """Serves interactive before background work, and accounts fairly within each class.
 
-    Strict priority would starve drafts for as long as questions keep coming, so
-    background work is owed a share of what interactive work gets while both
-    wait, and goes first once a whole request is owed.
+    Strict priority would starve background work for as long as interactive work
+    arrives. While both are queued, background work is therefore owed a share of the
+    served cost, and its head goes first once its whole cost is owed.
     """
 
     def __init__(self, weights: Mapping[str, float], background_share: float) -> None:
@@ -262,12 +287,12 @@
         self._classes = {work_class: _ClassQueue() for work_class in WorkClass}
 
     def push(self, entry: QueueEntry, is_charged: bool) -> None:
-        """Add an entry; work that comes back is not charged again."""
+        """Add an entry; retries are not charged again."""
         weight = self._find_weight(entry.work.account)
         self._classes[entry.work.work_class].push(entry, weight, is_charged)
 
     def list_heads(self) -> list[QueueEntry]:
-        """Return the head of each class, the one that is due first."""
+        """Return the head of each class, the one to dispatch first at the front."""
         interactive = self._classes[WorkClass.INTERACTIVE].find_head()
         background = self._classes[WorkClass.BACKGROUND].find_head()
         if interactive is None or background is None:
@@ -277,13 +302,13 @@
         return [interactive, background]
 
     def dequeue(self, entry: QueueEntry) -> None:
-        """Remove one of the heads, which is dispatched."""
+        """Remove one of the heads for dispatch."""
         background = self._classes[WorkClass.BACKGROUND]
         if entry.work.work_class is WorkClass.BACKGROUND:
             self._owed = max(0.0, self._owed - entry.cost)
         elif background.size:
             head = background.find_head()
-            limit = OWED_LIMIT * (head.cost if head else 0.0)
+            limit = MAX_OWED_MULTIPLE * (head.cost if head else 0.0)
             owed = self._owed + entry.cost * self._share / (1 - self._share)
             self._owed = min(limit, owed)
         self._classes[entry.work.work_class].dequeue(entry)
@@ -294,22 +319,22 @@
 
     def entries(self) -> list[QueueEntry]:
         """Return all entries."""
-        return [e for queue in self._classes.values() for e in queue.entries()]
+        return [entry for queue in self._classes.values() for entry in queue.entries()]
 
     def has_work(self, work_class: WorkClass) -> bool:
-        """Whether work of a class waits."""
+        """Return whether work of a class is queued."""
         return self._classes[work_class].size > 0
 
     def find_cost(self, work_class: WorkClass) -> float:
-        """Return the work of a class that waits."""
+        """Return the queued cost of a class."""
         return self._classes[work_class].cost
 
     def find_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
-        """Return the work of a class that waits for an account."""
+        """Return the queued cost of a class for an account."""
         return self._classes[work_class].find_account_cost(account)
 
     def find_share(self, work_class: WorkClass, account: ClientAccount) -> float:
-        """Return the part of a class's pace that an account gets, within 0 to 1."""
+        """Return an account's share of the dispatch rate of a class, from 0 to 1."""
         weight = self._find_weight(account)
         return self._classes[work_class].find_share(account, weight)
 
@@ -318,7 +343,7 @@
 
 
 class FifoQueue:
-    """The plain baseline: one line for all, in the order of arrival."""
+    """Baseline queue: all requests in the order of arrival."""
 
     def __init__(self) -> None:
         self._entries: dict[RequestId, QueueEntry] = {}
@@ -337,7 +362,7 @@
         return [next(iter(self._entries.values()))] if self._entries else []
 
     def dequeue(self, entry: QueueEntry) -> None:
-        """Remove the head, which is dispatched."""
+        """Remove the head for dispatch."""
         self.remove(entry)
 
     def remove(self, entry: QueueEntry) -> None:
@@ -352,17 +377,17 @@
         return list(self._entries.values())
 
     def has_work(self, work_class: WorkClass) -> bool:
-        """Whether work of a class waits."""
+        """Return whether work of a class is queued."""
         return self._sizes[work_class] > 0
 
     def find_cost(self, work_class: WorkClass) -> float:
-        """Return the work of a class that waits."""
+        """Return the queued cost of a class."""
         return self._costs[work_class]
 
     def find_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
-        """Return the work of a class: the line does not know accounts."""
+        """Return the queued cost of the class; accounts are not distinguished."""
         return self._costs[work_class]
 
     def find_share(self, work_class: WorkClass, account: ClientAccount) -> float:
-        """Return 1: the line does not know accounts."""
+        """Return 1; accounts are not distinguished."""
         return 1.0
--- a/dewridge/policy/recovery.py
+++ b/dewridge/policy/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: retries of what failed, and moves off servers that are reclaimed."""
+"""Recovery: retries failed attempts and moves requests off reclaimed servers."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -10,38 +10,38 @@
 from dewridge.policy.queueing import QueueEntry
 from dewridge.sentinels import Failure
 
-BUDGET_START = 10.0
-"""Retries that may be made before any first attempt paid for them: what one
-server that dies with its work in flight takes."""
+INITIAL_RETRY_BUDGET = 10.0
+"""Initial retry budget, before first attempts add to it: enough for the requests in
+flight to one server that crashes."""
 
-ASK_AGAIN = 2.0
-"""Seconds after which a caller whose outcome is unknown asks again: by then the
-answer of a connection that merely broke has been looked up, or it never will."""
+UNKNOWN_OUTCOME_RETRY_AFTER = 2.0
+"""Retry-after in seconds for an unknown outcome. If only the connection broke, the
+answer has been looked up by then or can't be found any more."""
 
-LEAST_WAIT = 0.2
-MOST_WAIT = 60.0
-RETURN_SPREAD = 2.0
-"""Seconds until a caller whose deadline passed comes back: at least, at most, and
-the longest random part besides."""
+MIN_RETRY_AFTER = 0.2
+MAX_RETRY_AFTER = 60.0
+RETRY_AFTER_SPREAD = 2.0
+"""Retry-after in seconds for an expired request: minimum, maximum and the longest
+random part that is added."""
 
-RESCUE_SPREAD = 0.2
-"""Seconds over which the work of a slow server is moved."""
+SLOW_SERVER_MOVE_SPREAD = 0.2
+"""Seconds over which the requests at a slow server are moved."""
 
-RISKY_FINISH = 0.8
-"""Part of the notice that an answer may be expected to need and still be left to
-finish where it is; the rest is for the error of the expectation."""
+FINISH_SHARE = 0.8
+"""Share of the remaining time at a reclaimed server within which an answer must be
+expected to complete to stay there; the rest allows for errors of the estimate."""
 
 
 @dataclass(slots=True, eq=False)
 class RunningAttempt:
-    """A request in flight.
+    """An attempt in flight.
 
     Attributes:
-        price: money a second that it is reckoned to cost there.
-        first_token_at: when its first token came.
-        last_token_at: when its last token so far came.
-        tokens: tokens that came in this attempt.
-        moves_at: when it is to be stopped, if that was decided.
+        price: price per second of the server's slot.
+        first_token_at: when the first token was received.
+        last_token_at: when the latest token was received.
+        tokens: tokens received in this attempt.
+        moves_at: when the attempt is to be stopped for a planned move.
     """
 
     entry: QueueEntry
@@ -55,12 +55,12 @@
 
     @property
     def request(self) -> RequestId:
-        """Return the request's id."""
+        """Id of the request."""
         return self.entry.work.request
 
     @property
     def context_tokens(self) -> int:
-        """Return the tokens whose KV cache would be lost with the server."""
+        """Number of tokens whose KV cache would be lost with the server."""
         work = self.entry.work
         return work.prompt_tokens + work.tokens_done + self.tokens
 
@@ -70,12 +70,13 @@
     """A recovery policy.
 
     Attributes:
-        retains_tokens: whether an attempt goes on from the tokens kept.
-        retry: decides what follows an attempt that did not answer.
-        plan_moves: decides which attempts leave a reclaimed server; takes them
-            with the seconds that each is expected to need, when the server
-            goes, and the time now.
-        plan_slow_server_moves: decides which attempts leave a server that turned slow.
+        retains_tokens: whether a retry continues after the tokens already received.
+        retry: decides what follows an attempt that did not complete.
+        plan_moves: decides which attempts leave a reclaimed server, and when. Takes the
+            attempts with the seconds that each is expected to need, the time at which
+            the server ends, and the current time.
+        plan_slow_server_moves: decides which attempts leave a server that has become
+            slow. Takes the attempts and the current time.
         record_first_attempt: records a dispatch that is not a retry.
     """
 
@@ -89,102 +90,108 @@
 
 
 def make_resume(parameters: Mapping[str, float], rng: random.Random) -> Recovery:
-    """Make the recovery that keeps tokens and bounds retries."""
-    share = parameters["retry_share"]
-    attempts = parameters["attempts"]
-    first_pause = parameters["backoff"]
-    last_pause = parameters["backoff_limit"]
+    """Make the policy that retains tokens and bounds retries."""
+    budget_share = parameters["retry_share"]
+    max_attempts = parameters["attempts"]
+    min_pause = parameters["backoff"]
+    max_pause = parameters["backoff_limit"]
     export_tokens = parameters["export_tokens"]
     margin = parameters["move_margin"]
-    budget = BUDGET_START
+    budget = INITIAL_RETRY_BUDGET
 
-    def note_first_attempt() -> None:
+    def record_first_attempt() -> None:
         nonlocal budget
-        budget = min(budget + share, BUDGET_START + 100 * share)
+        budget = min(budget + budget_share, INITIAL_RETRY_BUDGET + 100 * budget_share)
 
     def retry(
         entry: QueueEntry, outcome: AttemptOutcome, now: float
     ) -> Retry | Abandoned:
         nonlocal budget
-        final = find_final(entry, outcome)
-        if final is not None:
-            return final
+        final_failure = find_final_failure(entry, outcome)
+        if final_failure is not None:
+            return final_failure
         if outcome is AttemptOutcome.LEAVING:
-            # Moved by us: neither the request's fault nor a sign of overload.
+            # Moved by this host: neither caused by the request nor a sign of overload.
             return check_deadline(entry, 0.0, now, rng)
         if outcome is AttemptOutcome.NOT_STARTED:
-            # The first refusal goes elsewhere at once. Further ones mean that
-            # most servers are full, and hammering them would slow them more.
+            # A first refusal is retried at another server at once. Further ones mean
+            # that most servers are full, and immediate retries would slow them more.
             pause = find_pause(entry.refused - 1) if entry.refused > 1 else 0.0
             return check_deadline(entry, pause, now, rng)
-        if entry.lost >= attempts:
-            # A request that breaks each server which takes it must end before
-            # it has been through all of them.
+        if entry.lost >= max_attempts:
+            # A request that crashes every server that runs it has to fail before it
+            # has crashed all of them.
             return abandon(entry, ResultCode.ATTEMPTS_EXHAUSTED, "attempts used up")
-        # Past the budget a retry still comes, since the request was accepted,
-        # but after the longest pause: when a whole failure domain is lost, the
-        # retries must not double the load on what is left.
+        # Without budget the request is still retried, because it was accepted, but
+        # after the longest pause: when a whole failure domain is lost, the retries must
+        # not double the load on the remaining servers.
         pause = find_pause(entry.lost)
         if budget >= 1:
             budget -= 1
         else:
-            pause = last_pause * rng.uniform(0.5, 1.0)
+            pause = max_pause * rng.uniform(0.5, 1.0)
         return check_deadline(entry, pause, now, rng)
 
     def find_pause(failures: int) -> float:
-        # Random, because requests that failed together would be sent again
-        # together, and meet the same full server.
-        pause = min(last_pause, first_pause * 2.0 ** min(30, failures - 1))
+        # Adds jitter, because requests that failed together would otherwise be retried
+        # together and meet at the same full server.
+        pause = min(max_pause, min_pause * 2.0 ** min(30, failures - 1))
         return pause * rng.uniform(0.5, 1.5)
 
     def plan_moves(
         running: Sequence[tuple[RunningAttempt, float]], leaving_at: float, now: float
     ) -> list[Move]:
-        # What would lose most goes first: if the host goes earlier than said,
-        # the least is lost, and a long context needs the time for its export.
-        # What is expected to finish is left, with a move at the last moment in
-        # case it does not.
+        # Attempts with the longest context move first: if the server ends earlier than
+        # announced, the least work is lost, and the export of a long context takes
+        # time. Attempts that are expected to complete stay, with a move at the last
+        # moment in case they don't.
         last = max(now, leaving_at - margin)
-        safe = (last - now) * RISKY_FINISH
+        max_duration = (last - now) * FINISH_SHARE
         ranked = sorted(running, key=lambda item: item[0].context_tokens, reverse=True)
-        moved = [attempt for attempt, needed in ranked if needed > safe]
-        kept = [attempt for attempt, needed in ranked if needed <= safe]
+        moved = [attempt for attempt, needed in ranked if needed > max_duration]
+        staying = [attempt for attempt, needed in ranked if needed <= max_duration]
         moves = []
-        for place, attempt in enumerate(moved):
-            # One after the other over the notice: a whole failure domain's work
-            # arriving at one moment would crush the next one.
-            at = now + (last - now) * (place + rng.random() * 0.5) / len(moved) * 0.5
-            exports = attempt.context_tokens >= export_tokens
-            moves.append(Move(attempt.request, at, exports))
-        moves += [Move(attempt.request, last, False) for attempt in kept]
+        for index, attempt in enumerate(moved):
+            # Spreads the moves over the first half of the notice, because the work of a
+            # whole failure domain would overload the other ones if it arrived at once.
+            at = now + (last - now) * (index + rng.random() * 0.5) / len(moved) * 0.5
+            exports_cache = attempt.context_tokens >= export_tokens
+            moves.append(Move(attempt.request, at, exports_cache))
+        moves += [Move(attempt.request, last, False) for attempt in staying]
         return moves
 
-    def plan_rescue(running: Sequence[RunningAttempt], now: float) -> list[Move]:
-        # Made for one server that turns ten times slower: what runs there would
-        # miss its deadline while the others have room. It spends the retries'
-        # budget, so that a fleet which is slow as a whole does not move its work
-        # around in place of doing it. A call that may not be repeated stays.
+    def plan_slow_server_moves(
+        running: Sequence[RunningAttempt], now: float
+    ) -> list[Move]:
+        # When one server becomes ten times slower, its requests would miss their
+        # deadline although other servers have room. Moves use the retry budget, so that
+        # a fleet that is slow as a whole does not keep moving its work instead of
+        # running it. Requests that are not idempotent stay.
         nonlocal budget
         moves = []
         for attempt in running:
             if budget < 1 or not attempt.entry.work.idempotent:
                 continue
             budget -= 1
-            at = now + rng.uniform(0.0, RESCUE_SPREAD)
-            exports = attempt.context_tokens >= export_tokens
-            moves.append(Move(attempt.request, at, exports))
+            at = now + rng.uniform(0.0, SLOW_SERVER_MOVE_SPREAD)
+            exports_cache = attempt.context_tokens >= export_tokens
+            moves.append(Move(attempt.request, at, exports_cache))
         return moves
 
-    return Recovery(True, retry, plan_moves, plan_rescue, note_first_attempt)
+    return Recovery(
+        True, retry, plan_moves, plan_slow_server_moves, record_first_attempt
+    )
 
 
 def make_restart(parameters: Mapping[str, float], rng: random.Random) -> Recovery:
-    """Make the plain baseline, which starts again from the first token."""
+    """Make the baseline policy, which restarts from the first token."""
 
     def retry(
         entry: QueueEntry, outcome: AttemptOutcome, now: float
     ) -> Retry | Abandoned:
-        return find_final(entry, outcome) or check_deadline(entry, 0.0, now, rng)
+        return find_final_failure(entry, outcome) or check_deadline(
+            entry, 0.0, now, rng
+        )
 
     def plan_moves(
         running: Sequence[tuple[RunningAttempt, float]], leaving_at: float, now: float
@@ -194,16 +201,19 @@
     return Recovery(False, retry, plan_moves, lambda running, now: [], lambda: None)
 
 
-def find_final(entry: QueueEntry, outcome: AttemptOutcome) -> Abandoned | None:
-    """Return the end that no policy may change, if this is one."""
+def find_final_failure(entry: QueueEntry, outcome: AttemptOutcome) -> Abandoned | None:
+    """Return the failure that ends the request under any policy, if there is one."""
     if outcome is AttemptOutcome.REJECTED:
         reason = "the backend server rejected the input"
         return abandon(entry, ResultCode.BACKEND_SERVER_REJECTED, reason)
     if outcome is AttemptOutcome.LOST and not entry.work.idempotent:
-        # It may have run, and a second letter would put two serial numbers into
-        # circulation: saying that nobody knows is the lesser harm.
+        # The request may have run, and running it again could repeat its effect, such
+        # as issuing a second serial number. An unknown outcome is the lesser harm.
         return abandon(
-            entry, ResultCode.OUTCOME_UNKNOWN, "the attempt was lost", ASK_AGAIN
+            entry,
+            ResultCode.OUTCOME_UNKNOWN,
+            "the attempt was lost",
+            UNKNOWN_OUTCOME_RETRY_AFTER,
         )
     return None
 
@@ -211,20 +221,23 @@
 def check_deadline(
     entry: QueueEntry, pause: float, now: float, rng: random.Random
 ) -> Retry | Abandoned:
-    """Retry after a pause, or give up at once if the deadline is before it."""
+    """Retry after a pause, or fail at once if the deadline passes before it ends."""
     if now + pause < entry.work.deadline:
         return Retry(pause)
-    return abandon_late(entry, pause, rng)
+    return abandon_expired(entry, pause, rng)
 
 
-def abandon_late(entry: QueueEntry, wait: float, rng: random.Random) -> Abandoned:
-    """End a request whose deadline can't be met any more.
+def abandon_expired(entry: QueueEntry, wait: float, rng: random.Random) -> Abandoned:
+    """Fail a request whose deadline can't be met any more.
 
-    Its caller comes back once the present backlog is through; the random part
-    keeps those that expired together from coming back together.
+    The retry-after is `wait`, such as the time to dispatch the current backlog, within
+    bounds and with jitter: callers whose requests expired together should not retry
+    together.
     """
-    retry_after = min(MOST_WAIT, max(LEAST_WAIT, wait)) * rng.uniform(1.0, 1.5)
-    retry_after = round(retry_after + rng.uniform(0.0, RETURN_SPREAD), 3)
+    retry_after = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait)) * rng.uniform(
+        1.0, 1.5
+    )
+    retry_after = round(retry_after + rng.uniform(0.0, RETRY_AFTER_SPREAD), 3)
     if entry.has_started:
         code = ResultCode.DEADLINE_PASSED_RUNNING
         reason = "the deadline passed before another attempt could end"
@@ -237,7 +250,7 @@
 def abandon(
     entry: QueueEntry, code: ResultCode, reason: str, retry_after: float | None = None
 ) -> Abandoned:
-    """End a request with its final answer."""
+    """End a request with a failure."""
     return Abandoned(entry.work.request, Failure(code, reason, retry_after))
 
 
@@ -245,3 +258,4 @@
     "resume": make_resume,
     "restart": make_restart,
 }
+"""Recovery policies by their name in a profile."""
--- a/dewridge/policy/scheduler.py
+++ b/dewridge/policy/scheduler.py
@@ -1,4 +1,4 @@
-"""Admission, queueing, placement and recovery for one service under a profile."""
+"""Scheduler of one service: admission, queueing, placement and recovery."""
 
 import random
 from collections import defaultdict
@@ -25,26 +25,32 @@
     WorkClass,
 )
 from dewridge.policy.queueing import QueueEntry
-from dewridge.policy.recovery import RunningAttempt, abandon_late
+from dewridge.policy.recovery import RunningAttempt, abandon_expired
 from dewridge.policy.registry import PolicyKind, resolve_policy
 from dewridge.policy.servers import Servers
 from dewridge.policy.usage import UsageLedger
 from dewridge.sentinels import Failure
 
-OPTIMISM = 0.8
-"""Part of the usual duration in which an answer may still come. Queued work is
-given up only when even that is too long, since an answer given up is lost."""
-
+MIN_DURATION_SHARE = 0.8
+"""Share of the expected duration that an answer may take at best. Queued work is
+abandoned only if even that is too long, because an abandoned answer is lost."""
 
 DEFAULT_SUBSET = 12
-"""Size of the subset under a placement that does not name one."""
+"""Number of servers in the subset for placement policies without `subset_size`."""
 
 
 class Scheduler:
-    """Decides for one service on one entry host; does no I/O and reads no clock.
+    """Schedules the requests of one service at one entry host.
+
+    Does no I/O and reads no clock: the caller passes in events, each with the current
+    time, and carries out the decisions.
 
-    The owner of requests feeds it events, each with the time, and carries out
-    what it decides.
+    Args:
+        service: the service.
+        profile: the policies, latency targets and cost limits.
+        seed: seed of all random choices.
+        host_index: index of this host among the entry hosts.
+        host_count: number of entry hosts.
     """
 
     def __init__(
@@ -72,26 +78,26 @@
         self._build_policies()
 
     def set_profile(self, service: Service, profile: Profile, now: float) -> None:
-        """Swap the policies; queued and running work stays."""
+        """Replace the policies; queued and running work is not affected."""
         self._service = service
         self._profile = profile
         self._budget.set_limits(profile.limits)
         self._build_policies()
 
     def set_hosts(self, host_index: int, host_count: int, now: float) -> None:
-        """Say which of how many entry hosts this is, for the subsets."""
+        """Set this host's index among the entry hosts, which determines its subset."""
         self._servers.set_hosts(host_index, host_count)
 
     def update_servers(self, servers: Sequence[ServerView], now: float) -> None:
-        """Replace what is known of the service's backend servers.
+        """Replace the list of the service's backend servers.
 
-        Takes time in proportion to the fleet: call it when the list or the
-        reports changed, a few times a second, not for each request.
+        Takes time in proportion to the fleet: call it a few times per second when the
+        list or the reports have changed, not for each request.
         """
         self._servers.update(servers, now)
 
     def offer(self, work: Work, now: float) -> Failure | None:
-        """Admit a request to the queue, or refuse it at once with a time."""
+        """Queue a request, or return a failure with a retry-after time."""
         self._refresh(now)
         cost = measure_cost(work)
         if work.work_class is WorkClass.INTERACTIVE:
@@ -106,14 +112,14 @@
         return None
 
     def restore(self, work: Work, now: float) -> None:
-        """Queue work that was accepted already (takeover); never refused."""
+        """Queue a request that was already accepted, on takeover; never refuses it."""
         self._usage.count("restored")
         entry = self._make_entry(work, measure_cost(work))
         entry.has_started = work.tokens_done > 0
         self._enqueue(entry, True, now)
 
     def withdraw(self, request: RequestId, now: float) -> None:
-        """Forget a request that was cancelled or ended, queued or running."""
+        """Remove a queued or running request that was cancelled or has ended."""
         self._backlog.withdraw(request, now)
         attempt = self._running.get(request)
         if attempt is not None:
@@ -122,7 +128,7 @@
                 record.drop_probe(request)
 
     def pick(self, now: float) -> Assignment | None:
-        """Take the next request that can be sent now; call until None."""
+        """Dequeue the next request that can be sent now; call until it returns None."""
         self._refresh(now)
         for entry in self._backlog.pop_due(now):
             self._enqueue(entry, False, now)
@@ -133,31 +139,33 @@
         return None
 
     def expire(self, now: float) -> list[Abandoned]:
-        """Take out queued requests whose deadline can't be met any more.
+        """Remove and fail queued requests whose deadline can't be met any more.
 
-        A caller whose request is hopeless is told at once, with when to come
-        back, while there is still time to do without the answer.
+        Their callers get a retry-after time while they still have time to do without
+        the answer.
         """
-        hopeless = self._backlog.pop_expired(now)
-        if not hopeless:
+        expired = self._backlog.pop_expired(now)
+        if not expired:
             return []
-        self._usage.count("expired", len(hopeless))
-        pace = self._backlog.find_rate(None, self._guess_credit_pace(hopeless[0].work))
-        wait = self._backlog.find_cost() / pace
-        return [abandon_late(entry, wait, self._rng) for entry in hopeless]
+        self._usage.count("expired", len(expired))
+        rate = self._backlog.find_rate(
+            None, self._estimate_credit_rate(expired[0].work)
+        )
+        wait = self._backlog.find_cost() / rate
+        return [abandon_expired(entry, wait, self._rng) for entry in expired]
 
     def find_next_time(self, now: float) -> float | None:
-        """Say when `pick` or `expire` may have news without any event."""
+        """Return when `pick` or `expire` may have a result without another event."""
         times = [self._backlog.find_next_time(now)]
         if self._backlog.queued:
             times.append(self._servers.find_probe_time(now))
-        known = [time for time in times if time is not None]
-        return max(now, min(known)) if known else None
+        upcoming = [time for time in times if time is not None]
+        return max(now, min(upcoming)) if upcoming else None
 
     def record_first_token(
         self, request: RequestId, server: BackendServerId, now: float
     ) -> None:
-        """Record that an attempt's first token (or whole plain answer) came."""
+        """Record an attempt's first token, or the answer of a plain service."""
         attempt = self._find_attempt(request, server)
         if attempt is None or attempt.first_token_at is not None:
             return
@@ -170,7 +178,7 @@
     def record_tokens(
         self, request: RequestId, server: BackendServerId, count: int, now: float
     ) -> None:
-        """Record that `count` more tokens came."""
+        """Record `count` more tokens of an attempt."""
         attempt = self._find_attempt(request, server)
         record = self._servers.records.get(server)
         if attempt is None or record is None or count <= 0:
@@ -188,7 +196,11 @@
         tokens_done: int,
         now: float,
     ) -> Retry | Abandoned | None:
-        """Record an attempt's end and decide what follows; None after DONE."""
+        """Record the end of an attempt and decide what follows.
+
+        Returns:
+            The next step; None after DONE or for an unknown attempt.
+        """
         attempt = self._find_attempt(request, server)
         if attempt is None:
             return None
@@ -207,26 +219,25 @@
     ) -> list[Move]:
         """Decide which running requests leave a reclaimed server, and when.
 
-        Told again of the same server, it speaks only of requests that it has
-        not planned for, unless the server goes earlier than their moves.
+        A repeated call for the same server only plans requests without a planned move,
+        and those whose move would be after the server ends.
         """
         self._servers.note_leaving(server, leaving_at, now)
         record = self._servers.records.get(server)
         running = [
-            (attempt, self._predict_rest(attempt, record, now))
+            (attempt, self._predict_remaining_time(attempt, record, now))
             for attempt in self._by_server.get(server, {}).values()
             if attempt.moves_at is None or attempt.moves_at > leaving_at
         ]
         moves = self._recovery.plan_moves(running, leaving_at, now)
-        self._note_moves(moves)
+        self._record_moves(moves)
         return moves
 
     def find_moves(self, now: float) -> list[Move]:
-        """Decide which running requests leave servers that turned slow.
+        """Decide which running requests leave servers that have become slow.
 
-        Call it after `pick`. Moves are carried out as those of
-        `handle_server_leaving`: the attempt is stopped at the time given, and its end
-        is recorded as LEAVING.
+        Call it after `pick`. Moves are carried out as those of `handle_server_leaving`:
+        the attempt is stopped at the given time, and its end is recorded as LEAVING.
         """
         moves: list[Move] = []
         for server in self._servers.take_slow():
@@ -236,15 +247,15 @@
                 if attempt.moves_at is None
             ]
             moves += self._recovery.plan_slow_server_moves(running, now)
-        self._note_moves(moves)
+        self._record_moves(moves)
         return moves
 
     def read_usage(self) -> Usage:
-        """Return what the profile cost and lost here so far."""
+        """Return the counters of this service at this host."""
         return self._usage.read()
 
     def describe(self) -> dict[str, Any]:
-        """Return the state for a dump: sizes and figures, no prompts."""
+        """Return the state for a dump; it contains no prompts."""
         queue = self._backlog.queue
         return {
             "profile": self._profile.name,
@@ -254,7 +265,10 @@
             "queued": self._backlog.queued,
             "delayed": self._backlog.delayed,
             "running": len(self._running),
-            "queued_work": {c.value: round(queue.find_cost(c), 1) for c in WorkClass},
+            "queued_work": {
+                work_class.value: round(queue.find_cost(work_class), 1)
+                for work_class in WorkClass
+            },
             "servers": self._servers.describe(),
         }
 
@@ -263,21 +277,21 @@
         spec, parameters = resolve_policy(PolicyKind.PLACEMENT, profile.placement)
         make_choose = placement.MAKERS[spec.name]
         self._choose = make_choose(parameters, profile.targets, self._rng)
-        most = int(parameters.get("subset_size", DEFAULT_SUBSET))
-        self._servers.configure(profile.targets, most)
+        subset_size = int(parameters.get("subset_size", DEFAULT_SUBSET))
+        self._servers.configure(profile.targets, subset_size)
         spec, parameters = resolve_policy(PolicyKind.RECOVERY, profile.recovery)
         self._recovery = recovery.MAKERS[spec.name](parameters, self._rng)
         spec, parameters = resolve_policy(PolicyKind.ADMISSION, profile.admission)
         make_admit = admission.MAKERS[spec.name]
         self._admit = make_admit(parameters, profile.targets, self._rng)
-        self._drops_hopeless = parameters.get("drops_expired", 1.0) > 0
+        self._drops_expired = parameters.get("drops_expired", 1.0) > 0
         background_share = parameters.get("background_share")
         self._backlog.configure(self._service.shares, background_share)
 
     def _view_admission(self, work: Work, cost: float, now: float) -> AdmissionView:
         queue = self._backlog.queue
         servers = self._servers
-        guess = self._guess_credit_pace(work)
+        prior_rate = self._estimate_credit_rate(work)
         expected = servers.usual.predict_duration(work) * servers.least_price
         return AdmissionView(
             cost=cost,
@@ -286,15 +300,15 @@
             class_cost=queue.find_cost(work.work_class),
             account_cost=queue.find_account_cost(work.work_class, work.account),
             account_share=queue.find_share(work.work_class, work.account),
-            class_rate=self._backlog.find_rate(work.work_class, guess),
+            class_rate=self._backlog.find_rate(work.work_class, prior_rate),
             total_cost=self._backlog.find_cost(),
-            total_rate=self._backlog.find_rate(None, guess),
+            total_rate=self._backlog.find_rate(None, prior_rate),
             has_servers=bool(servers.fleet),
             budget_wait=self._budget.find_wait(expected, now),
             exceeds_answer_limit=self._budget.exceeds_answer_limit(expected),
         )
 
-    def _guess_credit_pace(self, work: Work) -> float:
+    def _estimate_credit_rate(self, work: Work) -> float:
         duration = max(self._servers.usual.predict_duration(work), 1e-6)
         return measure_cost(work) / duration
 
@@ -306,14 +320,16 @@
         self._sequence += 1
         due = work.deadline
         if work.work_class is WorkClass.INTERACTIVE:
-            # A caller with a generous deadline waits no longer than the target.
+            # A caller with a late deadline still expects the latency target.
             due = min(due, work.arrival + self._profile.targets.whole_answer)
         return QueueEntry(work, cost, self._sequence, due)
 
     def _enqueue(self, entry: QueueEntry, is_charged: bool, now: float) -> None:
-        if self._drops_hopeless:
-            shortest = OPTIMISM * self._servers.usual.find_duration(entry.work, now)
-            entry.latest_start = entry.work.deadline - shortest
+        if self._drops_expired:
+            min_duration = MIN_DURATION_SHARE * self._servers.usual.find_duration(
+                entry.work, now
+            )
+            entry.latest_start = entry.work.deadline - min_duration
         self._backlog.add(entry, is_charged, now)
 
     def _dispatch(
@@ -336,9 +352,9 @@
     ) -> ServerCredits | None:
         request = attempt.request
         del self._running[request]
-        held = self._by_server[attempt.server]
-        del held[request]
-        if not held:
+        server_attempts = self._by_server[attempt.server]
+        del server_attempts[request]
+        if not server_attempts:
             del self._by_server[attempt.server]
         record = self._servers.records.get(attempt.server)
         if record is not None:
@@ -360,22 +376,22 @@
         if isinstance(decision, Abandoned):
             self._usage.count(f"abandoned.{decision.failure.code.name.lower()}")
             return decision
-        kept = tokens_done if self._recovery.retains_tokens else 0
+        retained = tokens_done if self._recovery.retains_tokens else 0
         self._usage.count("retries")
-        self._usage.count("tokens_dropped", tokens_done - kept)
-        entry.work = replace(entry.work, tokens_done=kept)
+        self._usage.count("tokens_dropped", tokens_done - retained)
+        entry.work = replace(entry.work, tokens_done=retained)
         if decision.after > 0:
             self._backlog.delay(entry, now + decision.after)
         else:
             self._enqueue(entry, False, now)
         return decision
 
-    def _note_moves(self, moves: Sequence[Move]) -> None:
+    def _record_moves(self, moves: Sequence[Move]) -> None:
         for move in moves:
             self._running[move.request].moves_at = move.at
         self._usage.count("moves_planned", len(moves))
 
-    def _predict_rest(
+    def _predict_remaining_time(
         self, attempt: RunningAttempt, record: ServerCredits | None, now: float
     ) -> float:
         expected = self._servers.usual.predict_duration(attempt.entry.work, record)
--- a/dewridge/tests/policy/builders.py
+++ b/dewridge/tests/policy/builders.py
@@ -1,4 +1,4 @@
-"""Small builders of what the decisions take."""
+"""Builders of profiles, services, servers, requests and schedulers for tests."""
 
 from dewridge.configuration.model import (
     CostLimits,
--- a/dewridge/tests/policy/entry_tests.py
+++ b/dewridge/tests/policy/entry_tests.py
@@ -1,4 +1,4 @@
-"""Which entry addresses a client account gets."""
+"""Tests of the choice of entry hosts for a client account."""
 
 from collections import Counter
 
@@ -21,14 +21,14 @@
     ]
 
 
-def test_the_first_addresses_span_the_failure_domains_without_leaving_hosts() -> None:
+def test_first_hosts_are_live_and_in_different_failure_domains() -> None:
     for account in range(50):
         chosen = choose_entry_hosts(f"account-{account}", make_members(9), 4)
         assert len({member.failure_domain for member in chosen}) == 4
         assert all(member.takes_work for member in chosen)
 
 
-def test_accounts_and_callers_spread_evenly() -> None:
+def test_accounts_and_callers_are_spread_evenly() -> None:
     members = make_members(9)
     by_account = Counter(
         choose_entry_hosts(f"account-{n}", members, 1)[0].host for n in range(4000)
@@ -37,6 +37,6 @@
         choose_entry_hosts("large", members, 1, f"caller-{n}")[0].host
         for n in range(4000)
     )
-    for spread in (by_account, by_caller):
-        assert len(spread) == 8
-        assert max(spread.values()) < 1.25 * 4000 / 8
+    for counts in (by_account, by_caller):
+        assert len(counts) == 8
+        assert max(counts.values()) < 1.25 * 4000 / 8
--- a/dewridge/tests/policy/invariants_tests.py
+++ b/dewridge/tests/policy/invariants_tests.py
@@ -1,4 +1,4 @@
-"""What holds after any sequence of events."""
+"""Invariants of the scheduler and its queues under any sequence of events."""
 
 from collections import Counter
 
@@ -34,7 +34,7 @@
 
 
 class Driver:
-    """Feeds a scheduler and keeps its own account of what is where."""
+    """Sends events to a scheduler and tracks where each request has to be."""
 
     def __init__(self) -> None:
         self.scheduler: Scheduler = make_scheduler(SERVERS)
@@ -78,17 +78,17 @@
         assert assignment.work.request not in self.running
         self.running[assignment.work.request] = assignment.server
 
-    def _choose(self, place: int) -> RequestId | None:
-        return list(self.running)[place % len(self.running)] if self.running else None
+    def _choose(self, index: int) -> RequestId | None:
+        return list(self.running)[index % len(self.running)] if self.running else None
 
-    def do_token(self, place: int) -> None:
-        request = self._choose(place)
+    def do_token(self, index: int) -> None:
+        request = self._choose(index)
         if request is not None:
             server = self.running[request]
             self.scheduler.record_first_token(request, server, self.now)
 
-    def do_end(self, place: int, outcome: AttemptOutcome) -> None:
-        request = self._choose(place)
+    def do_end(self, index: int, outcome: AttemptOutcome) -> None:
+        request = self._choose(index)
         if request is None:
             return
         server = self.running.pop(request)
@@ -98,10 +98,10 @@
         if decision is None or isinstance(decision, Abandoned):
             self.known.discard(request)
 
-    def do_withdraw(self, place: int) -> None:
+    def do_withdraw(self, index: int) -> None:
         known = sorted(self.known)
         if known:
-            request = known[place % len(known)]
+            request = known[index % len(known)]
             self.scheduler.withdraw(request, self.now)
             self.known.discard(request)
             self.running.pop(request, None)
@@ -127,13 +127,13 @@
     def check(self) -> None:
         state = self.scheduler.describe()
         assert state["running"] == len(self.running)
-        hopeless = len(self.scheduler._backlog._expired)
-        waiting = state["queued"] + state["delayed"] + hopeless
+        expired = len(self.scheduler._backlog._expired)
+        waiting = state["queued"] + state["delayed"] + expired
         assert waiting + state["running"] == len(self.known)
         servers = self.scheduler._servers
-        held = Counter(self.running.values())
+        by_server = Counter(self.running.values())
         for record in servers.records.values():
-            assert record.in_flight == held[record.view.id]
+            assert record.in_flight == by_server[record.view.id]
             assert 0 <= record.background <= record.in_flight
             assert record.limit > 0
         assert servers.in_flight == len(self.running)
@@ -143,7 +143,9 @@
 
 @given(st.lists(EVENTS, max_size=60))
 @settings(max_examples=150, deadline=None)
-def test_nothing_is_lost_and_credits_add_up(events: list[tuple[object, ...]]) -> None:
+def test_no_request_is_lost_and_credits_add_up(
+    events: list[tuple[object, ...]],
+) -> None:
     driver = Driver()
     for event in events:
         driver.apply(event)
@@ -152,9 +154,9 @@
 
 @given(st.lists(st.integers(1, 500), min_size=40, max_size=80), st.integers(1, 4))
 @settings(max_examples=50, deadline=None)
-def test_accounts_that_wait_get_their_shares(costs: list[int], weight: int) -> None:
-    # One account has four times the backlog of the other. While both wait, no
-    # account is behind its share by more than its burst and one request.
+def test_queued_accounts_get_their_shares(costs: list[int], weight: int) -> None:
+    # One account has four times the backlog of the other. While both are queued, no
+    # account may fall behind its share by more than two of the largest requests.
     queue = FairQueue({"large": float(weight)}, background_share=0.1)
     for number, cost in enumerate(costs * 4):
         account = "small" if number % 5 == 0 else "large"
@@ -173,12 +175,12 @@
 
 @given(st.integers(1, 120), st.integers(1, 60), st.integers(1, 16))
 @settings(max_examples=100, deadline=None)
-def test_subsets_overlap_evenly(servers: int, hosts: int, most: int) -> None:
+def test_server_subsets_overlap_evenly(servers: int, hosts: int, max_size: int) -> None:
     views = [make_server(number) for number in range(servers)]
     used = Counter(
         server.id
         for host in range(hosts)
-        for server in choose_subset(views, host, hosts, most)
+        for server in choose_subset(views, host, hosts, max_size)
     )
     assert len(used) == servers
     assert max(used.values()) - min(used.values()) <= 2
@@ -186,15 +188,16 @@
     assert len({s.failure_domain for s in window}) >= min(2, servers)
 
 
-def test_background_work_keeps_its_share_beside_interactive() -> None:
-    # Questions never stop coming. Drafts still get their tenth of the work.
+def test_background_work_gets_its_share_beside_interactive_work() -> None:
+    # With strict priority, background work would starve under a constant backlog of
+    # interactive work; it has to get its share of a tenth.
     queue = FairQueue({}, background_share=0.1)
     for number in range(400):
         work = make_work(number, is_interactive=number % 2 == 0)
         queue.push(QueueEntry(work, 10.0, number, work.deadline), True)
-    taken: Counter[WorkClass] = Counter()
+    dispatched: Counter[WorkClass] = Counter()
     for _ in range(100):
         head = queue.list_heads()[0]
         queue.dequeue(head)
-        taken[head.work.work_class] += 1
-    assert 8 <= taken[WorkClass.BACKGROUND] <= 12
+        dispatched[head.work.work_class] += 1
+    assert 8 <= dispatched[WorkClass.BACKGROUND] <= 12
--- a/dewridge/tests/policy/outcomes_tests.py
+++ b/dewridge/tests/policy/outcomes_tests.py
@@ -1,4 +1,4 @@
-"""What callers get when the decisions meet load and faults."""
+"""Simulated outcomes for callers under load and faults."""
 
 from dataclasses import replace
 from functools import cache
@@ -11,8 +11,8 @@
     "test", SELLO_VERDE, COST_AWARE, 0.6, 7, seconds=30.0, is_model_only=True
 )
 DRAFTING = replace(FINDINGS, deployment=KAROO)
-LONG = 60.0
-"""Seconds until a queue at twice the capacity is as long as it gets."""
+QUEUE_FILL_SECONDS = 60.0
+"""Seconds until the queue reaches its full length at twice the capacity."""
 
 run = cache(run_case)
 
@@ -22,18 +22,20 @@
 
 
 def test_bursts_are_answered_within_target() -> None:
-    # Auditors upload their dossiers at the same hour: every fifth second brings
-    # two and a half times the usual requests. Callers notice nothing.
+    # In every fifth second, 2.5 times the usual number of requests arrive. Answers
+    # have to stay within the target, nearly without refusals.
     burst = replace(DRAFTING, burst=2.5)
     assert find_in_target(burst) >= 0.95
     assert run(burst).overall.refused <= 0.01
 
 
-def test_twice_the_capacity_is_half_answered_and_half_refused_at_once() -> None:
-    # Twice as many requests come as the machines can answer, for a minute. Who
-    # can't be served hears so at once and with a time to come back; the others
-    # get their answers in time, where plain queues make everyone late.
-    case = replace(FINDINGS, load=2.0, seconds=LONG + 20, warm_up=LONG)
+def test_overload_of_twice_the_capacity_is_half_answered_and_half_refused() -> None:
+    # For a minute, twice as many requests arrive as the servers can answer. The excess
+    # is refused at once with a retry-after time and the rest is answered in time; with
+    # FIFO queues, nearly all answers are late.
+    case = replace(
+        FINDINGS, load=2.0, seconds=QUEUE_FILL_SECONDS + 20, warm_up=QUEUE_FILL_SECONDS
+    )
     result = run(case)
     assert result.work_share["findings"] >= 0.9
     assert result.overall.refused >= 0.4
@@ -43,9 +45,11 @@
 
 
 def test_a_large_account_does_not_starve_a_small_one() -> None:
-    # Two accounts send more than the machines can answer. The small ones, with
-    # less than their even part, are all answered as if there was room.
-    case = replace(FINDINGS, load=2.0, seconds=LONG + 20, warm_up=LONG)
+    # Two accounts send more than the servers can answer. Small accounts that use less
+    # than their equal share are answered as without overload.
+    case = replace(
+        FINDINGS, load=2.0, seconds=QUEUE_FILL_SECONDS + 20, warm_up=QUEUE_FILL_SECONDS
+    )
     assert run(case).fairness >= 0.75
     latencies = run(case).accounts
     assert (
@@ -53,24 +57,24 @@
     )
 
 
-def test_questions_do_not_wait_for_long_drafts() -> None:
-    # Certificate drafts of ten seconds fill most places of the engines. A
-    # technician at the valve still sees the answer begin within the target.
+def test_interactive_work_does_not_wait_for_long_background_work() -> None:
+    # Background requests of ten seconds use most slots of the engines. Interactive
+    # answers still have to start within the target.
     case = replace(DRAFTING, load=0.8, seconds=45.0)
     assert run(case).overall.first_token["interactive"] <= 0.41
 
 
-def test_a_server_ten_times_slower_costs_few_answers() -> None:
-    # One engine turns slow without failing. What runs there goes on elsewhere,
-    # and new work avoids it, but for a probe now and then.
+def test_a_slow_server_makes_few_answers_late() -> None:
+    # One engine becomes slow without failing. Its requests move to other servers, and
+    # new requests avoid it, except for occasional probes.
     slow = replace(FINDINGS, slowdown=Slowdown(at=22.0), seconds=40.0)
     healthy = replace(slow, slowdown=None)
     assert find_in_target(slow) >= 0.95 * find_in_target(healthy)
 
 
-def test_half_of_the_servers_go_at_once_and_no_accepted_request_is_lost() -> None:
-    # Half of the machines are reclaimed on four seconds of notice. Every
-    # finding that was accepted is answered, going on from the tokens kept.
+def test_no_accepted_request_is_lost_when_half_of_the_servers_are_reclaimed() -> None:
+    # Half of the servers are reclaimed with four seconds of notice. Every accepted
+    # request has to be answered, continuing after the tokens already received.
     reclaimed = replace(FINDINGS, load=0.4, reclaims=(Reclaim(22.0),))
     result = run(reclaimed)
     assert result.overall.failed == 0
--- a/dewridge/tests/policy/scheduler_tests.py
+++ b/dewridge/tests/policy/scheduler_tests.py
@@ -1,4 +1,4 @@
-"""One host's scheduler, event by event."""
+"""Tests of the scheduler of one host."""
 
 from dewridge.codes import ResultCode
 from dewridge.configuration.model import CostLimits
@@ -6,7 +6,7 @@
 from dewridge.tests.policy.builders import make_profile, make_scheduler, make_work
 
 
-def test_an_answer_frees_its_credit_and_is_counted() -> None:
+def test_a_complete_answer_frees_its_credit_and_is_counted() -> None:
     scheduler = make_scheduler()
     picked = []
     for number in range(6):
@@ -27,9 +27,9 @@
     assert counters["cost"] > 0
 
 
-def test_a_hopeless_request_is_told_at_once_and_when_to_come_back() -> None:
-    # The only server is busy until after a queued request's deadline. Its
-    # caller hears so as soon as it is certain, not when the deadline passes.
+def test_a_request_that_cannot_start_in_time_fails_at_once_with_retry_after() -> None:
+    # The only server is busy beyond the deadline of a queued request. The request has
+    # to fail as soon as it can't start in time, not when the deadline passes.
     scheduler = make_scheduler()
     for number in range(4):
         scheduler.offer(make_work(number), 0.0)
@@ -47,9 +47,9 @@
     assert abandoned.failure.retry_after
 
 
-def test_a_short_deadline_is_tried_while_nothing_is_known() -> None:
-    # A host that has just started, or heard nothing for a while, can't know that
-    # a deadline is too short. Refusing by a guess, it would never learn better.
+def test_a_short_deadline_is_tried_without_recent_measurements() -> None:
+    # A host that has just started, or had no answer for a while, does not know how long
+    # answers take. If it refused short deadlines, it would never measure any.
     scheduler = make_scheduler(kind="plain")
     assert scheduler.offer(make_work(1, deadline=0.05, tokens=1), 0.0) is None
     picked = scheduler.pick(0.0)
@@ -57,17 +57,17 @@
     scheduler.record_attempt_end(
         picked.work.request, picked.server, AttemptOutcome.DONE, 1, 0.4
     )
-    hopeless = make_work(2, arrival=1.0, deadline=1.05, tokens=1)
-    assert scheduler.offer(hopeless, 1.0) is not None
+    too_short = make_work(2, arrival=1.0, deadline=1.05, tokens=1)
+    assert scheduler.offer(too_short, 1.0) is not None
     later = make_work(3, arrival=60.0, deadline=60.05, tokens=1)
     assert scheduler.offer(later, 60.0) is None
     assert scheduler.pick(60.0) is not None
 
 
-def test_a_call_that_may_not_be_repeated_is_tried_again_only_if_it_never_ran() -> None:
-    # A server refuses a letter, the next one breaks off. The first refusal
-    # proves that nothing ran; after the break a second try might make a second
-    # letter, and the caller hears that nobody knows.
+def test_a_non_idempotent_request_is_retried_only_if_it_did_not_run() -> None:
+    # One server refuses the request, the next attempt is lost. The refusal shows that
+    # the request did not run; after the loss, a retry might run it twice, so that it
+    # has to fail with an unknown outcome.
     scheduler = make_scheduler(servers=3)
     scheduler.offer(make_work(1, idempotent=False), 0.0)
     first = scheduler.pick(0.0)
@@ -87,10 +87,10 @@
     assert scheduler.pick(0.3) is None
 
 
-def test_moved_work_resumes_with_its_tokens_on_another_server() -> None:
-    # A server is reclaimed with a draft half done. The caller notices nothing:
-    # the draft goes on elsewhere from the tokens kept, and the leaving server
-    # gets nothing more, even when an older host list still calls it live.
+def test_a_moved_request_resumes_with_its_tokens_at_another_server() -> None:
+    # A server is reclaimed while it runs a request. The request has to continue at
+    # another server after the tokens already received, and the leaving server must not
+    # get new work even if a stale server list shows it as live.
     scheduler = make_scheduler(servers=2)
     views = [record.view for record in scheduler._servers.subset]
     work = make_work(1, is_interactive=False, tokens=4000, prompt=600)
@@ -112,7 +112,7 @@
     assert second.work.tokens_done == 70
 
 
-def test_a_profile_out_of_money_refuses_until_the_hour_has_drained() -> None:
+def test_a_reached_hourly_cost_limit_refuses_requests() -> None:
     profile = make_profile(limits=CostLimits(per_hour=0.001))
     scheduler = make_scheduler(profile=profile)
     scheduler.offer(make_work(1), 0.0)
@@ -127,9 +127,9 @@
     assert refusal.retry_after
 
 
-def test_policies_are_swapped_under_work() -> None:
-    # An operator moves a service to another profile on live traffic; requests
-    # that wait or run are not lost by it.
+def test_a_change_of_policies_loses_no_requests() -> None:
+    # An operator changes the profile of a service under live traffic; queued and
+    # running requests must not be lost.
     scheduler = make_scheduler()
     service = scheduler._service
     for number in range(8):
