--- a/dewridge/policy/admission.py
+++ b/dewridge/policy/admission.py
@@ -141,8 +141,8 @@
         return max(lateness, wait - max(MIN_TARGET_SHARE * target, target - expected))
 
     def check_bounds(view: AdmissionView) -> Failure | None:
-        # Bounds the queue by cost and not by count: a hundred status checks take a
-        # second, a hundred drafts keep the service busy for minutes.
+        # Bounds the queue by cost and not by count: a hundred short requests take a
+        # second, a hundred long ones keep the service busy for minutes.
         bound = max(view.total_rate * queue_seconds, view.cost)
         free = bound - view.total_cost
         drain_rate = max(view.total_rate, 1e-9)
--- a/dewridge/policy/credits.py
+++ b/dewridge/policy/credits.py
@@ -22,7 +22,7 @@
 capacity, which no other host counts on. Credits lost in a single event return within a
 few answers."""
 
-CUT_FACTOR = 0.7
+REDUCTION_FACTOR = 0.7
 """Factor on the credits after a sign of overload. With 0.5, capacity would be idle each
 time that the limit is exceeded; with 0.9, backing off would take many refusals."""
 
@@ -88,7 +88,7 @@
         failures: consecutive failures.
         pause: seconds of the next suspension.
         retry_at: when a suspended server may be probed.
-        cut_at: when the credits were last reduced.
+        reduced_at: when the credits were last reduced.
         probe: the request that is probing the server.
     """
 
@@ -108,7 +108,7 @@
     failures: int = 0
     pause: float = MIN_PAUSE
     retry_at: float = 0.0
-    cut_at: float = 0.0
+    reduced_at: float = 0.0
     probe: RequestId | None = None
 
     def has_room(
@@ -215,14 +215,14 @@
             self.limit = max(MIN_LIMIT, self.limit * share / self.share)
             self.share = share
 
-    def grow(self) -> None:
+    def increase_limit(self) -> None:
         """Add a fraction of a credit after a good answer, if nearly all were in use."""
         if self.health is Health.GOOD and self.in_flight + 1 >= self.limit:
             gain = CREDIT_REGAIN if self.limit < self.share else CREDIT_GAIN
             max_limit = float(max(1, self.view.capacity))
             self.limit = min(max_limit, self.limit + gain / max(1.0, self.limit))
 
-    def cut(self, now: float, floor: float = MIN_LIMIT) -> None:
+    def reduce_limit(self, now: float, floor: float = MIN_LIMIT) -> None:
         """Reduce the credits after a sign of overload, at most once per round trip.
 
         All requests in flight notice the same overload; reducing the credits for each
@@ -232,14 +232,16 @@
             now: current time.
             floor: credits that are retained if the host has them.
         """
-        if now - self.cut_at < max(0.05, self.first_token):
+        if now - self.reduced_at < max(0.05, self.first_token):
             return
-        self.cut_at = now
-        self.limit = max(min(floor, self.limit), self.limit * CUT_FACTOR, MIN_LIMIT)
+        self.reduced_at = now
+        self.limit = max(
+            min(floor, self.limit), self.limit * REDUCTION_FACTOR, MIN_LIMIT
+        )
 
-    def yield_borrowed(self, now: float) -> None:
+    def reduce_to_share(self, now: float) -> None:
         """Reduce the credits above the host's share, which other hosts use again."""
-        self.cut(now, self.share)
+        self.reduce_limit(now, self.share)
 
     def record_success(self) -> None:
         """Record a good answer, which shortens the pause after the next failure."""
@@ -264,14 +266,14 @@
 
     def record_refusal(self, request: RequestId, now: float, jitter: float) -> None:
         """Record an attempt that the server refused because it is full."""
-        self.cut(now)
+        self.reduce_limit(now)
         if self.probe == request:
             self.suspend(now, jitter)
 
     def record_failure(self, now: float, jitter: float) -> None:
         """Record a failed attempt; `jitter` is a random number from 0 to 1."""
         self.failures += 1
-        self.limit = max(MIN_LIMIT, self.limit * CUT_FACTOR)
+        self.limit = max(MIN_LIMIT, self.limit * REDUCTION_FACTOR)
         if self.failures >= FAILURE_LIMIT or self.health is Health.PROBING:
             self.suspend(now, jitter)
 
--- a/dewridge/policy/pace.py
+++ b/dewridge/policy/pace.py
@@ -3,9 +3,9 @@
 import math
 
 AVERAGING_SECONDS = 10.0
-"""Time constant of the average. An entry host may dispatch as little as one draft per
-second; with a shorter time, a single draft would make admission alternate between
-refusing everything and admitting too much."""
+"""Time constant of the average. An entry host may dispatch as little as one long
+request per second; with a shorter time, a single one of them would make admission
+alternate between refusing everything and admitting too much."""
 
 
 class DispatchRateMeter:
--- a/dewridge/policy/placement.py
+++ b/dewridge/policy/placement.py
@@ -25,8 +25,8 @@
 """Seconds that the policy parameter `reclaim_risk` refers to."""
 
 PROBE_SLACK_FACTOR = 5.0
-"""Multiple of its expected duration that a request must have left until its
-deadline to be sent as a probe, so that it can be repeated at another server if the
+"""A request is sent as a probe only if the time until its deadline is at least this
+multiple of its expected duration, so that it can be repeated at another server if the
 probed one is still slow."""
 
 ChooseServer = Callable[
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -43,7 +43,7 @@
             reported as not run.
         lost: number of failed attempts.
         refused: number of attempts that certainly did not start.
-        avoid: server of the last failed attempt.
+        avoided_server: server of the last failed attempt.
         latest_start: the latest start time that can meet the deadline.
     """
 
@@ -55,7 +55,7 @@
     has_started: bool = False
     lost: int = 0
     refused: int = 0
-    avoid: BackendServerId | None = None
+    avoided_server: BackendServerId | None = None
     latest_start: float = float("inf")
 
     @property
@@ -72,7 +72,7 @@
         self.refused += outcome is AttemptOutcome.NOT_STARTED
         self.lost += outcome is AttemptOutcome.LOST
         self.has_started |= outcome is not AttemptOutcome.NOT_STARTED
-        self.avoid = server
+        self.avoided_server = server
 
 
 class WorkQueue(Protocol):
--- a/dewridge/policy/scheduler.py
+++ b/dewridge/policy/scheduler.py
@@ -133,7 +133,7 @@
         for entry in self._backlog.pop_due(now):
             self._enqueue(entry, False, now)
         for entry in self._backlog.find_heads(now):
-            record = self._choose(entry.work, self._servers, entry.avoid, now)
+            record = self._choose(entry.work, self._servers, entry.avoided_server, now)
             if record is not None:
                 return self._dispatch(entry, record, now)
         return None
--- a/dewridge/policy/usual.py
+++ b/dewridge/policy/usual.py
@@ -136,12 +136,12 @@
         longest = max(self._patience, QUEUED_FACTOR * self.base_first_token)
         is_late = work_class is WorkClass.INTERACTIVE and sample > longest
         if is_late or record.token_time > self._targets.between_tokens:
-            record.cut(now)
+            record.reduce_limit(now)
         elif record.first_token > QUEUED_FACTOR * self.base_first_token:
-            record.yield_borrowed(now)
+            record.reduce_to_share(now)
         else:
             record.record_success()
-            record.grow()
+            record.increase_limit()
 
     @property
     def _first_target(self) -> float:
