--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from dewridge.ids import FailureDomain
-from dewridge.policy.capacity import USUAL_PACE
+from dewridge.policy.capacity import DEFAULT_PREFILL_RATE
 
 TARGET_LOAD = 0.42
 """Share of its time that a server should spend on reading prompts, at the highest rate
@@ -77,7 +77,7 @@
     """
 
     rate: float
-    pace: float = USUAL_PACE
+    pace: float = DEFAULT_PREFILL_RATE
     in_flight: int = 0
     slots: int = 1
 
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -9,7 +9,7 @@
 from dewridge.configuration.model import LatencyTargets
 from dewridge.ids import BackendServerId, FailureDomain, RequestId
 from dewridge.policy.cost import find_slot_price
-from dewridge.policy.credits import LEAST_LIMIT, Health, ServerCredits
+from dewridge.policy.credits import MIN_LIMIT, Health, ServerCredits
 from dewridge.policy.model import AttemptOutcome, ServerView, WorkClass
 from dewridge.policy.reserve import Reserve
 from dewridge.policy.subsets import choose_subset, find_hosts_per_server
@@ -147,7 +147,7 @@
         now: float,
     ) -> None:
         """Use a credit of a server for a dispatch."""
-        record.take(request, work_class, now)
+        record.acquire(request, work_class, now)
         self.in_flight += 1
         self.background += work_class is WorkClass.BACKGROUND
 
@@ -155,7 +155,7 @@
         self, record: ServerCredits, request: RequestId, work_class: WorkClass
     ) -> None:
         """Free the credit of a request that completed or failed."""
-        record.give_back(request, work_class)
+        record.release(request, work_class)
         self.in_flight -= 1
         self.background -= work_class is WorkClass.BACKGROUND
 
@@ -203,7 +203,7 @@
         record = self.records.get(server)
         if record is None:
             return
-        sample = record.note_first_token(request, work_class, now)
+        sample = record.record_first_token(request, work_class, now)
         if sample is None:
             return
         self.latency_model.record_sample(now)
@@ -221,9 +221,9 @@
     ) -> None:
         """Update a server's record by the outcome of an attempt."""
         if outcome is AttemptOutcome.LOST:
-            record.note_failure(now, self._rng.random())
+            record.record_failure(now, self._rng.random())
         elif outcome is AttemptOutcome.NOT_STARTED:
-            record.note_refusal(request, now, self._rng.random())
+            record.record_refusal(request, now, self._rng.random())
         else:
             record.drop_probe(request)
 
@@ -281,7 +281,7 @@
         self.latency_model.update(good)
         self.total_limit = sum(r.limit for r in good)
         self.mean_in_flight = sum(r.in_flight for r in good) / max(1, len(good))
-        self.reserve.settle(now)
+        self.reserve.decay(now)
 
     def _handle_probe_result(
         self, record: ServerCredits, sample: float, now: float
@@ -321,7 +321,7 @@
         return record
 
     def _find_share(self, view: ServerView) -> float:
-        return max(LEAST_LIMIT, view.capacity / self._hosts_per_server)
+        return max(MIN_LIMIT, view.capacity / self._hosts_per_server)
 
     def _drop_idle_record(self, server: BackendServerId) -> None:
         record = self.records.get(server)
--- a/dewridge/policy/usual.py
+++ b/dewridge/policy/usual.py
@@ -108,7 +108,11 @@
     def is_slow(self, record: ServerCredits, now: float) -> bool:
         """Whether a server is much slower than the others, or silent."""
         if record.health is Health.PROBING:
-            sent_at = record.waiting.get(record.probe, now) if record.probe else now
+            sent_at = (
+                record.awaiting_first_token.get(record.probe, now)
+                if record.probe
+                else now
+            )
             return not self.is_good(now - sent_at)
         if record.token_time > SLOW_FACTOR * self.token_time:
             return True
@@ -138,12 +142,12 @@
         max_wait = max(self._slow_floor, QUEUEING_FACTOR * self.base_first_token)
         is_late = work_class is WorkClass.INTERACTIVE and sample > max_wait
         if is_late or record.token_time > self._targets.between_tokens:
-            record.cut(now)
+            record.reduce_limit(now)
         elif record.first_token > QUEUEING_FACTOR * self.base_first_token:
-            record.yield_borrowed(now)
+            record.reduce_to_share(now)
         else:
-            record.note_success()
-            record.grow()
+            record.record_success()
+            record.increase_limit()
 
     @property
     def _first_target(self) -> float:
--- a/dewridge/tests/policy/oldnews_tests.py
+++ b/dewridge/tests/policy/oldnews_tests.py
@@ -126,7 +126,7 @@
                 size,
                 rng,
                 can_copy=kind.is_copied,
-                news_age=assumed_age,
+                staleness=assumed_age,
             )
             assert placement is not None
             server = int(placement.server.removeprefix("s-"))
@@ -171,7 +171,7 @@
     ]
     idle = [server for server in known if server.id == "s-7"]
     placement = place_prompt(
-        [*busy, *idle], "p", 0, 500, random.Random(1), news_age=0.15
+        [*busy, *idle], "p", 0, 500, random.Random(1), staleness=0.15
     )
     assert placement is not None
     assert placement.server == "s-7"
@@ -181,7 +181,7 @@
     """Guards against prompts sent to a prefix's cache holders during their cooldown."""
     known = list_candidates([], host=0, now=1.0, age=0.1)
     placements = {
-        place_prompt(known, "p", 0, 500, random.Random(n), news_age=1.0)
+        place_prompt(known, "p", 0, 500, random.Random(n), staleness=1.0)
         for n in range(20)
     }
     in_cooldown = {chosen.server for chosen in placements if chosen is not None}
@@ -189,6 +189,6 @@
         Candidate(server.id, DOMAIN, 0, 0.0, 32, server.id not in in_cooldown)
         for server in known
     ]
-    placement = place_prompt(candidates, "p", 0, 500, random.Random(1), news_age=1.0)
+    placement = place_prompt(candidates, "p", 0, 500, random.Random(1), staleness=1.0)
     assert placement is not None
     assert placement.server not in in_cooldown
--- a/dewridge/tests/policy/scheduler_tests.py
+++ b/dewridge/tests/policy/scheduler_tests.py
@@ -1,4 +1,4 @@
-"""One host's scheduler, event by event."""
+"""Tests of the scheduler of one host."""
 
 from dewridge.codes import ResultCode
 from dewridge.configuration.model import CostLimits
@@ -6,7 +6,7 @@
 from dewridge.tests.policy.builders import make_profile, make_scheduler, make_work
 
 
-def test_an_answer_frees_its_credit_and_is_counted() -> None:
+def test_a_complete_answer_frees_its_credit_and_is_counted() -> None:
     scheduler = make_scheduler()
     picked = []
     for number in range(6):
@@ -16,8 +16,10 @@
     first = picked[0]
     assert first
     request = first.work.request
-    scheduler.note_first_token(request, first.server, 0.1)
-    done = scheduler.note_ended(request, first.server, AttemptOutcome.DONE, 10, 0.5)
+    scheduler.record_first_token(request, first.server, 0.1)
+    done = scheduler.record_attempt_end(
+        request, first.server, AttemptOutcome.DONE, 10, 0.5
+    )
     assert done is None
     assert scheduler.pick(0.5) is not None
     counters = scheduler.read_usage().counters
@@ -25,15 +27,15 @@
     assert counters["cost"] > 0
 
 
-def test_a_hopeless_request_is_told_at_once_and_when_to_come_back() -> None:
-    # The only server is busy until after a queued request's deadline. Its
-    # caller hears so as soon as it is certain, not when the deadline passes.
+def test_a_request_that_cannot_start_in_time_fails_at_once_with_retry_after() -> None:
+    # The only server is busy beyond the deadline of a queued request. The request has
+    # to fail as soon as it can't start in time, not when the deadline passes.
     scheduler = make_scheduler()
     for number in range(4):
         scheduler.offer(make_work(number), 0.0)
         picked = scheduler.pick(0.0)
         assert picked
-        scheduler.note_first_token(picked.work.request, picked.server, 0.1)
+        scheduler.record_first_token(picked.work.request, picked.server, 0.1)
     scheduler.offer(make_work(9, deadline=5.0, tokens=100), 0.1)
     at = scheduler.find_next_time(0.1)
     assert at is not None
@@ -45,39 +47,39 @@
     assert abandoned.failure.retry_after
 
 
-def test_a_short_deadline_is_tried_while_nothing_is_known() -> None:
-    # A host that has just started, or heard nothing for a while, can't know that
-    # a deadline is too short. Refusing by a guess, it would never learn better.
+def test_a_short_deadline_is_tried_without_recent_measurements() -> None:
+    # A host that has just started, or had no answer for a while, does not know how long
+    # answers take. If it refused short deadlines, it would never measure any.
     scheduler = make_scheduler(kind="plain")
     assert scheduler.offer(make_work(1, deadline=0.05, tokens=1), 0.0) is None
     picked = scheduler.pick(0.0)
     assert picked
-    scheduler.note_ended(
+    scheduler.record_attempt_end(
         picked.work.request, picked.server, AttemptOutcome.DONE, 1, 0.4
     )
-    hopeless = make_work(2, arrival=1.0, deadline=1.05, tokens=1)
-    assert scheduler.offer(hopeless, 1.0) is not None
+    too_short = make_work(2, arrival=1.0, deadline=1.05, tokens=1)
+    assert scheduler.offer(too_short, 1.0) is not None
     later = make_work(3, arrival=60.0, deadline=60.05, tokens=1)
     assert scheduler.offer(later, 60.0) is None
     assert scheduler.pick(60.0) is not None
 
 
-def test_a_call_that_may_not_be_repeated_is_tried_again_only_if_it_never_ran() -> None:
-    # A server refuses a letter, the next one breaks off. The first refusal
-    # proves that nothing ran; after the break a second try might make a second
-    # letter, and the caller hears that nobody knows.
+def test_a_non_idempotent_request_is_retried_only_if_it_did_not_run() -> None:
+    # One server refuses the request, the next attempt is lost. The refusal shows that
+    # the request did not run; after the loss, a retry might run it twice, so that it
+    # has to fail with an unknown outcome.
     scheduler = make_scheduler(servers=3)
     scheduler.offer(make_work(1, idempotent=False), 0.0)
     first = scheduler.pick(0.0)
     assert first
-    decision = scheduler.note_ended(
+    decision = scheduler.record_attempt_end(
         first.work.request, first.server, AttemptOutcome.NOT_STARTED, 0, 0.1
     )
     assert decision == Retry(0.0)
     second = scheduler.pick(0.1)
     assert second
     assert second.server != first.server
-    decision = scheduler.note_ended(
+    decision = scheduler.record_attempt_end(
         second.work.request, second.server, AttemptOutcome.LOST, 0, 0.2
     )
     assert isinstance(decision, Abandoned)
@@ -85,21 +87,21 @@
     assert scheduler.pick(0.3) is None
 
 
-def test_moved_work_resumes_with_its_tokens_on_another_server() -> None:
-    # A server is reclaimed with a draft half done. The caller notices nothing:
-    # the draft goes on elsewhere from the tokens kept, and the leaving server
-    # gets nothing more, even when an older host list still calls it live.
+def test_a_moved_request_resumes_with_its_tokens_at_another_server() -> None:
+    # A server is reclaimed while it runs a request. The request has to continue at
+    # another server after the tokens already received, and the leaving server must not
+    # get new work even if a stale server list shows it as live.
     scheduler = make_scheduler(servers=2)
     views = [record.view for record in scheduler._servers.subset]
     work = make_work(1, is_interactive=False, tokens=4000, prompt=600)
     scheduler.offer(work, 0.0)
     first = scheduler.pick(0.0)
     assert first
-    [move] = scheduler.note_leaving(first.server, 5.0, 1.0)
+    [move] = scheduler.handle_server_leaving(first.server, 5.0, 1.0)
     assert move.request == work.request
     assert 1.0 <= move.at < 4.0
     assert move.export_cache
-    retry = scheduler.note_ended(
+    retry = scheduler.record_attempt_end(
         work.request, first.server, AttemptOutcome.LEAVING, 70, move.at
     )
     assert isinstance(retry, Retry)
@@ -110,13 +112,13 @@
     assert second.work.tokens_done == 70
 
 
-def test_a_profile_out_of_money_refuses_until_the_hour_has_drained() -> None:
+def test_a_reached_hourly_cost_limit_refuses_requests() -> None:
     profile = make_profile(limits=CostLimits(per_hour=0.001))
     scheduler = make_scheduler(profile=profile)
     scheduler.offer(make_work(1), 0.0)
     picked = scheduler.pick(0.0)
     assert picked
-    scheduler.note_ended(
+    scheduler.record_attempt_end(
         picked.work.request, picked.server, AttemptOutcome.DONE, 10, 20.0
     )
     refusal = scheduler.offer(make_work(2, arrival=20.0, deadline=30.0), 20.0)
@@ -125,9 +127,9 @@
     assert refusal.retry_after
 
 
-def test_policies_are_swapped_under_work() -> None:
-    # An operator moves a service to another profile on live traffic; requests
-    # that wait or run are not lost by it.
+def test_a_change_of_policies_loses_no_requests() -> None:
+    # An operator changes the profile of a service under live traffic; queued and
+    # running requests must not be lost.
     scheduler = make_scheduler()
     service = scheduler._service
     for number in range(8):
@@ -137,7 +139,7 @@
     scheduler.set_profile(service, make_profile("random", "fifo", "restart"), 0.1)
     for picked in running:
         assert picked
-        scheduler.note_ended(
+        scheduler.record_attempt_end(
             picked.work.request, picked.server, AttemptOutcome.DONE, 10, 0.2
         )
     scheduler.set_profile(service, make_profile("balanced"), 0.3)
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -8,14 +8,14 @@
 from dataclasses import replace
 
 from dewridge.ids import BackendServerId, FailureDomain
-from dewridge.policy.capacity import USUAL_PACE, ReadingPace
+from dewridge.policy.capacity import DEFAULT_PREFILL_RATE, PrefillRateMeter
 from dewridge.policy.choice import (
-    NEAR_TOKENS,
+    EQUAL_LOAD_TOKENS,
     Candidate,
     Placement,
-    choose_fewest,
+    choose_fewest_requests,
     choose_least_loaded,
-    list_homes,
+    list_cache_holders,
     place_prompt,
 )
 from dewridge.policy.demand import DemandMeter
@@ -88,7 +88,7 @@
     for number in range(180):
         placement = place_at(make_candidates(unread), "dossier", seed=number)
         unread[int(placement.server.removeprefix("s-"))] += placement.tokens
-    assert max(unread) <= 2 * min(unread) + 2 * 6_000 + 9_000 + NEAR_TOKENS
+    assert max(unread) <= 2 * min(unread) + 2 * 6_000 + 9_000 + EQUAL_LOAD_TOKENS
 
 
 def test_a_short_prompt_does_not_wait_for_its_cached_prefix() -> None:
@@ -113,7 +113,7 @@
     """Place at the cache holder, unless it has 1.3 times the mean plus 3 requests."""
     bound = 1.3 * sum(server.requests for server in candidates) / len(candidates) + 3
     with_room = [server for server in candidates if server.requests <= bound]
-    return Placement(list_homes(with_room, prefix)[0].id, 0)
+    return Placement(list_cache_holders(with_room, prefix)[0].id, 0)
 
 
 def place_soonest(candidates: list[Candidate], prefix: str, shared: int) -> Placement:
@@ -377,7 +377,7 @@
         for part in range(10):
             meter.add(rate / 10, second + part / 10)
         now = second + 1.0
-        needed = count_needed_servers(Load(meter.find_rate(now)))
+        needed = count_needed_servers(Load(meter.find_peak_rate(now)))
         totals.append(count_reclaimable_servers(needed, totals[-1] if totals else 0, 4))
     return totals
 
@@ -418,19 +418,19 @@
     The engines of one service may read three times as fast as those of another. Planned
     with one pace, the first pays for idle servers, or callers of the second wait.
     """
-    fast, slow = ReadingPace(), ReadingPace()
+    fast, slow = PrefillRateMeter(), PrefillRateMeter()
     rng = random.Random(2)
     for _ in range(200):
         tokens = rng.randrange(200, 9_000)
         waited = rng.random() < 0.05
-        fast.add(tokens, tokens / 60_000 + waited)
-        slow.add(tokens, tokens / 20_000 + waited)
+        fast.add_sample(tokens, tokens / 60_000 + waited)
+        slow.add_sample(tokens, tokens / 20_000 + waited)
     needed = [
-        count_needed_servers(Load(100_000.0, pace.find())) for pace in (fast, slow)
+        count_needed_servers(Load(100_000.0, pace.estimate())) for pace in (fast, slow)
     ]
     assert needed[0] == 4
     assert 8 <= needed[1] <= 12
-    assert ReadingPace().find() == USUAL_PACE
+    assert PrefillRateMeter().estimate() == DEFAULT_PREFILL_RATE
 
 
 def test_a_few_answers_do_not_move_the_plan() -> None:
@@ -438,11 +438,11 @@
 
     A new duty holder has seen only these; callers would wait until servers are back.
     """
-    pace = ReadingPace()
+    pace = PrefillRateMeter()
     for _ in range(2):
-        pace.add(9_000, 0.02)
-        pace.add(9_000, 0.05)
-    assert pace.find() < 1.2 * USUAL_PACE
+        pace.add_sample(9_000, 0.02)
+        pace.add_sample(9_000, 0.05)
+    assert pace.estimate() < 1.2 * DEFAULT_PREFILL_RATE
 
 
 def test_long_answers_need_servers_for_their_slots() -> None:
@@ -450,7 +450,12 @@
 
     One server could read the prompts, but most requests would wait for a slot.
     """
-    assert count_needed_servers(Load(1_000.0, USUAL_PACE, in_flight=96, slots=32)) == 5
+    assert (
+        count_needed_servers(
+            Load(1_000.0, DEFAULT_PREFILL_RATE, in_flight=96, slots=32)
+        )
+        == 5
+    )
 
 
 def test_the_plan_does_not_follow_each_wave_of_the_load() -> None:
@@ -472,7 +477,7 @@
     stand for it, or else the servers that operators started.
     """
     quota_rate = 3_000_000.0
-    expected = math.ceil(0.33 * quota_rate / (USUAL_PACE * TARGET_LOAD))
+    expected = math.ceil(0.33 * quota_rate / (DEFAULT_PREFILL_RATE * TARGET_LOAD))
     assert estimate_initial_need(20, quota_rate, 0.0, None) == expected
     assert estimate_initial_need(20, quota_rate, 5.0, None) == expected
     assert estimate_initial_need(20, 0.0, 5.0, None) == 16
@@ -555,13 +560,16 @@
     live, dead = make_candidates([0.0, 0.0])
     dead = replace(dead, is_usable=False)
     rng = random.Random(1)
-    assert choose_fewest([live, dead], {live.id}, rng) == live
-    assert choose_fewest([dead], {live.id}, rng) == dead
-    assert choose_fewest([], set(), rng) is None
+    assert choose_fewest_requests([live, dead], {live.id}, rng) == live
+    assert choose_fewest_requests([dead], {live.id}, rng) == dead
+    assert choose_fewest_requests([], set(), rng) is None
 
 
 def test_suspects_are_separated_where_the_fewest_others_run() -> None:
     busy, idle, avoided = make_candidates([0.0, 0.0, 0.0])
     busy = replace(busy, requests=5)
     idle = replace(idle, requests=2)
-    assert choose_fewest([busy, idle, avoided], {avoided.id}, random.Random(1)) == idle
+    assert (
+        choose_fewest_requests([busy, idle, avoided], {avoided.id}, random.Random(1))
+        == idle
+    )
