--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -19,7 +19,7 @@
 from dewridge.gateway.rollouts import AttemptResult, classify_attempt
 from dewridge.gateway.state import SERVER_SECONDS, GatewayState
 from dewridge.gateway.streams import RunningStream
-from dewridge.gateway.suspects import check_set_aside, note_answered
+from dewridge.gateway.suspects import check_quarantine, note_answered
 from dewridge.gateway.weighing import Choice, choose_server, choose_target, is_shed
 from dewridge.http1.client import ConnectionBrokenError, Headers
 from dewridge.http1.headers import drop_hop_headers
@@ -55,7 +55,7 @@
                 return self._give_back(job, ResultCode.QUEUE_FULL, "shed: overloaded")
         self._state.find_budget(job.service).note_first(trio.current_time())
         while True:
-            set_aside = check_set_aside(self._state, job)
+            set_aside = check_quarantine(self._state, job)
             if set_aside is not None:
                 return self._hand_back(job, set_aside)
             step, job.next_step = job.next_step, None
@@ -161,8 +161,8 @@
         if not job.route.is_repeatable or not self._has_attempts_left(job):
             return float("inf")
         if job.route.kind is RouteKind.STREAM:
-            return max(STREAM_SILENCE, SILENCE_TARGETS * job.route.target)
-        return max(LEAST_SILENCE, SILENCE_TARGETS * job.route.target)
+            return max(STREAM_SILENCE, SILENCE_TARGETS * job.route.latency_target)
+        return max(LEAST_SILENCE, SILENCE_TARGETS * job.route.latency_target)
 
     def _has_attempts_left(self, job: Job) -> bool:
         return job.runs < job.route.attempts_limit
@@ -214,11 +214,11 @@
                 return Lost(Loss.MOVED, job.next_step.server.id)
             return Lost(Loss.CUT_OFF, str(error))
         finally:
-            self._state.streams.close(server.id, stream)
+            self._state.streams.unregister(server.id, stream)
             answer.close()
         job.next_step = None
         self._state.find_health(server.id).note_success(trio.current_time())
-        if splitter.rest:
+        if splitter.remainder:
             return Lost(Loss.CUT_OFF, "ended within an event")
         if not out.has_begun:
             await out.begin(200, clean_answer_headers(answer.head.headers))
@@ -227,7 +227,7 @@
         return None
 
     def _open_stream(self, server: ServerRecord) -> RunningStream:
-        stream = self._state.streams.open(server.id)
+        stream = self._state.streams.register(server.id)
         leaving = self._state.servers.find_leaving(server.id)
         if leaving is not None:
             stream.note_leaving(leaving.gone_at)
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -25,7 +25,7 @@
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
 from dewridge.gateway.ingress import IngressState, Serve, handle_caller
 from dewridge.gateway.leaving import leave
-from dewridge.gateway.measures import count_store_call, time_dependency
+from dewridge.gateway.measures import count_store_call, observe_dependency_call
 from dewridge.gateway.model import Limits
 from dewridge.gateway.operations import Operations
 from dewridge.gateway.pool import ConnectionPool
@@ -38,8 +38,8 @@
 from dewridge.gateway.sharing import Sharing
 from dewridge.gateway.sharinglink import Audience, SharingLink
 from dewridge.gateway.state import GatewayState
-from dewridge.gateway.suspectkeeping import SuspectKeeper
-from dewridge.gateway.suspects import make_news_list, make_urgent_list
+from dewridge.gateway.suspectkeeping import SuspectPersistence
+from dewridge.gateway.suspects import make_update_lister, make_urgent_lister
 from dewridge.gateway.upkeep import keep_up
 from dewridge.gateway.usage import UsageDuty
 from dewridge.gateway.usagetelling import UsageTeller
@@ -84,7 +84,7 @@
         self._settings = settings
         services = settings.services
         metrics = Metrics()
-        note_answer = partial(time_dependency, metrics)
+        note_answer = partial(observe_dependency_call, metrics)
         store = Caller("store", services.store, services.store_timeout, note_answer)
         watches = Caller("store watches", services.store, services.store_timeout)
         cloud = Caller("cloud", services.cloud, services.cloud_timeout, note_answer)
@@ -114,7 +114,7 @@
             self._state.sharing.note_holder,
         )
         self._state.describe_duties = self._tenancy.describe
-        self._keeper = SuspectKeeper(
+        self._keeper = SuspectPersistence(
             self._state,
             self._store,
             lambda: self._tenancy.find_tenure() is not None,
@@ -146,7 +146,7 @@
             self._state.note_restored,
             self._registration.note_restored,
             self._tenancy.note_restored,
-            self._keeper.note_restored,
+            self._keeper.handle_restore,
         ]
         self._listeners: list[tuple[trio.SocketListener, Serve]] = []
 
@@ -252,12 +252,14 @@
         state.servers.on_left = partial(note_left, state, self._link)
         state.sharing.on_news = partial(take_news, state, watcher, self._link)
         self._link.on_left = partial(take_left, state, self._link)
-        self._link.list_left = lambda: state.servers.list_just_left(trio.current_time())
+        self._link.list_left = lambda: state.servers.list_recently_left(
+            trio.current_time()
+        )
         self._link.on_suspects = partial(take_suspect_report, state, self._link)
-        self._link.list_suspects = make_urgent_list(state)
-        state.list_suspects = make_news_list(state)
+        self._link.list_suspects = make_urgent_lister(state)
+        state.list_suspects = make_update_lister(state)
         state.on_suspects = partial(self._link.tell_now, Audience.ALL)
-        state.hosts.on_item = fan_out(self._keeper.take, rollouts.take)
+        state.hosts.on_item = fan_out(self._keeper.apply_item, rollouts.take)
         hosts = HostWatcher(
             self._store,
             self._watch_store,
--- a/dewridge/gateway/departures.py
+++ b/dewridge/gateway/departures.py
@@ -12,7 +12,7 @@
 )
 from dewridge.gateway.sharinglink import Audience, SharingLink
 from dewridge.gateway.state import GatewayState
-from dewridge.gateway.suspects import decode_suspect, take_suspects
+from dewridge.gateway.suspects import decode_suspect, merge_suspects
 from dewridge.gateway.watching import StoreWatcher
 from dewridge.ids import BackendServerId, HostId
 
@@ -51,7 +51,7 @@
     if not suspects:
         return False
     now = trio.current_time()
-    return take_suspects(state, [decode_suspect(one, now) for one in suspects])
+    return merge_suspects(state, [decode_suspect(one, now) for one in suspects])
 
 
 def drop_told(
@@ -61,7 +61,7 @@
     before = state.servers.version
     now = trio.current_time()
     for server, leaves_in in left.items():
-        state.servers.drop(server, now, f"{teller} told", leaves_in, is_told=True)
+        state.servers.drop(server, now, f"{teller} told", leaves_in, is_reported=True)
     return state.servers.version != before
 
 
@@ -78,6 +78,6 @@
     another cell its own cell, and who learned it there nobody: a hundred messages at 85
     hosts. With a round from each of them it was fifteen times as many.
     """
-    state.streams.note_leaving(record.id, gone_at)
+    state.streams.schedule_moves(record.id, gone_at)
     if not is_told:
         link.tell_now(Audience.ALL)
--- a/dewridge/gateway/events.py
+++ b/dewridge/gateway/events.py
@@ -31,7 +31,7 @@
         return [StreamEvent(raw + END, find_event_id(raw)) for raw in complete]
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes of an event that is not complete."""
         return self._rest
 
--- a/dewridge/gateway/forwarding.py
+++ b/dewridge/gateway/forwarding.py
@@ -76,7 +76,7 @@
         if connection is None:
             return
         if connection.finish_exchange(trio.current_time()):
-            self._pool.put_back(self._server, connection)
+            self._pool.release(self._server, connection)
         else:
             connection.close()
 
@@ -98,7 +98,7 @@
         pool: connections to servers.
         must_arrive: whether the request can't be sent again if it is lost.
     """
-    connection = pool.take(server, must_arrive=must_arrive)
+    connection = pool.acquire_idle(server, must_arrive=must_arrive)
     is_reused = connection is not None
     if connection is None:
         connection = await pool.open(server)
@@ -114,7 +114,7 @@
         return OpenAnswer(head, connection, server, pool)
     except ConnectionBrokenError as error:
         if is_reused:
-            pool.note_broken(server)
+            pool.handle_broken(server)
         loss = Loss.MALFORMED if error.is_framing_fault else Loss.CUT_OFF
         return Lost(loss, str(error))
     finally:
--- a/dewridge/gateway/logs.py
+++ b/dewridge/gateway/logs.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-BACKLOG_BYTES = 262_144
+MAX_BACKLOG_BYTES = 262_144
 """Bytes kept while standard output takes nothing: some seconds of lines under load."""
 ORDINARY_RATE = 200.0
 """Ordinary lines a second in the long run; a line costs about 60 us of processor time,
@@ -78,7 +78,7 @@
         self._push(msgspec.json.encode(line, enc_hook=str) + b"\n")
 
     def _push(self, line: bytes) -> None:
-        if len(self._backlog) + len(line) > BACKLOG_BYTES:
+        if len(self._backlog) + len(line) > MAX_BACKLOG_BYTES:
             self._left_out += 1
             return
         self._left_out = 0
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -40,12 +40,12 @@
     return f"{out.status // 100}xx"
 
 
-def count_first_event(state: GatewayState, job: Job, seconds: float) -> None:
+def observe_first_event(state: GatewayState, job: Job, seconds: float) -> None:
     """Time a stream's first event."""
     state.metrics.observe("first_event_seconds", seconds, kind=job.route.kind.value)
 
 
-def time_dependency(metrics: Metrics, name: str, seconds: float) -> None:
+def observe_dependency_call(metrics: Metrics, name: str, seconds: float) -> None:
     """Time an answered call of the store or the cloud API."""
     metrics.observe("dependency_seconds", seconds, dependency=name)
 
@@ -55,7 +55,7 @@
     metrics.add("store_calls", kind=kind, keys=keys)
 
 
-def update_levels(state: GatewayState) -> None:
+def update_gauges(state: GatewayState) -> None:
     """Set the levels that are only looked at when somebody asks."""
     metrics = state.metrics
     metrics.set_gauge("configuration_version", state.configuration.version)
--- a/dewridge/gateway/model.py
+++ b/dewridge/gateway/model.py
@@ -48,7 +48,7 @@
         path_prefix: begins and ends with a slash.
         kind: what may be repeated.
         timeout: seconds that a caller is kept waiting at the longest.
-        target: seconds within which an answer, or its first event, is on time.
+        latency_target: seconds within which an answer, or its first event, is on time.
         gap_target: longest seconds between two events of an answer on time.
         attempts_limit: backend servers that may run one request.
         priority: 0 is the most urgent.
@@ -63,7 +63,7 @@
     path_prefix: str
     kind: RouteKind
     timeout: float
-    target: float
+    latency_target: float
     gap_target: float
     attempts_limit: int
     priority: int
@@ -85,16 +85,16 @@
     """How many backend servers a service may have in each failure domain.
 
     Attributes:
-        least: servers in a failure domain at least, of both kinds together.
-        most: servers in a failure domain at most, of both kinds together.
+        min_servers: servers in a failure domain at least, of both kinds together.
+        max_servers: servers in a failure domain at most, of both kinds together.
         boot_time: seconds from the order until a server serves.
         reclaimable_price: price of a reclaimable server as part of another's.
         prices: price of a server's second by failure domain; its keys name the
             failure domains in which the service may run.
     """
 
-    least: int
-    most: int
+    min_servers: int
+    max_servers: int
     boot_time: float
     reclaimable_price: float
     prices: Mapping[FailureDomain, float]
@@ -187,7 +187,8 @@
         is_reclaimable: whether it may be taken away on short notice.
         leaves_in: seconds until it is taken away, as of the record; None if unknown.
         is_cold: whether it is still slow after its start.
-        born: when this start was, in milliseconds since 1970; 0 if it does not tell.
+        started_at_ms: when this process started, in milliseconds since 1970; 0 if the
+            record does not say.
         version: of its software; empty if the record has none.
     """
 
@@ -201,7 +202,7 @@
     is_reclaimable: bool = False
     leaves_in: float | None = None
     is_cold: bool = False
-    born: int = 0
+    started_at_ms: int = 0
     version: ServerVersion = ServerVersion("")
 
 
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -7,13 +7,13 @@
 
 from dewridge.codes import ResultCode
 from dewridge.gateway.ingress import send_failure
-from dewridge.gateway.measures import update_levels
+from dewridge.gateway.measures import update_gauges
 from dewridge.gateway.model import CallerRequest
 from dewridge.gateway.reports import RolloutProgress
 from dewridge.gateway.responder import Responder
 from dewridge.gateway.rollouts import describe_evidence, find_elapsed
 from dewridge.gateway.state import GatewayState
-from dewridge.gateway.suspects import clear
+from dewridge.gateway.suspects import clear_suspect
 from dewridge.ids import RequestDigest
 from dewridge.policy.suspects import Suspect
 from dewridge.sentinels import Failure
@@ -45,7 +45,7 @@
 
     async def _let_through(self, request: CallerRequest, out: Responder) -> None:
         digest = RequestDigest(request.path.removeprefix(LET_THROUGH_PATH))
-        if clear(self._state, digest, "operator"):
+        if clear_suspect(self._state, digest, "operator"):
             await out.send_whole(200, [], b"")
             return
         failure = Failure(ResultCode.UNKNOWN_REQUEST, "no such suspect")
@@ -55,7 +55,7 @@
         # The library takes 12 MB: loaded in the processes that are asked only.
         from dewridge.metrics.exposition import CONTENT_TYPE, expose  # noqa: PLC0415
 
-        update_levels(self._state)
+        update_gauges(self._state)
         headers = [(b"content-type", CONTENT_TYPE.encode())]
         await out.send_whole(200, headers, expose(self._state.metrics))
 
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -37,7 +37,7 @@
         self.opened = 0
         self.reused = 0
 
-    def take(
+    def acquire_idle(
         self, server: ServerRecord, *, must_arrive: bool
     ) -> ClientConnection | None:
         """Return a connection that is open and quiet; None if there is none.
@@ -65,19 +65,19 @@
         connection = await open_connection(server.address, CONNECT_TIMEOUT)
         return None if isinstance(connection, NotConnected) else connection
 
-    async def look(self, server: ServerRecord) -> Reach:
+    async def probe(self, server: ServerRecord) -> Reach:
         """Return whether a server accepts connections."""
         self.opened += 1
         return await look(server.address)
 
-    def put_back(self, server: ServerRecord, connection: ClientConnection) -> None:
+    def release(self, server: ServerRecord, connection: ClientConnection) -> None:
         """Keep a connection that ended an exchange cleanly."""
         idle = self._idle[server.id]
         idle.append(Kept(connection, server.service))
         while len(idle) > MOST_IDLE:
             idle.popleft().connection.close()
 
-    def note_broken(self, server: ServerRecord) -> None:
+    def handle_broken(self, server: ServerRecord) -> None:
         """Drop what is kept for a server that left a request on such a one unanswered.
 
         A path that went silent, or a server that is gone without a word, shows only so;
@@ -87,7 +87,7 @@
         for kept in self._idle.pop(server.id, ()):
             kept.connection.close()
 
-    def drop_old(self) -> None:
+    def close_expired(self) -> None:
         """Close the connections that are too old, and learn from those still open."""
         now = trio.current_time()
         for server, idle in list(self._idle.items()):
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -104,7 +104,7 @@
 
     async def _order_service(self, service: Service, scaling: Scaling) -> None:
         domains = {
-            domain: DomainBounds(scaling.least, scaling.most, price)
+            domain: DomainBounds(scaling.min_servers, scaling.max_servers, price)
             for domain, price in scaling.prices.items()
         }
         serving = {
--- a/dewridge/gateway/servers.py
+++ b/dewridge/gateway/servers.py
@@ -13,7 +13,7 @@
     ServiceName,
 )
 
-RETURN_TIME = 2.2
+REREGISTRATION_TIME = 2.2
 """Seconds after an outage of the store during which a missing record may come back:
 the two that servers need to write it again, and one call's slack."""
 TOLD_FOR = 4.0
@@ -70,11 +70,11 @@
         self._doubt_until = float("-inf")
         self.version = 0
 
-    def note_outage(self, now: float) -> None:
+    def record_outage(self, now: float) -> None:
         """Note that the store could not be read: records may lapse meanwhile."""
-        self._doubt_until = now + RETURN_TIME
+        self._doubt_until = now + REREGISTRATION_TIME
 
-    def replace(self, records: Iterable[ServerRecord], now: float) -> None:
+    def apply_full_list(self, records: Iterable[ServerRecord], now: float) -> None:
         """Take over a whole list.
 
         Records lapse while the store is away although their servers live. For the
@@ -90,7 +90,7 @@
         for server in [known for known in self._records if known not in listed]:
             self.drop(server, now, "its record is gone")
 
-    def add(self, records: Iterable[ServerRecord], now: float) -> bool:
+    def merge_stale_list(self, records: Iterable[ServerRecord], now: float) -> bool:
         """Take over a list that may be seconds old; returns whether it leaves a doubt.
 
         A server that is missing there may have started since, or its record may have
@@ -137,7 +137,7 @@
     def _is_newest_start(self, record: ServerRecord, now: float) -> bool:
         """Whether no later start has the name; ends the earlier start if this has."""
         known = self._newest.get(record.name)
-        if known is not None and record.born < known.born:
+        if known is not None and record.started_at_ms < known.started_at_ms:
             return False
         self._newest[record.name] = record
         if known is not None and known.id != record.id:
@@ -151,7 +151,7 @@
         reason: str,
         leaves_in: float | None = None,
         *,
-        is_told: bool = False,
+        is_reported: bool = False,
     ) -> None:
         """Send nothing more to a start of a server, whatever is read later.
 
@@ -160,7 +160,7 @@
             now: steady time.
             reason: for the log.
             leaves_in: seconds until it stops serving; None if unknown.
-            is_told: whether another host told this one.
+            is_reported: whether another host told this one.
         """
         if server in self._left:
             return
@@ -173,7 +173,7 @@
                 "server left"
             )
             self.version += 1
-            self.on_left(record, leaving.gone_at, is_told)
+            self.on_left(record, leaving.gone_at, is_reported)
         if len(self._left) > 1000:
             self._forget(now)
 
@@ -181,7 +181,7 @@
         """Return when a start that left is gone; None if it did not leave."""
         return self._left.get(server)
 
-    def list_just_left(self, now: float) -> dict[BackendServerId, float]:
+    def list_recently_left(self, now: float) -> dict[BackendServerId, float]:
         """Return the starts that left lately, to tell other hosts.
 
         Returns:
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -9,7 +9,7 @@
 from dewridge.gateway.attempts import JobRunner
 from dewridge.gateway.ingress import send_failure
 from dewridge.gateway.jobs import Job
-from dewridge.gateway.measures import count_first_event, count_request
+from dewridge.gateway.measures import count_request, observe_first_event
 from dewridge.gateway.model import (
     Account,
     CallerRequest,
@@ -19,7 +19,7 @@
 )
 from dewridge.gateway.responder import CallerGoneError, Responder
 from dewridge.gateway.state import GatewayState
-from dewridge.gateway.suspects import check_set_aside, describe_suspect
+from dewridge.gateway.suspects import check_quarantine, describe_suspect
 from dewridge.ids import ServiceName
 from dewridge.policy.quota import set_quota
 from dewridge.sentinels import Failure
@@ -95,7 +95,7 @@
         return late or Judged(configuration, route, account)
 
     def _admit(self, job: Job) -> Failure | None:
-        set_aside = check_set_aside(self._state, job)
+        set_aside = check_quarantine(self._state, job)
         return set_aside or self._check_quota(job.request, job.account)
 
     def _check_leaving(self, request: CallerRequest, route: Route) -> Failure | None:
@@ -197,7 +197,7 @@
         now = trio.current_time()
         count_request(self._state, job, out, failure, now - began)
         if job is not None and job.first_event_at is not None:
-            count_first_event(self._state, job, job.first_event_at - began)
+            observe_first_event(self._state, job, job.first_event_at - began)
         stream = describe_stream(job, began, now) if job else {}
         log.bind(
             id=request.id,
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -156,7 +156,7 @@
         """Note that the store was restored from a copy and may lack recent writes."""
         self.metrics.add("store_restores")
         self.configuration.note_restored()
-        self.servers.note_outage(trio.current_time())
+        self.servers.record_outage(trio.current_time())
         self.hosts.note_restored()
         self.rollouts.note_restored()
 
@@ -218,7 +218,7 @@
             totals=self._make_totals(now),
             began=self.list_began(windows),
             version=self.configuration.version,
-            left=self.servers.list_just_left(now),
+            left=self.servers.list_recently_left(now),
             confirmed_age=self.configuration.age,
             heard=self.sharing.list_heard_numbers(),
             holder=self.sharing.holder,
@@ -293,4 +293,4 @@
         self.seen_ending = {
             digest for digest in self.seen_ending if self.suspects.find(digest)
         }
-        self.pool.drop_old()
+        self.pool.close_expired()
--- a/dewridge/gateway/streams.py
+++ b/dewridge/gateway/streams.py
@@ -7,7 +7,7 @@
 
 from dewridge.ids import BackendServerId
 
-MOVE_LEAD = 0.5
+MOVE_LEAD_TIME = 0.5
 """Seconds before a server goes at which its streams are moved: two calls, and the
 memory of all streams of one server over its link one after the other (about 7 ms each
 between failure domains). Sooner, streams would be moved that end by themselves."""
@@ -29,7 +29,7 @@
     def note_leaving(self, gone_at: float) -> None:
         """Plan the move, and let the task that waits wake for it."""
         self.gone_at = gone_at
-        self.moves_at = gone_at - MOVE_LEAD
+        self.moves_at = gone_at - MOVE_LEAD_TIME
         if self.scope is not None:
             self.scope.deadline = min(self.scope.deadline, self.moves_at)
 
@@ -55,20 +55,20 @@
         default_factory=lambda: defaultdict(list)
     )
 
-    def open(self, server: BackendServerId) -> RunningStream:
+    def register(self, server: BackendServerId) -> RunningStream:
         """Register a stream; its owner must `close` it."""
         stream = RunningStream()
         self._by_server[server].append(stream)
         return stream
 
-    def close(self, server: BackendServerId, stream: RunningStream) -> None:
+    def unregister(self, server: BackendServerId, stream: RunningStream) -> None:
         """Forget a stream that ended."""
         streams = self._by_server[server]
         streams.remove(stream)
         if not streams:
             del self._by_server[server]
 
-    def note_leaving(self, server: BackendServerId, gone_at: float) -> None:
+    def schedule_moves(self, server: BackendServerId, gone_at: float) -> None:
         """Plan to move what runs on a server that leaves."""
         for stream in self._by_server.get(server, ()):
             stream.note_leaving(gone_at)
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -14,7 +14,7 @@
 
 from dewridge.gateway.hosts import PREFIX
 from dewridge.gateway.state import GatewayState
-from dewridge.gateway.suspects import take_suspects
+from dewridge.gateway.suspects import merge_suspects
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest, ServiceName
 from dewridge.platform.store import Item, Store, Write
 from dewridge.policy.suspects import End, Suspect
@@ -51,7 +51,7 @@
     cleared: list[BackendServerId] = []
 
 
-class SuspectKeeper:
+class SuspectPersistence:
     """Writes what this host set aside, or as holder of the duties what all did."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self._written: set[RequestDigest] = set()
         self._dropped: set[str] = set()
 
-    def take(self, item: Item) -> None:
+    def apply_item(self, item: Item) -> None:
         """Take over a copy from the store."""
         if not item.key.startswith(SUSPECTS_PREFIX):
             return
@@ -72,9 +72,9 @@
         except msgspec.DecodeError as error:
             log.bind(key=item.key, reason=str(error)).error("suspect can't be read")
             return
-        take_suspects(self._state, [decode_kept(kept)])
+        merge_suspects(self._state, [decode_kept(kept)])
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Write all copies again; the restored store may lack them."""
         self._written.clear()
         self._dropped.clear()
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -26,7 +26,7 @@
 hosts that were away; the rest follows by turns."""
 
 
-def check_set_aside(state: GatewayState, job: Job) -> Failure | None:
+def check_quarantine(state: GatewayState, job: Job) -> Failure | None:
     """Refuse a request under which servers ended, before each of its sendings.
 
     Made for a request that ends each server that begins to run it and comes again at
@@ -59,7 +59,7 @@
     )
     state.metrics.add("servers_ended_under_requests_total", service=job.service)
     state.seen_ending.add(job.digest)
-    is_new = take_suspects(state, [suspect])
+    is_new = merge_suspects(state, [suspect])
     log.bind(
         id=job.request.id,
         digest=job.digest,
@@ -75,10 +75,10 @@
 def note_answered(state: GatewayState, job: Job) -> None:
     """Note that a server answered a request in full: it does not end servers."""
     if not state.suspects.is_empty:
-        clear(state, job.digest, "answered")
+        clear_suspect(state, job.digest, "answered")
 
 
-def clear(state: GatewayState, digest: RequestDigest, reason: str) -> bool:
+def clear_suspect(state: GatewayState, digest: RequestDigest, reason: str) -> bool:
     """Let a request through again, on all hosts; returns whether it was suspected."""
     if not state.suspects.clear(digest, trio.current_time()):
         return False
@@ -87,7 +87,7 @@
     return True
 
 
-def take_suspects(state: GatewayState, suspects: Iterable[Suspect]) -> bool:
+def merge_suspects(state: GatewayState, suspects: Iterable[Suspect]) -> bool:
     """Take over what was seen or told; returns whether any of it was new."""
     now = trio.current_time()
     is_new = False
@@ -114,7 +114,7 @@
     ).warning("request set aside")
 
 
-def make_urgent_list(state: GatewayState) -> Callable[[], list[SuspectNews]]:
+def make_urgent_lister(state: GatewayState) -> Callable[[], list[SuspectNews]]:
     """Return what lists the news that was not yet told at once."""
     told_until = float("-inf")
 
@@ -128,7 +128,7 @@
     return list_urgent
 
 
-def make_news_list(state: GatewayState) -> Callable[[int], list[SuspectNews]]:
+def make_update_lister(state: GatewayState) -> Callable[[int], list[SuspectNews]]:
     """Return what lists the news of a report: what is new, and what is set aside.
 
     Both by turns: another part of a long list begins each report.
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -270,7 +270,7 @@
         while True:
             listing = await self._store.list_items(SERVERS_PREFIX, may_lag=may_lag)
             if isinstance(listing, Failure):
-                self._servers.note_outage(trio.current_time())
+                self._servers.record_outage(trio.current_time())
                 await self._pause(pause)
                 pause = min(LAST_RETRY, pause * 2)
                 continue
@@ -292,8 +292,8 @@
         records = [record for record in decoded if record is not None]
         now = trio.current_time()
         if may_lag:
-            return self._servers.add(records, now)
-        self._servers.replace(records, now)
+            return self._servers.merge_stale_list(records, now)
+        self._servers.apply_full_list(records, now)
         return False
 
     def _decode_server(self, item: Item) -> ServerRecord | None:
--- a/dewridge/platform/configuration.py
+++ b/dewridge/platform/configuration.py
@@ -139,7 +139,7 @@
         path_prefix=route.path_prefix,
         kind=KINDS[route.route_type],
         timeout=route.timeout_ms / 1000,
-        target=route.target_latency_ms / 1000,
+        latency_target=route.target_latency_ms / 1000,
         gap_target=route.gap_target_ms / 1000,
         attempts_limit=max(1, route.max_attempts),
         priority=route.priority,
@@ -167,8 +167,8 @@
 
 def _read_scaling(scaling: _Scaling) -> Scaling:
     return Scaling(
-        least=scaling.min,
-        most=scaling.max,
+        min_servers=scaling.min,
+        max_servers=scaling.max,
         boot_time=scaling.boot_time_s,
         reclaimable_price=scaling.spot_price,
         prices={FailureDomain(z): price for z, price in scaling.zone_prices.items()},
--- a/dewridge/platform/servers.py
+++ b/dewridge/platform/servers.py
@@ -65,7 +65,7 @@
         is_reclaimable=record.spot,
         leaves_in=None if leaves_ms is None else max(0.0, leaves_ms / 1000),
         is_cold=record.cold_remaining_ms > 0,
-        born=record.born or 0,
+        started_at_ms=record.born or 0,
         version=ServerVersion(record.version),
     )
 
--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -241,7 +241,7 @@
         world.state.servers.update(moved, trio.current_time())
         answer = await world.ask("/write/a", method="POST", body=bytes(3_000_000))
         assert answer.status == 413
-        assert world.state.pool.take(moved, must_arrive=False) is None
+        assert world.state.pool.acquire_idle(moved, must_arrive=False) is None
 
 
 async def test_a_caller_that_leaves_stops_its_request() -> None:
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -13,13 +13,13 @@
 from dewridge.gateway.losses import LossNotes
 from dewridge.gateway.model import AttemptKey, CallerRequest, ServerRecord, Sizes
 from dewridge.gateway.reports import SuspectNews
-from dewridge.gateway.suspectkeeping import SUSPECTS_PREFIX, SuspectKeeper
+from dewridge.gateway.suspectkeeping import SUSPECTS_PREFIX, SuspectPersistence
 from dewridge.gateway.suspects import (
-    clear,
+    clear_suspect,
     decode_suspect,
     encode_suspect,
-    make_news_list,
-    take_suspects,
+    make_update_lister,
+    merge_suspects,
 )
 from dewridge.ids import BackendServerId, RequestDigest
 from dewridge.platform.store import Listing
@@ -248,7 +248,7 @@
         }
         digest = RequestDigest(f"{number:016x}")
         state.suspects.merge(Suspect(digest, ACCOUNT, ENGINE, ends), now)
-    list_news = make_news_list(state)
+    list_news = make_update_lister(state)
     turns = [list_news(turn) for turn in range(MOST_SUSPECTS)]
     assert max(len(msgspec.msgpack.encode(news)) for news in turns) < 1_500
     assert len({one.digest for news in turns for one in news}) == MOST_SUSPECTS
@@ -264,13 +264,13 @@
     store = MemoryStore(data)
     store.is_down = is_down_first
     async with trio.open_nursery() as nursery:
-        keeper = SuspectKeeper(before, store, lambda: False)
+        keeper = SuspectPersistence(before, store, lambda: False)
         nursery.start_soon(keeper.run)
         for number in range(3):
             at = trio.current_time()
             server = BackendServerId(f"s-{number}")
             before.seen_ending.add(DIGEST)
-            take_suspects(
+            merge_suspects(
                 before, [Suspect(DIGEST, ACCOUNT, ENGINE, {server: End(at, at - 0.1)})]
             )
             await trio.sleep(1.0)
@@ -278,7 +278,9 @@
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
     after = make_state(make_configuration())
-    after.hosts.on_item = SuspectKeeper(after, MemoryStore(data), lambda: False).take
+    after.hosts.on_item = SuspectPersistence(
+        after, MemoryStore(data), lambda: False
+    ).apply_item
     listing = await MemoryStore(data).list_items(PREFIX)
     assert isinstance(listing, Listing)
     after.hosts.replace(listing)
@@ -301,8 +303,8 @@
     """Guards against knowledge lost with the one host that saw the last end."""
     data = StoreData()
     state = make_state(make_configuration())
-    keeper = SuspectKeeper(state, MemoryStore(data), lambda: True)
-    take_suspects(state, [make_held()])
+    keeper = SuspectPersistence(state, MemoryStore(data), lambda: True)
+    merge_suspects(state, [make_held()])
     with trio.move_on_after(10.0):
         await keeper.run()
     assert [key for key in data.items if key.startswith(SUSPECTS_PREFIX)] != []
@@ -314,13 +316,13 @@
     """Guards against a copy in the store that sets a request aside for ever."""
     data = StoreData()
     state = make_state(make_configuration())
-    keeper = SuspectKeeper(state, MemoryStore(data), lambda: True)
+    keeper = SuspectPersistence(state, MemoryStore(data), lambda: True)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(keeper.run)
-        take_suspects(state, [make_held()])
+        merge_suspects(state, [make_held()])
         await trio.sleep(6.0)
         state.hosts.replace(Listing(tuple(data.items.values()), data.revision))
-        clear(state, DIGEST, "operator")
+        clear_suspect(state, DIGEST, "operator")
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
     assert data.items == {}
@@ -336,7 +338,7 @@
         for server in servers:
             server.script = answer_events
         digest = world.state.suspects.list_all()[0].digest
-        assert clear(world.state, digest, "operator")
+        assert clear_suspect(world.state, digest, "operator")
         answer = await send_crashing(world, "r-9")
     assert answer.status == 200
 
@@ -377,7 +379,7 @@
     async with open_world(retry_slack=100) as world:
         servers = await add_crashing_servers(world)
         looked = trio.Event()
-        look = world.state.pool.look
+        look = world.state.pool.probe
         looks = 0
 
         async def look_slowly(server: ServerRecord) -> Reach:
@@ -388,7 +390,7 @@
                 await trio.sleep_forever()
             return await look(server)
 
-        world.state.pool.look = look_slowly  # type: ignore[method-assign]
+        world.state.pool.probe = look_slowly  # type: ignore[method-assign]
         notes = LossNotes(world.state)
         record = world.state.servers.list_all()[0]
         next(one for one in servers if one.id == record.id).end()
--- a/dewridge/tests/gateway/ingress_tests.py
+++ b/dewridge/tests/gateway/ingress_tests.py
@@ -206,4 +206,4 @@
     events += splitter.push(rest)
     assert b"".join(event.raw for event in events) == body
     assert [event.id for event in events] == list(range(count))
-    assert splitter.rest == b""
+    assert splitter.remainder == b""
--- a/dewridge/tests/gateway/keepers_tests.py
+++ b/dewridge/tests/gateway/keepers_tests.py
@@ -52,7 +52,9 @@
         table.update(make_record(name), 0.0)
     now = SETTLED_AFTER + 1
     table.update(make_record("s-1", is_draining=True), now)
-    table.replace([make_record("s-1", is_draining=True), make_record("s-2")], now)
+    table.apply_full_list(
+        [make_record("s-1", is_draining=True), make_record("s-2")], now
+    )
     assert list_settled(table, now + 1.0) == ["s-1", "s-2"]
     assert list_settled(table, now + 1.8) == ["s-2"]
 
--- a/dewridge/tests/gateway/moving_tests.py
+++ b/dewridge/tests/gateway/moving_tests.py
@@ -143,7 +143,7 @@
         wire(world)
         stage = Stage(world)
         source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD + 0.1)
+        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
         answer = await stage.wait()
         target = stage.find_other(source)
     assert answer.is_whole
@@ -160,7 +160,7 @@
         wire(world)
         stage = Stage(world)
         source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD + 2.0)
+        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 2.0)
         answer = await stage.wait()
         other = stage.find_other(source)
     assert answer.body == join_events(1, LAST)
@@ -176,7 +176,7 @@
         for engine in stage.engines.values():
             engine.refuses_moves = 404
         source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD + 0.1)
+        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
         answer = await stage.wait()
         other = stage.find_other(source)
     assert answer.body == join_events(1, LAST)
@@ -195,7 +195,7 @@
         stage = Stage(world)
         source = await stage.start("/draft/a")
         stage.find_other(source).refuses_runs = True
-        stage.reclaim(source, notice=streams.MOVE_LEAD + 0.1)
+        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
         answer = await stage.wait()
     assert answer.body == join_events(1, LAST)
     assert [memory for _, memory in source.began][1].endswith(b"/h-1")
@@ -209,7 +209,7 @@
         for engine in stage.engines.values():
             engine.is_mute_when_stopped = True
         source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD + 0.1)
+        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
         with trio.fail_after(2.5):
             answer = await stage.wait()
     assert answer.body == join_events(1, LAST)
--- a/dewridge/tests/gateway/pool_tests.py
+++ b/dewridge/tests/gateway/pool_tests.py
@@ -94,7 +94,7 @@
         assert record is not None
         answer = await world.ask("/write/a", method="POST", body=b"x", request_id="w")
         assert answer.status >= 500
-        assert world.state.pool.take(record, must_arrive=False) is None
+        assert world.state.pool.acquire_idle(record, must_arrive=False) is None
         assert world.state.pool.reused == 1
 
 
--- a/dewridge/tests/gateway/restarts_tests.py
+++ b/dewridge/tests/gateway/restarts_tests.py
@@ -33,20 +33,20 @@
         DOMAIN,
         6,
         is_draining,
-        born=born,
+        started_at_ms=born,
     )
 
 
 def list_starts(table: ServerTable) -> list[int]:
     """Return when the servers that may get work were started."""
-    return [record.born for record in table.list_all()]
+    return [record.started_at_ms for record in table.list_all()]
 
 
 def start_again(world: World) -> None:
     """List the server `s-1` of a world as started once more."""
     first = next(one for one in world.state.servers.list_all() if one.name == "s-1")
     later = replace(
-        first, id=make_server_id(first.name, SECOND_START), born=SECOND_START
+        first, id=make_server_id(first.name, SECOND_START), started_at_ms=SECOND_START
     )
     world.state.servers.update(later, trio.current_time())
 
@@ -72,7 +72,7 @@
     """
     table = ServerTable()
     table.update(make_record(SECOND_START), 0.0)
-    table.add([make_record(FIRST_START, is_draining=True)], 1.0)
+    table.merge_stale_list([make_record(FIRST_START, is_draining=True)], 1.0)
     table.update(make_record(FIRST_START), 1.0)
     table.drop(make_server_id(ServerName("s-1"), FIRST_START), 1.0, "told", 0.0)
     assert list_starts(table) == [SECOND_START]
@@ -87,13 +87,13 @@
     table = ServerTable()
     ended = []
     table.on_left = lambda record, gone_at, is_told: ended.append(
-        (record.born, gone_at)
+        (record.started_at_ms, gone_at)
     )
     table.update(make_record(FIRST_START), 0.0)
     table.update(make_record(SECOND_START), 3.0)
     assert ended == [(FIRST_START, 3.0)]
     assert list_starts(table) == [SECOND_START]
-    assert list(table.list_just_left(3.1)) == [make_record(FIRST_START).id]
+    assert list(table.list_recently_left(3.1)) == [make_record(FIRST_START).id]
 
 
 async def test_a_stream_goes_on_at_the_next_start_of_its_only_server() -> None:
--- a/dewridge/tests/gateway/restores_tests.py
+++ b/dewridge/tests/gateway/restores_tests.py
@@ -10,7 +10,7 @@
 from dewridge.gateway import configuration, duties, hosts, watching
 from dewridge.gateway.configuration import ConfigurationState
 from dewridge.gateway.model import RolloutOrder
-from dewridge.gateway.servers import RETURN_TIME, ServerTable
+from dewridge.gateway.servers import REREGISTRATION_TIME, ServerTable
 from dewridge.gateway.usage import SETTLE, UsageDuty
 from dewridge.gateway.watching import Part, StoreWatcher
 from dewridge.ids import ServerName, make_server_id
@@ -229,7 +229,7 @@
     data = StoreData(era=1)
     store = MemoryStore(data)
     servers = ServerTable()
-    store.era.on_restored.append(lambda: servers.note_outage(trio.current_time()))
+    store.era.on_restored.append(lambda: servers.record_outage(trio.current_time()))
     watcher = StoreWatcher(
         store, store, ConfigurationState(4.0), servers, lambda: 1, 6000.0
     )
@@ -241,7 +241,7 @@
         nursery.start_soon(watcher.watch_servers)
         await trio.sleep(3.0)
         data.restore(snapshot)
-        await trio.sleep(RETURN_TIME - 0.5)
+        await trio.sleep(REREGISTRATION_TIME - 0.5)
         assert servers.find(server) is not None
         store.write(*make_server(1, "ready"))
         await trio.sleep(5.0)
--- a/dewridge/tests/gateway/state_tests.py
+++ b/dewridge/tests/gateway/state_tests.py
@@ -32,7 +32,7 @@
         DOMAIN,
         6,
         is_draining,
-        born=born or 0,
+        started_at_ms=born or 0,
     )
 
 
@@ -78,7 +78,7 @@
     table = ServerTable()
     table.update(make_record("s-1"), 0.0)
     table.update(make_record("s-1", is_draining=True), 1.0)
-    table.replace([make_record("s-1")], 2.0)
+    table.apply_full_list([make_record("s-1")], 2.0)
     assert list_names(table) == []
 
 
@@ -89,11 +89,11 @@
     again; those that are not back in time are gone.
     """
     table = ServerTable()
-    table.replace([make_record("s-1"), make_record("s-2")], 0.0)
-    table.note_outage(5.0)
-    table.replace([], 5.1)
+    table.apply_full_list([make_record("s-1"), make_record("s-2")], 0.0)
+    table.record_outage(5.0)
+    table.apply_full_list([], 5.1)
     assert list_names(table) == ["s-1", "s-2"]
-    table.replace([make_record("s-2")], 7.5)
+    table.apply_full_list([make_record("s-2")], 7.5)
     assert list_names(table) == ["s-2"]
 
 
@@ -104,21 +104,21 @@
     looked for in a current list, since this host may have missed that it left.
     """
     table = ServerTable()
-    table.replace([make_record("s-1"), make_record("s-2")], 0.0)
-    assert not table.add([make_record("s-1")], 1.0)
-    assert not table.add([make_record("s-1"), make_record("s-2")], 2.0)
-    assert not table.add([make_record("s-1"), make_record("s-3")], 3.0)
+    table.apply_full_list([make_record("s-1"), make_record("s-2")], 0.0)
+    assert not table.merge_stale_list([make_record("s-1")], 1.0)
+    assert not table.merge_stale_list([make_record("s-1"), make_record("s-2")], 2.0)
+    assert not table.merge_stale_list([make_record("s-1"), make_record("s-3")], 3.0)
     assert list_names(table) == ["s-1", "s-2", "s-3"]
-    assert table.add([make_record("s-1"), make_record("s-3")], 6.5)
-    table.replace([make_record("s-1"), make_record("s-3")], 6.6)
+    assert table.merge_stale_list([make_record("s-1"), make_record("s-3")], 6.5)
+    table.apply_full_list([make_record("s-1"), make_record("s-3")], 6.6)
     assert list_names(table) == ["s-1", "s-3"]
 
 
 def test_a_server_that_leaves_during_an_outage_is_dropped() -> None:
     table = ServerTable()
-    table.replace([make_record("s-1")], 0.0)
-    table.note_outage(5.0)
-    table.replace([make_record("s-1", is_draining=True)], 5.1)
+    table.apply_full_list([make_record("s-1")], 0.0)
+    table.record_outage(5.0)
+    table.apply_full_list([make_record("s-1", is_draining=True)], 5.1)
     assert list_names(table) == []
 
 
--- a/dewridge/tests/gateway/telling_tests.py
+++ b/dewridge/tests/gateway/telling_tests.py
@@ -12,7 +12,7 @@
 
 from dewridge.explaining import explain_request, read_lines
 from dewridge.gateway.ingress import handle_caller
-from dewridge.gateway.logs import BACKLOG_BYTES, LineWriter
+from dewridge.gateway.logs import MAX_BACKLOG_BYTES, LineWriter
 from dewridge.gateway.operations import Operations, describe
 from dewridge.tests.gateway.world import (
     KEY,
@@ -124,7 +124,7 @@
     os.close(reader)
     os.close(writer)
     assert taken < 3.0
-    assert BACKLOG_BYTES < 1_000_000
+    assert MAX_BACKLOG_BYTES < 1_000_000
 
 
 async def test_counters_and_a_dump_are_served() -> None:
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -15,7 +15,11 @@
 from dewridge.gateway.reports import REPORTED_WINDOWS
 from dewridge.gateway.sharinglink import Audience, SharingLink
 from dewridge.gateway.state import GatewayState
-from dewridge.gateway.suspects import make_news_list, make_urgent_list, take_suspects
+from dewridge.gateway.suspects import (
+    make_update_lister,
+    make_urgent_lister,
+    merge_suspects,
+)
 from dewridge.gateway.usage import UsageDuty
 from dewridge.gateway.usagetelling import UsageTeller
 from dewridge.ids import (
@@ -88,10 +92,10 @@
         servers = self.state.servers
         servers.on_left = partial(note_left, self.state, self.link)
         self.link.on_left = partial(take_left, self.state, self.link)
-        self.link.list_left = lambda: servers.list_just_left(trio.current_time())
+        self.link.list_left = lambda: servers.list_recently_left(trio.current_time())
         self.link.on_suspects = partial(take_suspect_report, self.state, self.link)
-        self.link.list_suspects = make_urgent_list(self.state)
-        self.state.list_suspects = make_news_list(self.state)
+        self.link.list_suspects = make_urgent_lister(self.state)
+        self.state.list_suspects = make_update_lister(self.state)
         self.state.on_suspects = partial(self.link.tell_now, Audience.ALL)
 
     async def start(self, nursery: trio.Nursery) -> None:
@@ -341,4 +345,4 @@
     now = trio.current_time()
     end = End(now, now - 0.1)
     suspect = Suspect(digest, ACCOUNTS[0], ServiceName("engine"), {server: end})
-    take_suspects(host.state, [suspect])
+    merge_suspects(host.state, [suspect])
--- a/dewridge/tests/gateway/world.py
+++ b/dewridge/tests/gateway/world.py
@@ -80,7 +80,7 @@
         path_prefix=f"/{name}/",
         kind=kind,
         timeout=2.0,
-        target=0.2,
+        latency_target=0.2,
         gap_target=0.5,
         attempts_limit=2,
         priority=1,
--- a/dewridge/tests/platform/servers_tests.py
+++ b/dewridge/tests/platform/servers_tests.py
@@ -48,7 +48,7 @@
 def test_a_start_is_told_by_name_and_time() -> None:
     record = decode(GOOD)
     assert isinstance(record, ServerRecord)
-    assert (record.name, record.born) == ("i-1", 1_700_000_000_000)
+    assert (record.name, record.started_at_ms) == ("i-1", 1_700_000_000_000)
     again = decode(GOOD | {"born": 1_700_000_000_001})
     assert isinstance(again, ServerRecord)
     assert (again.name, again.id) != (record.name, record.id)
@@ -117,7 +117,7 @@
     assert is_address(record.address)
     assert record.slots > 0
     assert record.leaves_in is None or record.leaves_in >= 0
-    assert record.born >= 0
+    assert record.started_at_ms >= 0
 
 
 @given(st.binary(max_size=120), TEXT)
