--- a/dewridge/gateway/__init__.py
+++ b/dewridge/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The role of every entry host, between callers, servers and its peers."""
+"""The gateway that runs on every entry host, between callers, servers and peers."""
--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at servers until one request has its answer, and what may be repeated."""
+"""Attempts to run a request on servers, and the rules for retries."""
 
 import trio
 from loguru import logger as log
@@ -12,15 +12,20 @@
     read_whole,
     send_request,
 )
-from dewridge.gateway.jobs import Job, NextStep, find_priority
-from dewridge.gateway.losses import LossNotes
+from dewridge.gateway.jobs import Continuation, Job, compute_engine_priority
+from dewridge.gateway.losses import LossHandler
 from dewridge.gateway.model import RouteKind, ServerRecord
 from dewridge.gateway.responder import Responder
 from dewridge.gateway.rollouts import AttemptResult, classify_attempt
 from dewridge.gateway.state import SERVER_SECONDS, GatewayState
 from dewridge.gateway.streams import RunningStream
-from dewridge.gateway.suspects import check_quarantine, note_answered
-from dewridge.gateway.weighing import Choice, choose_server, choose_target, is_shed
+from dewridge.gateway.suspects import check_quarantine, record_answer
+from dewridge.gateway.weighing import (
+    ServerChoice,
+    choose_move_target,
+    choose_server,
+    is_load_shed,
+)
 from dewridge.http1.client import ConnectionBrokenError, Headers
 from dewridge.http1.headers import drop_hop_headers
 from dewridge.platform.engines import stop_and_move
@@ -28,118 +33,141 @@
 from dewridge.policy.losses import Loss
 from dewridge.sentinels import Failure
 
-REJECTIONS = 3
-"""Sendings that servers refused before a request is given back. Each costs a round
-trip; after three the service is as good as full."""
-SILENCE_TARGETS = 3.0
-"""Times the target after which a server that has not answered counts as silent, where
-the request may be repeated: nearly all answers that still come take less."""
-LEAST_SILENCE = 0.25
-STREAM_SILENCE = 2.0
-"""Seconds without an event after which a resumable stream is moved: callers leave
-after longer pauses, and engines hardly ever pause so long by themselves."""
+MAX_REJECTIONS = 3
+"""Attempts that servers may reject before a request is refused. Each costs a round
+trip, and after three rejections the whole service is most likely full."""
+SILENCE_TIMEOUT_FACTOR = 3.0
+"""Multiple of the route's latency target after which a server counts as silent, if the
+request may be retried. Nearly all answers that arrive at all take less."""
+MIN_SILENCE_TIMEOUT = 0.25
+"""Lower bound in seconds for the time without an answer."""
+MIN_STREAM_SILENCE_TIMEOUT = 2.0
+"""Lower bound in seconds for the time without an event after which a resumable stream
+is continued on another server. Callers disconnect after longer pauses, and engines
+hardly ever pause that long by themselves."""
 
 
 class JobRunner:
-    """Runs jobs against the servers that this gateway knows."""
+    """Runs jobs on the backend servers that this gateway knows."""
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
-        self._losses = LossNotes(state)
+        self._losses = LossHandler(state)
 
     async def run(self, job: Job, out: Responder) -> Failure | None:
-        """Work on a job until it is answered; a failure is still to be told."""
+        """Run a job until it is answered or has failed.
+
+        Returns:
+            The failure that the caller of this method has to send; None if the answer
+            was sent to the client.
+        """
         if job.is_engine:
             self._state.count_demand(job.service, job.request.sizes.prompt_tokens)
-            if is_shed(self._state, job):
-                return self._give_back(job, ResultCode.QUEUE_FULL, "shed: overloaded")
+            if is_load_shed(self._state, job):
+                return self._refuse_with_retry_after(
+                    job, ResultCode.QUEUE_FULL, "shed: overloaded"
+                )
         self._state.find_budget(job.service).note_first(trio.current_time())
         while True:
-            set_aside = check_quarantine(self._state, job)
-            if set_aside is not None:
-                return self._hand_back(job, set_aside)
-            step, job.next_step = job.next_step, None
+            refusal = check_quarantine(self._state, job)
+            if refusal is not None:
+                return self._make_failure(job, refusal)
+            continuation, job.continuation = job.continuation, None
             now = trio.current_time()
-            # A stream that goes on from a copied memory has nothing left to read.
-            choice = Choice(step.server, 0) if step else None
+            # A stream that continues from copied memory has no prompt left to process.
+            choice = ServerChoice(continuation.server, 0) if continuation else None
             choice = choice or choose_server(self._state, job, now)
             if choice is None:
-                return self._give_back(job, ResultCode.NO_BACKEND_SERVER, "no server")
+                return self._refuse_with_retry_after(
+                    job, ResultCode.NO_BACKEND_SERVER, "no server"
+                )
             server = choice.server
-            lost = await self._attempt(job, choice, step, out)
+            lost = await self._attempt(job, choice, continuation, out)
             if lost is None:
                 return None
-            await self._losses.note(job, server, lost)
-            failure = self._decide(job, lost, out)
+            await self._losses.handle(job, server, lost)
+            failure = self._decide_retry(job, lost, out)
             if failure is not None:
                 return failure
 
     async def _attempt(
-        self, job: Job, choice: Choice, step: NextStep | None, out: Responder
+        self,
+        job: Job,
+        choice: ServerChoice,
+        continuation: Continuation | None,
+        out: Responder,
     ) -> Lost | None:
         server = choice.server
-        job.tried.append(server.id)
+        job.tried_servers.append(server.id)
         work = self._state.work
-        job.unread_tokens = choice.tokens
-        job.timed_from = trio.current_time() if choice.is_idle else None
-        job.keeper = choice.keeper
+        job.unread_tokens = choice.unread_tokens
+        job.pace_timed_from = trio.current_time() if choice.is_idle else None
+        job.cache_holder = choice.cache_holder
         work.add(server.id, job.unread_tokens, is_suspect=choice.is_suspect)
         result = AttemptResult.ABANDONED
         try:
-            lost = await self._exchange(job, server, step, out)
+            lost = await self._exchange(job, server, continuation, out)
             result = classify_attempt(lost, out.status)
             return lost
         finally:
-            self._note_read(job, server)
+            self._record_prompt_read(job, server)
             work.remove(server.id, is_suspect=choice.is_suspect)
             seconds = trio.current_time() - job.sent_at
             self._state.rollouts.note_attempt(job.route.name, server, seconds, result)
 
-    def _note_read(self, job: Job, server: ServerRecord) -> None:
+    def _record_prompt_read(self, job: Job, server: ServerRecord) -> None:
         self._state.work.note_read(server.id, job.unread_tokens)
         job.unread_tokens = 0
 
     async def _exchange(
-        self, job: Job, server: ServerRecord, step: NextStep | None, out: Responder
+        self,
+        job: Job,
+        server: ServerRecord,
+        continuation: Continuation | None,
+        out: Responder,
     ) -> Lost | None:
-        answer = await self._send(job, server, step)
+        answer = await self._send(job, server, continuation)
         if isinstance(answer, Lost):
             return answer
         job.may_have_run = True
         is_stream = job.route.kind is RouteKind.STREAM
         if is_stream and answer.head.status == 200:
-            return await self._relay(job, server, answer, out)
-        whole = await read_whole(answer)
-        if isinstance(whole, Lost):
-            return whole
+            return await self._relay_stream(job, server, answer, out)
+        complete = await read_whole(answer)
+        if isinstance(complete, Lost):
+            return complete
         if out.has_begun:
-            # A stream goes on here and this server failed it: its caller has the head
-            # of a success already, and only a cut tells it the truth.
-            return Lost(Loss.FAILED, f"status {whole.head.status}", whole.head.status)
-        self._count(job)
-        if whole.head.status >= 500 and self._may_repeat(job):
-            return Lost(Loss.FAILED, f"status {whole.head.status}", whole.head.status)
-        await self._pass_on(job, server, whole, out)
+            # This server failed to continue a stream. The caller already has the head
+            # of a successful answer, so only a cut connection can show the failure.
+            return Lost(
+                Loss.FAILED, f"status {complete.head.status}", complete.head.status
+            )
+        self._count_usage(job)
+        if complete.head.status >= 500 and self._may_retry(job):
+            return Lost(
+                Loss.FAILED, f"status {complete.head.status}", complete.head.status
+            )
+        await self._forward_answer(job, server, complete, out)
         return None
 
     async def _send(
-        self, job: Job, server: ServerRecord, step: NextStep | None
+        self, job: Job, server: ServerRecord, continuation: Continuation | None
     ) -> OpenAnswer | Lost:
         now = trio.current_time()
-        job.runs += 1
+        job.possible_runs += 1
         job.sent_at = now
-        job.begun_at = None
+        job.attempt_first_event_at = None
         dispatch = Dispatch(
             server=server.name,
             time_left=job.deadline - now,
             account=job.account.name if job.account else None,
-            priority=find_priority(job) if job.is_engine else None,
+            priority=compute_engine_priority(job) if job.is_engine else None,
             last_event=job.last_event,
-            memory=step.memory if step else None,
-            keeper=job.keeper,
+            memory=continuation.memory if continuation else None,
+            keeper=job.cache_holder,
         )
         answer: OpenAnswer | Lost = Lost(Loss.CUT_OFF, "silent")
-        with trio.move_on_after(self._find_silence(job)):
+        with trio.move_on_after(self._find_silence_timeout(job)):
             answer = await send_request(
                 job.request,
                 dispatch,
@@ -152,41 +180,46 @@
             metrics = self._state.metrics
             metrics.observe(SERVER_SECONDS, seconds, server=server.id)
         if isinstance(answer, Lost) and answer.is_not_run:
-            job.runs -= 1
+            job.possible_runs -= 1
         else:
             job.may_have_run = True
         return answer
 
-    def _find_silence(self, job: Job) -> float:
+    def _find_silence_timeout(self, job: Job) -> float:
         if not job.route.is_repeatable or not self._has_attempts_left(job):
             return float("inf")
         if job.route.kind is RouteKind.STREAM:
-            return max(STREAM_SILENCE, SILENCE_TARGETS * job.route.latency_target)
-        return max(LEAST_SILENCE, SILENCE_TARGETS * job.route.latency_target)
+            return max(
+                MIN_STREAM_SILENCE_TIMEOUT,
+                SILENCE_TIMEOUT_FACTOR * job.route.latency_target,
+            )
+        return max(
+            MIN_SILENCE_TIMEOUT, SILENCE_TIMEOUT_FACTOR * job.route.latency_target
+        )
 
     def _has_attempts_left(self, job: Job) -> bool:
-        return job.runs < job.route.attempts_limit
+        return job.possible_runs < job.route.attempts_limit
 
-    def _may_repeat(self, job: Job) -> bool:
+    def _may_retry(self, job: Job) -> bool:
         return (
             job.route.is_repeatable
             and self._has_attempts_left(job)
             and trio.current_time() < job.deadline - 0.02
         )
 
-    async def _pass_on(
-        self, job: Job, server: ServerRecord, whole: WholeAnswer, out: Responder
+    async def _forward_answer(
+        self, job: Job, server: ServerRecord, answer: WholeAnswer, out: Responder
     ) -> None:
         health = self._state.find_health(server.id)
-        if whole.head.status >= 500:
+        if answer.head.status >= 500:
             health.note_failure(trio.current_time(), is_hard=False)
         else:
             health.note_success(trio.current_time())
-            note_answered(self._state, job)
-        headers = clean_answer_headers(whole.head.headers)
-        await out.send_whole(whole.head.status, headers, whole.body)
+            record_answer(self._state, job)
+        headers = clean_answer_headers(answer.head.headers)
+        await out.send_whole(answer.head.status, headers, answer.body)
 
-    async def _relay(
+    async def _relay_stream(
         self, job: Job, server: ServerRecord, answer: OpenAnswer, out: Responder
     ) -> Lost | None:
         splitter = EventSplitter()
@@ -194,58 +227,58 @@
         try:
             while True:
                 piece: bytes | None = None
-                silent_at = trio.current_time() + self._find_silence(job)
+                silent_at = trio.current_time() + self._find_silence_timeout(job)
                 with trio.move_on_at(min(silent_at, stream.moves_at)) as scope:
                     stream.scope = scope
                     piece = await answer.receive()
                 if scope.cancelled_caught:
-                    if job.next_step is not None:
-                        return Lost(Loss.MOVED, job.next_step.server.id)
+                    if job.continuation is not None:
+                        return Lost(Loss.MOVED, job.continuation.server.id)
                     if not stream.is_due(trio.current_time()):
                         return Lost(Loss.CUT_OFF, "silent")
-                    await self._move(job, server, stream)
+                    await self._move_stream(job, server, stream)
                     continue
                 if piece is None:
                     break
-                self._note_read(job, server)
-                await self._pass_events(job, splitter, piece, answer, out)
+                self._record_prompt_read(job, server)
+                await self._forward_events(job, splitter, piece, answer, out)
         except ConnectionBrokenError as error:
-            if job.next_step is not None:
-                return Lost(Loss.MOVED, job.next_step.server.id)
+            if job.continuation is not None:
+                return Lost(Loss.MOVED, job.continuation.server.id)
             return Lost(Loss.CUT_OFF, str(error))
         finally:
             self._state.streams.unregister(server.id, stream)
             answer.close()
-        job.next_step = None
+        job.continuation = None
         self._state.find_health(server.id).note_success(trio.current_time())
         if splitter.remainder:
             return Lost(Loss.CUT_OFF, "ended within an event")
         if not out.has_begun:
             await out.begin(200, clean_answer_headers(answer.head.headers))
-        note_answered(self._state, job)
+        record_answer(self._state, job)
         await out.finish()
         return None
 
     def _open_stream(self, server: ServerRecord) -> RunningStream:
         stream = self._state.streams.register(server.id)
-        leaving = self._state.servers.find_leaving(server.id)
-        if leaving is not None:
-            stream.note_leaving(leaving.gone_at)
+        departure = self._state.servers.find_departure(server.id)
+        if departure is not None:
+            stream.schedule_move(departure.stops_at)
         return stream
 
-    async def _move(
+    async def _move_stream(
         self, job: Job, server: ServerRecord, stream: RunningStream
     ) -> None:
-        """Stop a stream whose server goes, and have its memory copied to another.
+        """Stop a stream on a leaving server and have its memory copied to another.
 
-        Made for reclaims of a whole failure domain on a second's notice: cut there, a
-        long draft that may not be repeated is lost, and one that may is read again.
-        The stopped stream's connection ends without its end; what was still on its
-        way is passed on first.
+        A whole failure domain may be reclaimed on one second's notice. Without the
+        move, a stream that may not be retried would be lost, and the prompt of any
+        other would be processed again. The connection of the stopped stream closes
+        without an end marker; events still in transit are forwarded first.
         """
         state = self._state
         now = trio.current_time()
-        target = choose_target(state, job, server.id, now)
+        target = choose_move_target(state, job, server.id, now)
         budget = state.find_budget(job.service)
         if target is None or not budget.take(now, state.hosts.count()):
             stream.moves_at = float("inf")
@@ -257,18 +290,18 @@
         ).info("stream moves")
         if isinstance(moved, Failure):
             state.metrics.add("streams_not_moved_total")
-            stream.put_off(trio.current_time())
+            stream.postpone_move(trio.current_time())
             return
         state.metrics.add("streams_moved_total")
-        stream.note_stopped(trio.current_time())
+        stream.await_remaining_events(trio.current_time())
         job.was_moved = True
-        # Without room at the target the source keeps the memory, and goes on itself.
-        job.last_resort = NextStep(server, moved)
-        job.next_step = NextStep(target, moved) if moved.is_at_target else None
-        if job.next_step is None:
-            job.next_step, job.last_resort = job.last_resort, None
+        # If the target has no room, the source keeps the memory and continues itself.
+        job.fallback = Continuation(server, moved)
+        job.continuation = Continuation(target, moved) if moved.is_at_target else None
+        if job.continuation is None:
+            job.continuation, job.fallback = job.fallback, None
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         job: Job,
         splitter: EventSplitter,
@@ -276,73 +309,77 @@
         answer: OpenAnswer,
         out: Responder,
     ) -> None:
-        fresh = []
+        new_events = []
         for event in splitter.push(piece):
             if event.id is not None:
                 if job.last_event is not None and event.id <= job.last_event:
                     continue
                 job.last_event = event.id
-            fresh.append(event.raw)
-        if not fresh:
+            new_events.append(event.raw)
+        if not new_events:
             return
-        self._count(job)
-        job.events += len(fresh)
+        self._count_usage(job)
+        job.events += len(new_events)
         job.last_event_at = trio.current_time()
-        if job.begun_at is None:
-            job.begun_at = job.last_event_at
+        if job.attempt_first_event_at is None:
+            job.attempt_first_event_at = job.last_event_at
         if job.first_event_at is None:
             job.first_event_at = job.last_event_at
-            self._learn_pace(job, job.first_event_at)
+            self._record_pace(job, job.first_event_at)
         if not out.has_begun:
             await out.begin(200, clean_answer_headers(answer.head.headers))
-        await out.send_piece(b"".join(fresh))
+        await out.send_piece(b"".join(new_events))
 
-    def _learn_pace(self, job: Job, now: float) -> None:
-        if job.timed_from is not None:
+    def _record_pace(self, job: Job, now: float) -> None:
+        if job.pace_timed_from is not None:
             pace = self._state.paces[job.service]
-            pace.add(job.request.sizes.prompt_tokens, now - job.timed_from)
+            pace.add(job.request.sizes.prompt_tokens, now - job.pace_timed_from)
 
-    def _count(self, job: Job) -> None:
-        if not job.is_counted:
-            job.is_counted = True
+    def _count_usage(self, job: Job) -> None:
+        if not job.is_usage_counted:
+            job.is_usage_counted = True
             self._state.count_began(job.account.name if job.account else None)
 
-    def _decide(self, job: Job, lost: Lost, out: Responder) -> Failure | None:
-        """Return the failure to tell, or None to try another server."""
+    def _decide_retry(self, job: Job, lost: Lost, out: Responder) -> Failure | None:
+        """Return the failure to report, or None to try another server."""
         if lost.loss is Loss.MOVED:
             return None
-        if lost.is_not_run and job.last_resort is not None:
-            job.next_step, job.last_resort = job.last_resort, None
+        if lost.is_not_run and job.fallback is not None:
+            job.continuation, job.fallback = job.fallback, None
             return None
         now = trio.current_time()
         budget = self._state.find_budget(job.service)
         hosts = self._state.hosts.count()
         if lost.is_not_run and not job.was_moved:
             job.rejections += 1
-            goes_on = job.rejections < REJECTIONS and budget.take(now, hosts)
+            is_retried = job.rejections < MAX_REJECTIONS and budget.take(now, hosts)
         else:
-            goes_on = self._may_repeat(job) and budget.take(now, hosts)
-        if goes_on:
+            is_retried = self._may_retry(job) and budget.take(now, hosts)
+        if is_retried:
             return None
         if job.may_have_run:
             reason = f"{lost.loss.value}: {lost.reason}"
             return Failure(ResultCode.OUTCOME_UNKNOWN, reason)
-        return self._give_back(job, ResultCode.QUEUE_FULL, lost.loss.value)
+        return self._refuse_with_retry_after(
+            job, ResultCode.QUEUE_FULL, lost.loss.value
+        )
 
-    def _give_back(self, job: Job, code: ResultCode, reason: str) -> Failure:
-        left = max(0.0, job.deadline - trio.current_time())
-        wait = min(1.0, left * self._state.rng.uniform(0.05, 0.25))
-        return self._hand_back(job, Failure(code, reason, wait))
+    def _refuse_with_retry_after(
+        self, job: Job, code: ResultCode, reason: str
+    ) -> Failure:
+        time_left = max(0.0, job.deadline - trio.current_time())
+        wait = min(1.0, time_left * self._state.rng.uniform(0.05, 0.25))
+        return self._make_failure(job, Failure(code, reason, wait))
 
-    def _hand_back(self, job: Job, failure: Failure) -> Failure:
-        """Return a refusal, unless some server may have run the request."""
+    def _make_failure(self, job: Job, failure: Failure) -> Failure:
+        """Return a refusal, or an unknown outcome if a server may have run the job."""
         if job.may_have_run:
             return Failure(ResultCode.OUTCOME_UNKNOWN, failure.reason)
         return failure
 
 
 def clean_answer_headers(headers: Headers) -> Headers:
-    """Return a server's headers without those of its connection and framing."""
+    """Return a server's headers without those of the connection and the framing."""
     return [
         (name, value)
         for name, value in drop_hop_headers(headers)
--- a/dewridge/gateway/clock.py
+++ b/dewridge/gateway/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: one that goes on while the host is suspended."""
+"""Clock that continues while the host is suspended."""
 
 import time
 
@@ -6,7 +6,7 @@
 def read_boot_clock() -> float:
     """Return seconds since the host's boot, suspension included.
 
-    The steady clock stands still while a host is suspended. A lease or a fresh
-    configuration judged by it would still look valid seconds after its end.
+    The steady clock stops while a host is suspended. Measured by it, a lease or a
+    confirmed configuration would still look valid seconds after it expired.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/dewridge/gateway/digests.py
+++ b/dewridge/gateway/digests.py
@@ -1,4 +1,4 @@
-"""What makes two requests of callers the same."""
+"""Digests that identify requests of callers by their content."""
 
 from dewridge.digests import make_content_digest
 from dewridge.gateway.model import CallerRequest
@@ -6,9 +6,10 @@
 
 
 def make_digest(request: CallerRequest, account: ClientAccount | None) -> RequestDigest:
-    """Return the digest of a request: its path, its account and its body.
+    """Return the digest of a request's account, method, path, query and body.
 
-    A caller's repeat has a new id and comes over another connection, at any host.
+    It identifies a request that a caller repeats: the repetition has a new id and may
+    arrive over another connection and at another host.
     """
     head = (request.method, request.target)
     return make_content_digest(account or ClientAccount(""), head, request.body)
--- a/dewridge/gateway/events.py
+++ b/dewridge/gateway/events.py
@@ -1,43 +1,48 @@
-"""Events of a stream: cut at their ends, with their ids."""
+"""Splitting of a server-sent event stream into events with their ids."""
 
 from dataclasses import dataclass
 
-END = b"\n\n"
+EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One complete event with the bytes it came in; `id` is None without one."""
+    """A complete event.
+
+    Attributes:
+        raw: its bytes, including the empty line at its end.
+        id: its id; None without a numeric one.
+    """
 
     raw: bytes
     id: int | None
 
 
 class EventSplitter:
-    """Cuts a body into events; the start of the next one is held back.
+    """Splits a body into complete events and buffers an incomplete one.
 
-    A server may stop in the middle of an event. Passed on, half an event would stand
-    before the events of the server that goes on, and the caller would read both as
-    one.
+    A server may fail in the middle of an event. If the incomplete event were forwarded,
+    the caller would read it and the first event of the server that continues the stream
+    as a single event.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     def push(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are complete with this piece."""
-        *complete, self._rest = (self._rest + data).split(END)
-        return [StreamEvent(raw + END, find_event_id(raw)) for raw in complete]
+        """Add a piece of the body; return the events that it completes."""
+        *complete, self._remainder = (self._remainder + data).split(EVENT_END)
+        return [StreamEvent(raw + EVENT_END, parse_event_id(raw)) for raw in complete]
 
     @property
     def remainder(self) -> bytes:
-        """Bytes of an event that is not complete."""
-        return self._rest
+        """Bytes of the incomplete event at the end."""
+        return self._remainder
 
 
-def find_event_id(raw: bytes) -> int | None:
-    """Return the id of an event."""
+def parse_event_id(raw: bytes) -> int | None:
+    """Return the numeric id of an event; None without one."""
     for line in raw.split(b"\n"):
         if line.startswith(ID_FIELD):
             value = line[len(ID_FIELD) :].strip()
--- a/dewridge/gateway/jobs.py
+++ b/dewridge/gateway/jobs.py
@@ -1,4 +1,4 @@
-"""One request on its way through attempts."""
+"""State of one request over its attempts at servers."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -9,12 +9,12 @@
 from dewridge.platform.engines import MemoryCopy
 
 PRIORITY_STEP = 3
-"""Weight of the account's priority before the route's in the engines' scale of ten."""
+"""Route priorities within one account priority on the engines' scale from 0 to 9."""
 
 
 @dataclass(frozen=True, slots=True)
-class NextStep:
-    """A server that goes on with a stopped run, and the memory it goes on from."""
+class Continuation:
+    """A server that continues a stopped run, and the engine memory to continue from."""
 
     server: ServerRecord
     memory: MemoryCopy
@@ -22,33 +22,34 @@
 
 @dataclass
 class Job:
-    """One request on its way.
+    """A request that is being served; all times are steady times.
 
     Attributes:
         request: the caller's request.
-        route: its route.
-        account: whose it is; None on an anonymous route.
+        route: the route of the request.
+        account: the account that sent it; None on an anonymous route.
         service: the service chosen for it.
-        deadline: steady time at which it is given up.
+        deadline: time at which it is abandoned.
         is_engine: whether model engines serve it.
-        tried: servers that it was sent to.
-        runs: sendings that may have run.
-        last_event: last event passed on, or after which the caller resumes.
-        sent_at: steady time of the last sending.
-        begun_at: steady time of its first event; None without one.
-        rejections: sendings that servers refused.
+        tried_servers: servers that it was sent to.
+        possible_runs: attempts that may have run, counted against the route's limit.
+        last_event: id of the last event forwarded, or after which the caller resumes.
+        sent_at: time at which the current or last attempt was sent.
+        attempt_first_event_at: time of that attempt's first event; None without one.
+        rejections: attempts that servers rejected.
         may_have_run: whether some server may have run it.
-        is_counted: whether it counts in its account's usage.
-        unread_tokens: tokens of the prompt that the server likely has yet to read.
-        timed_from: steady time of a sending to an idle engine, by which its pace is
-            learned; None for any other.
-        keeper: address of a server that likely keeps the prompt's shared part.
-        events: events passed on.
-        first_event_at: steady time of the first one.
-        last_event_at: steady time of the last one.
-        next_step: where and from which memory a stopped run goes on.
-        last_resort: the same if that server does not take it.
-        was_moved: whether it has been stopped and moved; never to be begun anew then.
+        is_usage_counted: whether it is counted in its account's usage.
+        unread_tokens: prompt tokens that the server probably has yet to process.
+        pace_timed_from: time at which the attempt was sent to an idle engine, to
+            measure its prompt processing rate; None if the engine was not idle.
+        cache_holder: address of a server that probably has the prompt's shared prefix
+            cached; None if no copy is needed.
+        events: number of events forwarded.
+        first_event_at: time of the first event forwarded in any attempt.
+        last_event_at: time of the last event forwarded.
+        continuation: where and from which memory a stopped run continues.
+        fallback: where it continues if the server of `continuation` rejects it.
+        was_moved: whether it was stopped and moved; it is never started anew then.
     """
 
     request: CallerRequest
@@ -57,37 +58,37 @@
     service: ServiceName
     deadline: float
     is_engine: bool
-    tried: list[BackendServerId] = field(default_factory=list)
+    tried_servers: list[BackendServerId] = field(default_factory=list)
     sent_at: float = float("-inf")
-    begun_at: float | None = None
+    attempt_first_event_at: float | None = None
     rejections: int = 0
-    runs: int = 0
+    possible_runs: int = 0
     last_event: int | None = None
     may_have_run: bool = False
-    is_counted: bool = False
+    is_usage_counted: bool = False
     unread_tokens: int = 0
-    timed_from: float | None = None
-    keeper: str | None = None
+    pace_timed_from: float | None = None
+    cache_holder: str | None = None
     events: int = 0
     first_event_at: float | None = None
     last_event_at: float | None = None
-    next_step: "NextStep | None" = None
-    last_resort: "NextStep | None" = None
+    continuation: "Continuation | None" = None
+    fallback: "Continuation | None" = None
     was_moved: bool = False
 
     def __post_init__(self) -> None:
-        """Take over the event after which the caller resumes."""
+        """Set the event after which the caller resumes."""
         if self.route.is_resumable:
             self.last_event = self.request.last_event
 
     @cached_property
     def digest(self) -> RequestDigest:
-        """What names the request's content; worked out when it is first asked for."""
+        """Digest of the request's content, computed on first use."""
         return make_digest(self.request, self.account.name if self.account else None)
 
 
-def find_priority(job: Job) -> int:
-    """Return the urgency for the engine: the account's, then the route's."""
+def compute_engine_priority(job: Job) -> int:
+    """Return the priority for the engine: by account first, then by route."""
     account = job.account.priority if job.account else None
     if account is None:
         return min(9, job.route.priority)
--- a/dewridge/gateway/logs.py
+++ b/dewridge/gateway/logs.py
@@ -1,4 +1,4 @@
-"""Logs of a gateway: JSON lines on standard output that never hold a request up."""
+"""Logging of a gateway: JSON lines on standard output, written without blocking."""
 
 import os
 import sys
@@ -11,32 +11,36 @@
     from loguru import Message
 
 MAX_BACKLOG_BYTES = 262_144
-"""Bytes kept while standard output takes nothing: some seconds of lines under load."""
+"""Bytes buffered while standard output accepts nothing: some seconds of lines under
+load."""
 ORDINARY_RATE = 200.0
-"""Ordinary lines a second in the long run; a line costs about 60 us of processor time,
-so that they stay near 1% of a core."""
-TELLING_RATE = 800.0
-"""Lines a second of refusals, failures and warnings: these are what somebody looks for
-afterwards, so that they have an allowance of their own which successes can't use."""
+"""Long-term limit of ordinary lines per second. A line costs about 60 us of processor
+time, so they use about 1% of a core."""
+PROBLEM_RATE = 800.0
+"""Long-term limit of lines per second for refusals, failures and warnings. They are the
+lines needed to investigate a problem, so they have a limit of their own that successful
+requests can't use up."""
 BURST_SECONDS = 2.0
-"""Seconds' worth of lines that may come at once."""
+"""Size of a burst, in seconds of the long-term rate."""
 WARNING_LEVEL = 30
+"""Number of the logging library's level for warnings."""
 SERVER_ERROR = 500
+"""Lowest HTTP status of a server error."""
 
 
-class _Allowance:
-    """A token bucket for one kind of lines."""
+class _TokenBucket:
+    """A token bucket that limits the rate of one kind of lines."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
         self._tokens = rate * BURST_SECONDS
         self._filled_at = 0.0
 
-    def take(self, at: float) -> bool:
-        """Take one line out if there is one."""
-        grown = self._tokens + max(0.0, at - self._filled_at) * self._rate
+    def try_consume(self, at: float) -> bool:
+        """Consume a token for one line; return whether there was one."""
+        refilled = self._tokens + max(0.0, at - self._filled_at) * self._rate
         self._filled_at = at
-        self._tokens = min(self._rate * BURST_SECONDS, grown)
+        self._tokens = min(self._rate * BURST_SECONDS, refilled)
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -44,25 +48,25 @@
 
 
 class LineWriter:
-    """Writes lines without waiting; says how many it left out."""
+    """Writes log lines without blocking, and reports how many it omitted."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._backlog = bytearray()
-        self._left_out = 0
-        self._ordinary = _Allowance(ORDINARY_RATE)
-        self._telling = _Allowance(TELLING_RATE)
+        self._omitted = 0
+        self._ordinary = _TokenBucket(ORDINARY_RATE)
+        self._problems = _TokenBucket(PROBLEM_RATE)
         os.set_blocking(descriptor, False)
 
     def write(self, message: "Message") -> None:
-        """Take one line from the logging library."""
+        """Write one message of the logging library."""
         record = message.record
         extra = record["extra"]
         at = record["time"].timestamp()
-        is_telling = record["level"].no >= WARNING_LEVEL or is_failure(extra)
-        allowance = self._telling if is_telling else self._ordinary
-        if not allowance.take(at):
-            self._left_out += 1
+        is_problem = record["level"].no >= WARNING_LEVEL or is_failure(extra)
+        bucket = self._problems if is_problem else self._ordinary
+        if not bucket.try_consume(at):
+            self._omitted += 1
             return
         line = {
             "time": round(at, 6),
@@ -73,34 +77,34 @@
         }
         if record["exception"] is not None:
             line["traceback"] = str(message).partition("\n")[2].strip()
-        if self._left_out:
-            line["lines_left_out"] = self._left_out
+        if self._omitted:
+            line["lines_left_out"] = self._omitted
         self._push(msgspec.json.encode(line, enc_hook=str) + b"\n")
 
     def _push(self, line: bytes) -> None:
         if len(self._backlog) + len(line) > MAX_BACKLOG_BYTES:
-            self._left_out += 1
+            self._omitted += 1
             return
-        self._left_out = 0
+        self._omitted = 0
         self._backlog += line
         self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the backlog as standard output accepts now."""
         while self._backlog:
             try:
                 written = os.write(self._descriptor, self._backlog)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is no place left to tell it.
+                # The reader has closed the pipe, and there is nowhere else to log this.
                 self._backlog.clear()
                 return
             del self._backlog[:written]
 
 
 def is_failure(fields: dict[str, Any]) -> bool:
-    """Whether a line tells of a refusal or a failure, of a server's own too."""
+    """Return whether a line reports a refusal, a failure or a lost attempt."""
     status = fields.get("status", 0)
     return bool(fields.get("code")) or status >= SERVER_ERROR or "loss" in fields
 
@@ -115,7 +119,7 @@
         level=level.upper(),
         format="{message}",
         backtrace=False,
-        # Its tracebacks print the values of variables: keys and prompts too.
+        # With `diagnose`, tracebacks would show variables, including keys and prompts.
         diagnose=False,
     )
     return writer
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -1,4 +1,4 @@
-"""What a gateway counts and times; every label has few possible values."""
+"""Metrics of a gateway. Every label has few possible values."""
 
 from collections.abc import Mapping
 
@@ -12,7 +12,7 @@
 from dewridge.policy.rollouts import RouteLabel, Tally
 from dewridge.sentinels import Failure
 
-NO_KIND = "none"
+UNROUTED_KIND = "none"
 """Label of requests for which no route was found."""
 
 
@@ -23,16 +23,16 @@
     failure: Failure | None,
     seconds: float,
 ) -> None:
-    """Count a request that ended."""
-    kind = job.route.kind.value if job else NO_KIND
-    outcome = find_outcome(out)
+    """Count and time a completed request."""
+    kind = job.route.kind.value if job else UNROUTED_KIND
+    outcome = classify_outcome(out)
     code = failure.code.name if failure else ""
     state.metrics.add("requests_total", kind=kind, outcome=outcome, code=code)
     state.metrics.observe("request_seconds", seconds, kind=kind)
 
 
-def find_outcome(out: Responder) -> str:
-    """Return what a caller got, in one word."""
+def classify_outcome(out: Responder) -> str:
+    """Return the label value for the answer that a caller got."""
     if not out.has_begun:
         return "none"
     if not out.is_finished:
@@ -41,22 +41,22 @@
 
 
 def observe_first_event(state: GatewayState, job: Job, seconds: float) -> None:
-    """Time a stream's first event."""
+    """Record the time until a stream's first event."""
     state.metrics.observe("first_event_seconds", seconds, kind=job.route.kind.value)
 
 
 def observe_dependency_call(metrics: Metrics, name: str, seconds: float) -> None:
-    """Time an answered call of the store or the cloud API."""
+    """Record the duration of an answered call to the store or the cloud API."""
     metrics.observe("dependency_seconds", seconds, dependency=name)
 
 
 def count_store_call(metrics: Metrics, kind: str, keys: str) -> None:
-    """Count a call of the store by its kind and what it is about."""
+    """Count a call to the store by its kind and its group of keys."""
     metrics.add("store_calls", kind=kind, keys=keys)
 
 
 def update_gauges(state: GatewayState) -> None:
-    """Set the levels that are only looked at when somebody asks."""
+    """Set the gauges that are computed only when the metrics are read."""
     metrics = state.metrics
     metrics.set_gauge("configuration_version", state.configuration.version)
     metrics.set_gauge("configuration_age_seconds", state.configuration.age)
@@ -64,17 +64,17 @@
     metrics.set_gauge("hosts_silent", len(state.list_silent()))
     metrics.set_gauge("reports_heard", state.sharing.reports_heard)
     metrics.set_gauge("reports_missed", state.sharing.reports_missed)
-    held = len(state.suspects.list_held(trio.current_time()))
+    quarantined = len(state.suspects.list_held(trio.current_time()))
     metrics.set_gauge("requests_suspected", len(state.suspects.list_all()))
-    metrics.set_gauge("requests_set_aside", held)
+    metrics.set_gauge("requests_set_aside", quarantined)
     metrics.set_gauge("caller_connections", state.ingress.connections)
     metrics.set_gauge("requests_in_flight", state.ingress.requests)
     metrics.set_gauge("server_connections_opened", state.pool.opened)
     metrics.set_gauge("server_connections_reused", state.pool.reused)
     for progress in state.rollouts.list_progress():
         evidence = state.rollouts.find_evidence(progress.order)
-        set_version_levels(metrics, progress, "new", evidence.target)
-        set_version_levels(metrics, progress, "old", evidence.baseline)
+        set_rollout_gauges(metrics, progress, "new", evidence.target)
+        set_rollout_gauges(metrics, progress, "old", evidence.baseline)
     for caller in state.dependencies:
         metrics.set_gauge("dependency_up", float(caller.is_up), dependency=caller.name)
         metrics.set_gauge("dependency_calls", caller.calls, dependency=caller.name)
@@ -88,13 +88,13 @@
         metrics.set_gauge("server_failure_share", share, server=server.id)
 
 
-def set_version_levels(
+def set_rollout_gauges(
     metrics: Metrics,
     progress: RolloutProgress,
     side: str,
     tallies: Mapping[RouteLabel, Tally],
 ) -> None:
-    """Set the gauges of one version of a rollout, as counted over all hosts."""
+    """Set the gauges of one version of a rollout to the counts over all hosts."""
     for route, tally in tallies.items():
         labels = {"service": progress.service, "version": side, "route": route}
         metrics.set_gauge("rollout_answers", tally.answers, **labels)
--- a/dewridge/gateway/model.py
+++ b/dewridge/gateway/model.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of routes, services, accounts, servers and requests."""
+"""Data model of a gateway: routes, services, accounts, servers and requests."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -18,21 +18,21 @@
 """Version of the software of a backend server."""
 AccountKey = NewType("AccountKey", str)
 AttemptKey = NewType("AttemptKey", str)
-"""The caller's name for one sending of a request; unique, and never repeated."""
+"""The caller's unique id for one attempt at a request; never reused for a retry."""
 
 
 class RouteKind(Enum):
-    """What may be repeated."""
+    """Whether requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
     STREAM = "stream"
-    """A series of events; repeated only where the route allows to resume it."""
+    """A stream of events; retried only if the route is resumable."""
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A service's part of a route's requests."""
+    """A service's share of the requests of a route."""
 
     service: ServiceName
     weight: float
@@ -40,22 +40,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests to one path prefix of one name go.
+    """Destination of requests to one host name and path prefix.
 
     Attributes:
-        name: its name.
+        name: name of the route.
         hostname: value of the `Host` header, in lower case, without a port.
         path_prefix: begins and ends with a slash.
-        kind: what may be repeated.
-        timeout: seconds that a caller is kept waiting at the longest.
+        kind: whether requests may be retried.
+        timeout: maximum seconds that a caller waits.
         latency_target: seconds within which an answer, or its first event, is on time.
-        gap_target: longest seconds between two events of an answer on time.
-        attempts_limit: backend servers that may run one request.
+        gap_target: maximum seconds between two events of an answer on time.
+        attempts_limit: maximum number of backend servers that may run one request.
         priority: 0 is the most urgent.
         shares: services and their weights.
         is_anonymous: whether requests need no key.
         has_prefixes: whether requests name the shared parts of their prompts.
-        is_resumable: whether another server may go on after the last event.
+        is_resumable: whether another server may continue after the last event.
     """
 
     name: RouteName
@@ -74,7 +74,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request that may have run may be sent to another server."""
+        """Whether a request that may have run may be retried on another server."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -82,14 +82,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Scaling:
-    """How many backend servers a service may have in each failure domain.
+    """Scaling bounds and prices of a service.
 
     Attributes:
-        min_servers: servers in a failure domain at least, of both kinds together.
-        max_servers: servers in a failure domain at most, of both kinds together.
+        min_servers: minimum number of servers in a failure domain, reclaimable and
+            on-demand ones together.
+        max_servers: maximum number, counted the same way.
         boot_time: seconds from the order until a server serves.
-        reclaimable_price: price of a reclaimable server as part of another's.
-        prices: price of a server's second by failure domain; its keys name the
+        reclaimable_price: price of a reclaimable server relative to an on-demand one.
+        prices: price of one server for a second, by failure domain; its keys name the
             failure domains in which the service may run.
     """
 
@@ -102,7 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the model engines of a service can do at once."""
+    """Capacity and features of the model engines of a service.
+
+    Attributes:
+        slots: requests that an engine runs at once.
+        memory_tokens: tokens that fit into an engine's memory.
+        has_backups: whether engines back up the memory of running requests.
+        has_moves: whether running requests can be moved between engines.
+    """
 
     slots: int
     memory_tokens: int
@@ -112,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service; `engine` is None for a plain one."""
+    """A service; `engine` is None if no model engines serve it."""
 
     name: ServiceName
     connection_limit: int
@@ -125,12 +133,12 @@
     """A client account and its quota over all entry hosts.
 
     Attributes:
-        name: its name.
-        priority: goes before a route's priority; None for none.
-        rate: tokens or requests a second; 0 for no limit.
-        burst: tokens or requests at once beyond the rate.
-        counts_tokens: whether the quota counts tokens and not requests.
-        plain_tokens: what a request without a size counts as.
+        name: name of the account.
+        priority: takes precedence over a route's priority; None if it has none.
+        rate: tokens or requests per second; 0 for no limit.
+        burst: tokens or requests allowed at once beyond the rate.
+        counts_tokens: whether the quota counts tokens instead of requests.
+        plain_tokens: tokens counted for a request that states no size.
     """
 
     name: ClientAccount
@@ -143,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what a caller may send, in bytes and seconds."""
+    """Limits on callers' requests, in bytes and seconds."""
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -162,10 +170,10 @@
     limits: Limits
     has_accounts: bool
     by_hostname: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
-    """Routes of each name, the longest prefix first."""
+    """Routes by host name, the longest path prefix first."""
 
     def find_route(self, hostname: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest path prefix that matches the path."""
         for route in self.by_hostname.get(hostname, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -174,22 +182,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """A backend server as it describes itself.
+    """A backend server process as described by its record in the store.
 
     Attributes:
-        id: this start of it; nothing known of an earlier start holds for it.
-        name: what it calls itself, the same for all its starts.
-        service: what it serves.
-        address: `a.b.c.d:port`; another server may get it later.
-        failure_domain: where it runs.
-        slots: requests that it works on at once.
-        is_draining: whether it said that it leaves.
-        is_reclaimable: whether it may be taken away on short notice.
-        leaves_in: seconds until it is taken away, as of the record; None if unknown.
+        id: id of the process; a restarted server has a new id, and nothing known of
+            the earlier process applies to it.
+        name: name of the server, the same after a restart.
+        service: the service that it serves.
+        address: `a.b.c.d:port`; may be assigned to another server later.
+        failure_domain: the failure domain it runs in.
+        slots: requests that it runs at once.
+        is_draining: whether it announced that it leaves.
+        is_reclaimable: whether the cloud may reclaim it on short notice.
+        leaves_in: seconds until it is reclaimed, as of the record; None if unknown.
         is_cold: whether it is still slow after its start.
-        started_at_ms: when this process started, in milliseconds since 1970; 0 if the
+        started_at_ms: when the process started, in milliseconds since 1970; 0 if the
             record does not say.
-        version: of its software; empty if the record has none.
+        version: version of its software; empty if the record has none.
     """
 
     id: BackendServerId
@@ -208,12 +217,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrder:
-    """The operator's order to move a service to another version of its servers.
+    """The operator's order to roll out another server version for a service.
 
     Attributes:
         service: the service.
-        target: the version to move to.
-        duration: seconds after the order by which the rollout must have ended.
+        target: the version to roll out.
+        duration: seconds after the order by which the rollout must have completed.
         revision: the store's revision of the order; increases with each order.
     """
 
@@ -233,13 +242,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """What a request says of its work; zeros for a plain request.
+    """Sizes that a request states; zeros for a request without a prompt.
 
     Attributes:
-        prompt_tokens: tokens to read.
-        output_tokens: tokens to generate at the most.
-        parts: the prompt in order; the last part is the request's own.
-        model: name of the model; empty without one.
+        prompt_tokens: tokens of the prompt.
+        output_tokens: maximum number of tokens to generate.
+        parts: parts of the prompt in order; only the last one can't be shared with
+            other requests.
+        model: name of the model; empty if the request names none.
     """
 
     prompt_tokens: int = 0
@@ -249,26 +259,27 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens in and out, as quotas count them."""
+        """Tokens of the prompt and the output, as quotas count them."""
         return self.prompt_tokens + self.output_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One request as a caller sent it, read whole.
+    """A complete request as a caller sent it.
 
     Attributes:
-        id: the caller's name for this sending.
+        id: the caller's id for this attempt.
         method: HTTP method.
-        target: path and query, to be passed on unchanged.
+        target: path and query, forwarded unchanged.
         hostname: value of the `Host` header, in lower case, without a port.
-        headers: what the caller sent, names in lower case.
+        headers: the headers that the caller sent, names in lower case.
         body: the body.
         key: the account's key; empty without one.
-        sizes: what the request says of its work.
-        last_event: the event after which the caller resumes; None for a new one.
-        arrived_at: when its head was read, on the steady clock.
-        deadline: when the caller stops waiting, on the steady clock.
+        sizes: the sizes that the request states.
+        last_event: id of the event after which the caller resumes; None for a new
+            request.
+        arrived_at: steady time at which its head was read.
+        deadline: steady time at which the caller stops waiting.
     """
 
     id: AttemptKey
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: kept while they are surely usable."""
+"""Pool of idle connections to backend servers."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass
@@ -12,105 +12,115 @@
 from dewridge.policy.idletime import IdleTime
 from dewridge.policy.losses import Reach
 
-MOST_IDLE = 4
-"""Idle connections kept for each server: what a burst of one round trip uses."""
+MAX_IDLE_PER_SERVER = 4
+"""Idle connections retained for each server: as many as a burst of requests within one
+round trip uses."""
 CONNECT_TIMEOUT = 0.35
-"""Seconds to connect: a hundred times a round trip, and less than the 1 s after which
-the kernel repeats a lost first packet. Nothing was sent, so that another server can
-be tried without risk."""
+"""Timeout in seconds: a hundred round trips, and less than the 1 s after which the
+kernel retransmits a lost first packet. No request has been sent by then, so another
+server can be tried without risk."""
 
 
 @dataclass
-class Kept:
-    """An idle connection to a server of a service."""
+class IdleConnection:
+    """An idle connection with the service of its server."""
 
     connection: ClientConnection
     service: ServiceName
 
 
 class ConnectionPool:
-    """Idle connections by start of a server; starts never share connections."""
+    """Idle connections by server process.
+
+    A restarted server is a different process and never reuses earlier connections.
+
+    Attributes:
+        opened: connections opened so far.
+        reused: times that an idle connection was used again.
+    """
 
     def __init__(self) -> None:
-        self._idle: dict[BackendServerId, deque[Kept]] = defaultdict(deque)
-        self._times: dict[ServiceName, IdleTime] = defaultdict(IdleTime)
+        self._idle: dict[BackendServerId, deque[IdleConnection]] = defaultdict(deque)
+        self._idle_times: dict[ServiceName, IdleTime] = defaultdict(IdleTime)
         self.opened = 0
         self.reused = 0
 
     def acquire_idle(
         self, server: ServerRecord, *, must_arrive: bool
     ) -> ClientConnection | None:
-        """Return a connection that is open and quiet; None if there is none.
+        """Return an open connection without pending input; None if there is none.
 
         Args:
-            server: where it leads.
-            must_arrive: whether what is sent on it can't be sent again.
+            server: the server to connect to.
+            must_arrive: whether the request can't be retried if it is lost; only more
+                recently used connections are returned then.
         """
-        idle = self._idle.get(server.id)
-        while idle:
-            kept = idle[-1]
-            age = trio.current_time() - kept.connection.idle_since
-            if age > self._find_limit(kept, must_arrive=must_arrive):
+        connections = self._idle.get(server.id)
+        while connections:
+            idle = connections[-1]
+            age = trio.current_time() - idle.connection.idle_since
+            if age > self._find_idle_limit(idle, must_arrive=must_arrive):
                 return None
-            idle.pop()
-            if self._look(kept, age):
+            connections.pop()
+            if self._check_open(idle, age):
                 self.reused += 1
-                return kept.connection
-            kept.connection.close()
+                return idle.connection
+            idle.connection.close()
         return None
 
     async def open(self, server: ServerRecord) -> ClientConnection | None:
-        """Open a connection; None if the server does not accept one in time."""
+        """Open a connection; return None if the server does not accept it in time."""
         self.opened += 1
         connection = await open_connection(server.address, CONNECT_TIMEOUT)
         return None if isinstance(connection, NotConnected) else connection
 
     async def probe(self, server: ServerRecord) -> Reach:
-        """Return whether a server accepts connections."""
+        """Return whether a server accepts new connections."""
         self.opened += 1
         return await look(server.address)
 
     def release(self, server: ServerRecord, connection: ClientConnection) -> None:
-        """Keep a connection that ended an exchange cleanly."""
-        idle = self._idle[server.id]
-        idle.append(Kept(connection, server.service))
-        while len(idle) > MOST_IDLE:
-            idle.popleft().connection.close()
+        """Return a connection to the pool after a cleanly completed exchange."""
+        connections = self._idle[server.id]
+        connections.append(IdleConnection(connection, server.service))
+        while len(connections) > MAX_IDLE_PER_SERVER:
+            connections.popleft().connection.close()
 
     def handle_broken(self, server: ServerRecord) -> None:
-        """Drop what is kept for a server that left a request on such a one unanswered.
+        """Close all idle connections to a server after a reused one failed.
 
-        A path that went silent, or a server that is gone without a word, shows only so;
-        all connections to it are in the same state.
+        A request that stays unanswered on a reused connection is the only sign of a
+        broken network path or of a server that ended without closing its connections.
+        The other idle connections to that server are in the same state.
         """
-        self._times[server.service].note_closed(0.0)
-        for kept in self._idle.pop(server.id, ()):
-            kept.connection.close()
+        self._idle_times[server.service].note_closed(0.0)
+        for idle in self._idle.pop(server.id, ()):
+            idle.connection.close()
 
     def close_expired(self) -> None:
-        """Close the connections that are too old, and learn from those still open."""
+        """Close connections idle beyond their limit, and adjust the limit by them."""
         now = trio.current_time()
-        for server, idle in list(self._idle.items()):
-            while idle:
-                kept = idle[0]
-                age = now - kept.connection.idle_since
-                if age <= self._find_limit(kept, must_arrive=False):
+        for server, connections in list(self._idle.items()):
+            while connections:
+                idle = connections[0]
+                age = now - idle.connection.idle_since
+                if age <= self._find_idle_limit(idle, must_arrive=False):
                     break
-                self._look(kept, age)
-                idle.popleft().connection.close()
-            if not idle:
+                self._check_open(idle, age)
+                connections.popleft().connection.close()
+            if not connections:
                 del self._idle[server]
 
-    def _find_limit(self, kept: Kept, *, must_arrive: bool) -> float:
-        announced = kept.connection.keep_alive
-        times = self._times[kept.service]
+    def _find_idle_limit(self, idle: IdleConnection, *, must_arrive: bool) -> float:
+        announced = idle.connection.keep_alive
+        times = self._idle_times[idle.service]
         return times.find_limit(announced, must_arrive=must_arrive)
 
-    def _look(self, kept: Kept, age: float) -> bool:
-        """Return whether a connection is open, and learn how long they stay so."""
-        is_open = kept.connection.is_quiet()
+    def _check_open(self, idle: IdleConnection, age: float) -> bool:
+        """Return whether a connection is open, and adjust the service's idle limit."""
+        is_open = idle.connection.is_quiet()
         if is_open:
-            self._times[kept.service].note_open(age)
+            self._idle_times[idle.service].note_open(age)
         else:
-            self._times[kept.service].note_closed(age)
+            self._idle_times[idle.service].note_closed(age)
         return is_open
--- a/dewridge/gateway/servers.py
+++ b/dewridge/gateway/servers.py
@@ -1,4 +1,8 @@
-"""Backend servers as the store lists them; a start that left never comes back."""
+"""Table of backend server processes, as the store lists them.
+
+A server that restarts under its name is a new process with a new id. A process that has
+left is never used again.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -14,88 +18,94 @@
 )
 
 REREGISTRATION_TIME = 2.2
-"""Seconds after an outage of the store during which a missing record may come back:
-the two that servers need to write it again, and one call's slack."""
-TOLD_FOR = 4.0
-"""Seconds for which the others are told that a server left: they must know within 2 s,
-and single reports get lost."""
-USUAL_NOTICE = 2.0
-"""Seconds that a server which leaves without saying when goes on serving at least."""
-MISSING_FOR = 3.0
-"""Seconds for which a server must be missing from lists that may lag before the current
-one is asked for: readers tell of servers that left long before."""
-SETTLED_AFTER = 8.0
-"""Seconds after which a server has read most of the prefixes that it is the home of:
-twice what the busier half of them take to be asked for again."""
-LAST_USE = 0.4
-"""Seconds before a leaving server's end from which nothing is copied from it any more:
-a copy takes some hundredths, and the prompt may wait before it."""
-FORGET_AFTER = 120.0
-"""Seconds that a start which left is remembered. Reads may be answered seconds late;
-two minutes outlast any of them, and bound the memory."""
+"""Seconds after a store outage during which missing records may reappear: servers take
+up to 2 s to write them again, and the rest covers one call."""
+REPORT_TIME = 4.0
+"""Seconds for which a departure is included in reports to other hosts. They have to
+know within 2 s, and single reports get lost."""
+DEFAULT_NOTICE = 2.0
+"""Seconds for which a leaving server is assumed to keep serving if it gives no time."""
+MAX_MISSING_TIME = 3.0
+"""Seconds for which a server may be missing from lists that may be stale; after that,
+the current list has to be read. Hosts that read the store report real departures much
+sooner than this."""
+CACHE_WARMUP_TIME = 8.0
+"""Seconds after which a server has cached most of the prefixes that it is responsible
+for: twice the time within which the more frequent half of them is requested again."""
+COPY_CUTOFF = 0.4
+"""Seconds before a server stops from which nothing is copied from it any more. A copy
+takes a few hundredths of a second, but the prompt may be queued before it."""
+DEPARTURE_RETENTION = 120.0
+"""Seconds for which a departed process is remembered. Store reads may be answered
+seconds late; two minutes outlast them and bound the memory used."""
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
-    """A start of a server that left.
+class Departure:
+    """Departure of a server process; steady times.
 
     Attributes:
-        known_at: when this host learned of it.
-        gone_at: when it stops serving, as far as is known.
+        learned_at: when this host learned of it.
+        stops_at: when the process stops serving, as far as is known.
     """
 
-    known_at: float
-    gone_at: float
+    learned_at: float
+    stops_at: float
 
 
 class ServerTable:
-    """The servers that may be sent work, by start.
+    """The server processes that may be sent requests.
 
     Attributes:
-        on_left: told of each start that leaves, when it is gone, and whether another
-            host told this one.
-        drained_at: when a reclaimable server of a service last began to leave, by
+        on_left: called for each process that leaves, with its record, the time at which
+            it stops, and whether another host reported the departure.
+        drained_at: when a reclaimable server last began to drain, by service and
             failure domain.
+        version: number of changes to the table.
     """
 
     def __init__(self) -> None:
         self.on_left: Callable[[ServerRecord, float, bool], None] = lambda *_: None
         self.drained_at: dict[tuple[ServiceName, FailureDomain], float] = {}
         self._records: dict[BackendServerId, ServerRecord] = {}
-        self._left: dict[BackendServerId, Leaving] = {}
-        self._leaving: dict[BackendServerId, ServerRecord] = {}
+        self._departures: dict[BackendServerId, Departure] = {}
+        self._departing_records: dict[BackendServerId, ServerRecord] = {}
         self._joined_at: dict[BackendServerId, float] = {}
         self._missing_since: dict[BackendServerId, float] = {}
-        self._newest: dict[ServerName, ServerRecord] = {}
-        self._doubt_until = float("-inf")
+        self._newest_processes: dict[ServerName, ServerRecord] = {}
+        self._uncertain_until = float("-inf")
         self.version = 0
 
     def record_outage(self, now: float) -> None:
-        """Note that the store could not be read: records may lapse meanwhile."""
-        self._doubt_until = now + REREGISTRATION_TIME
+        """Record that the store could not be read, so that records may have expired."""
+        self._uncertain_until = now + REREGISTRATION_TIME
 
     def apply_full_list(self, records: Iterable[ServerRecord], now: float) -> None:
-        """Take over a whole list.
+        """Update the table from a current and complete list.
 
-        Records lapse while the store is away although their servers live. For the
-        time that these need to write them again, a missing record is no sign that
-        the server is gone: dropping them all would leave nothing to serve with.
+        Servers without a record are dropped, except shortly after a store outage.
+        Records expire during an outage although the servers still run, and dropping
+        them all would leave no server to send requests to.
         """
         listed = {record.id: record for record in records}
         for record in listed.values():
             self.update(record, now)
         self._missing_since.clear()
-        if now < self._doubt_until:
+        if now < self._uncertain_until:
             return
         for server in [known for known in self._records if known not in listed]:
             self.drop(server, now, "its record is gone")
 
     def merge_stale_list(self, records: Iterable[ServerRecord], now: float) -> bool:
-        """Take over a list that may be seconds old; returns whether it leaves a doubt.
+        """Update the table from a list that may be seconds old.
+
+        A server missing from the list is not dropped: it may have started since, or its
+        record may have expired and been written again, and a server dropped by mistake
+        never gets requests again.
 
-        A server that is missing there may have started since, or its record may have
-        lapsed and come back, so that nothing is dropped for it: a server dropped by
-        mistake never gets work again. One that stays missing raises a doubt.
+        Returns:
+            Whether some server has been missing for so long that the current list has
+            to be read.
         """
         listed = {record.id: record for record in records}
         for record in listed.values():
@@ -105,19 +115,23 @@
             for server in self._records
             if server not in listed
         }
-        return any(now - since > MISSING_FOR for since in self._missing_since.values())
+        return any(
+            now - since > MAX_MISSING_TIME for since in self._missing_since.values()
+        )
 
     def update(self, record: ServerRecord, now: float) -> None:
-        """Take over one record; one that says it leaves counts as left.
+        """Update the table from one record; a draining server counts as departed.
 
-        A server that crashed may start again under its name, and a read that lags
-        still brings its earlier start. Taken for the later one, its leaving would end
-        a server that just came; and what ran, was read or was counted there is gone.
+        A record of an earlier process under the same name is ignored. A crashed server
+        may restart while a stale read still returns its earlier process; taken for the
+        new one, a draining record of that process would remove a running server.
+        Requests, caches and counters of the earlier process do not carry over.
         """
         if record.is_draining:
-            # Also of a server that another host told of: that word has no reason.
-            self._note_draining(record, now)
-        if record.id in self._left or not self._is_newest_start(record, now):
+            # Applies also if another host reported the departure: such a report does
+            # not say whether the server drains.
+            self._record_draining(record, now)
+        if record.id in self._departures or not self._is_newest_process(record, now):
             return
         if record.is_draining:
             self.drop(record.id, now, "it drains", record.leaves_in)
@@ -129,17 +143,17 @@
             self._records[record.id] = record
             self.version += 1
 
-    def _note_draining(self, record: ServerRecord, now: float) -> None:
-        self._leaving[record.id] = record
+    def _record_draining(self, record: ServerRecord, now: float) -> None:
+        self._departing_records[record.id] = record
         if record.is_reclaimable:
             self.drained_at[record.service, record.failure_domain] = now
 
-    def _is_newest_start(self, record: ServerRecord, now: float) -> bool:
-        """Whether no later start has the name; ends the earlier start if this has."""
-        known = self._newest.get(record.name)
+    def _is_newest_process(self, record: ServerRecord, now: float) -> bool:
+        """Return whether no later process has the name; drop the earlier one if so."""
+        known = self._newest_processes.get(record.name)
         if known is not None and record.started_at_ms < known.started_at_ms:
             return False
-        self._newest[record.name] = record
+        self._newest_processes[record.name] = record
         if known is not None and known.id != record.id:
             self.drop(known.id, now, "it started again", leaves_in=0.0)
         return True
@@ -153,19 +167,19 @@
         *,
         is_reported: bool = False,
     ) -> None:
-        """Send nothing more to a start of a server, whatever is read later.
+        """Remove a server process for good, whatever the store returns later.
 
         Args:
-            server: the start.
+            server: the process.
             now: steady time.
-            reason: for the log.
+            reason: reason for the log.
             leaves_in: seconds until it stops serving; None if unknown.
-            is_reported: whether another host told this one.
+            is_reported: whether another host reported the departure.
         """
-        if server in self._left:
+        if server in self._departures:
             return
-        notice = USUAL_NOTICE if leaves_in is None else leaves_in
-        leaving = self._left[server] = Leaving(now, now + notice)
+        notice = DEFAULT_NOTICE if leaves_in is None else leaves_in
+        departure = self._departures[server] = Departure(now, now + notice)
         record = self._records.pop(server, None)
         self._joined_at.pop(server, None)
         if record is not None:
@@ -173,37 +187,37 @@
                 "server left"
             )
             self.version += 1
-            self.on_left(record, leaving.gone_at, is_reported)
-        if len(self._left) > 1000:
-            self._forget(now)
+            self.on_left(record, departure.stops_at, is_reported)
+        if len(self._departures) > 1000:
+            self._drop_expired(now)
 
-    def find_leaving(self, server: BackendServerId) -> Leaving | None:
-        """Return when a start that left is gone; None if it did not leave."""
-        return self._left.get(server)
+    def find_departure(self, server: BackendServerId) -> Departure | None:
+        """Return the departure of a server process; None if it has not left."""
+        return self._departures.get(server)
 
     def list_recently_left(self, now: float) -> dict[BackendServerId, float]:
-        """Return the starts that left lately, to tell other hosts.
+        """Return the server processes that left recently, for reports to other hosts.
 
         Returns:
-            Seconds until each stops serving, by start.
+            Seconds until each of them stops serving.
         """
         recent = {}
-        for server, leaving in reversed(self._left.items()):
-            if now - leaving.known_at > TOLD_FOR:
+        for server, departure in reversed(self._departures.items()):
+            if now - departure.learned_at > REPORT_TIME:
                 break
-            recent[server] = round(max(0.0, leaving.gone_at - now), 2)
+            recent[server] = round(max(0.0, departure.stops_at - now), 2)
         return recent
 
-    def _forget(self, now: float) -> None:
-        self._left = {
-            server: leaving
-            for server, leaving in self._left.items()
-            if now - leaving.known_at < FORGET_AFTER
+    def _drop_expired(self, now: float) -> None:
+        self._departures = {
+            server: departure
+            for server, departure in self._departures.items()
+            if now - departure.learned_at < DEPARTURE_RETENTION
         }
-        self._newest = {
+        self._newest_processes = {
             name: record
-            for name, record in self._newest.items()
-            if record.id in self._records or record.id in self._left
+            for name, record in self._newest_processes.items()
+            if record.id in self._records or record.id in self._departures
         }
 
     def list_service(self, service: ServiceName) -> list[ServerRecord]:
@@ -212,28 +226,33 @@
             record for record in self._records.values() if record.service == service
         ]
 
-    def list_settled(self, service: ServiceName, now: float) -> list[ServerRecord]:
-        """Return the servers of a service that have been there for some time.
+    def list_cache_warm(self, service: ServiceName, now: float) -> list[ServerRecord]:
+        """Return the servers of a service that have had time to fill their caches.
 
-        Among them those that leave, as long as they surely serve.
+        Leaving servers are included as long as they surely still serve.
         """
-        self._leaving = {
+        self._departing_records = {
             server: record
-            for server, record in self._leaving.items()
-            if server in self._left and self._left[server].gone_at > now + LAST_USE
+            for server, record in self._departing_records.items()
+            if server in self._departures
+            and self._departures[server].stops_at > now + COPY_CUTOFF
         }
-        leaving = [one for one in self._leaving.values() if one.service == service]
-        settled = [
+        departing = [
+            leaver
+            for leaver in self._departing_records.values()
+            if leaver.service == service
+        ]
+        cache_warm = [
             record
             for record in self.list_service(service)
-            if now - self._joined_at[record.id] > SETTLED_AFTER
+            if now - self._joined_at[record.id] > CACHE_WARMUP_TIME
         ]
-        return [*settled, *leaving]
+        return [*cache_warm, *departing]
 
     def find(self, server: BackendServerId) -> ServerRecord | None:
-        """Return a server's record; None if it is not there any more."""
+        """Return the record of a server process; None if it is not in the table."""
         return self._records.get(server)
 
     def list_all(self) -> list[ServerRecord]:
-        """Return all servers."""
+        """Return the records of all servers."""
         return list(self._records.values())
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -208,7 +208,7 @@
             code=failure.code.name if failure else "",
             reason=failure.reason if failure else note,
             **describe_suspect(self._state, job),
-            servers=",".join(job.tried) if job else "",
+            servers=",".join(job.tried_servers) if job else "",
             is_whole=out.is_finished,
             ms=round((now - began) * 1000, 1),
             version=self._state.configuration.version,
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -1,8 +1,9 @@
-"""The store's copy of the requests that are set aside, for hosts that start.
+"""Copies of the quarantined requests in the store, for hosts that start.
 
-Hosts tell each other of them, but all hosts may be killed in one moment. Each such
-request has a key under a lease as long as its hold, beside the hosts' registrations:
-every host reads that list anyway, so that the copy costs two calls a request.
+Hosts report suspects to each other, but all hosts may be killed at the same moment.
+Each quarantined request has a key in the store under a lease that lasts as long as its
+quarantine. The keys lie beside the hosts' registrations, which every host reads anyway,
+so a copy costs just two calls per request.
 """
 
 import time
@@ -21,27 +22,27 @@
 from dewridge.sentinels import Failure
 
 SUSPECTS_PREFIX = PREFIX + "suspects/"
-LOOK_PERIOD = 0.25
-"""Seconds between two looks at what has to be written."""
-OTHERS_WRITE_FOR = 3.0
-"""Seconds that the host which saw the last end has to write it, until the holder of
-the duties does: the host may be gone, or cut off from the store."""
-MOST_KEPT = 64
-"""Requests in the store at the most; its list is read by all hosts."""
-SHORTEST_LEASE = 5.0
-"""Seconds of hold that must be left for a copy to be worth its calls."""
+POLL_INTERVAL = 0.25
+"""Seconds between two checks for copies to write or to delete."""
+FALLBACK_WRITE_DELAY = 3.0
+"""Seconds that the hosts that saw the crashes have for writing a copy before the holder
+of the duties writes it: they may have ended, or be cut off from the store."""
+MAX_STORED = 64
+"""Maximum number of copies in the store; all hosts read the whole list."""
+MIN_LEASE = 5.0
+"""Seconds of quarantine that must be left for a copy to be worth its calls."""
 
 
-class KeptSuspect(msgspec.Struct, frozen=True):
-    """A request that is set aside, as the store keeps it.
+class StoredSuspect(msgspec.Struct, frozen=True):
+    """Stored form of a quarantined request.
 
     Attributes:
-        digest: names its content.
-        account: whose it is.
-        service: whose servers ended.
-        ends: when each server ended, and when the request was sent there, in seconds
+        digest: digest of the request's content.
+        account: the account that sent it.
+        service: the service whose servers crashed.
+        ends: when each server crashed, and when the request was sent to it, in seconds
             since 1970.
-        cleared: servers whose ends count no more.
+        cleared: servers whose crashes no longer count.
     """
 
     digest: RequestDigest
@@ -52,7 +53,11 @@
 
 
 class SuspectPersistence:
-    """Writes what this host set aside, or as holder of the duties what all did."""
+    """Reads and writes the store's copies of quarantined requests.
+
+    A host writes the requests that it saw servers crash on; the holder of the duties
+    also writes those that no other host has written in time.
+    """
 
     def __init__(
         self, state: GatewayState, store: Store, has_duties: Callable[[], bool]
@@ -61,31 +66,31 @@
         self._store = store
         self._has_duties = has_duties
         self._written: set[RequestDigest] = set()
-        self._dropped: set[str] = set()
+        self._deleted: set[str] = set()
 
     def apply_item(self, item: Item) -> None:
-        """Take over a copy from the store."""
+        """Merge a copy from the store; ignore items with other keys."""
         if not item.key.startswith(SUSPECTS_PREFIX):
             return
         try:
-            kept = msgspec.json.decode(item.value, type=KeptSuspect)
+            stored = msgspec.json.decode(item.value, type=StoredSuspect)
         except msgspec.DecodeError as error:
             log.bind(key=item.key, reason=str(error)).error("suspect can't be read")
             return
-        merge_suspects(self._state, [decode_kept(kept)])
+        merge_suspects(self._state, [decode_stored(stored)])
 
     def handle_restore(self) -> None:
-        """Write all copies again; the restored store may lack them."""
+        """Have all copies written again, since the restored store may lack them."""
         self._written.clear()
-        self._dropped.clear()
+        self._deleted.clear()
 
     async def run(self) -> None:
-        """Write for ever; what the store does not take is tried again."""
+        """Write and delete copies until cancelled; failed calls are retried."""
         while True:
-            await trio.sleep(LOOK_PERIOD)
+            await trio.sleep(POLL_INTERVAL)
             if self._state.suspects.is_empty:
                 continue
-            await self._drop_cleared()
+            await self._delete_cleared()
             now = trio.current_time()
             for suspect in self._state.suspects.list_held(now):
                 if self._must_write(suspect, now):
@@ -93,58 +98,58 @@
 
     def _must_write(self, suspect: Suspect, now: float) -> bool:
         items = self._state.hosts.items
-        if suspect.digest in self._written or find_key(suspect.digest) in items:
+        if suspect.digest in self._written or make_key(suspect.digest) in items:
             return False
-        kept = sum(key.startswith(SUSPECTS_PREFIX) for key in items)
-        if kept >= MOST_KEPT or suspect.find_hold_left(now) < SHORTEST_LEASE:
+        stored = sum(key.startswith(SUSPECTS_PREFIX) for key in items)
+        if stored >= MAX_STORED or suspect.find_hold_left(now) < MIN_LEASE:
             return False
         if suspect.digest in self._state.seen_ending:
             return True
-        return self._has_duties() and now - suspect.told_at > OTHERS_WRITE_FOR
+        return self._has_duties() and now - suspect.told_at > FALLBACK_WRITE_DELAY
 
     async def _write(self, suspect: Suspect, now: float) -> None:
         lease = await self._store.grant_lease(suspect.find_hold_left(now))
         if isinstance(lease, Failure):
             return
-        value = msgspec.json.encode(encode_kept(suspect, now))
-        write = Write(find_key(suspect.digest), value, lease.id)
+        value = msgspec.json.encode(encode_stored(suspect, now))
+        write = Write(make_key(suspect.digest), value, lease.id)
         result = await self._store.change(writes=(write,))
         if not isinstance(result, Failure):
             self._written.add(suspect.digest)
-            self._dropped.discard(write.key)
+            self._deleted.discard(write.key)
 
-    async def _drop_cleared(self) -> None:
-        """Take copies away of requests that were let through again.
+    async def _delete_cleared(self) -> None:
+        """Delete the copies of requests that were released from quarantine.
 
-        A host that starts would set them aside anew, on the word of the store alone.
+        Otherwise, a host that starts would quarantine them again because of the copy.
         """
         for key in self._list_cleared():
             result = await self._store.change(drop=(key,))
             if isinstance(result, Failure):
                 return
-            self._dropped.add(key)
+            self._deleted.add(key)
 
     def _list_cleared(self) -> list[str]:
         now = trio.current_time()
         cleared = []
         for suspect in self._state.suspects.list_all():
-            key = find_key(suspect.digest)
-            is_own = suspect.digest in self._written or self._has_duties()
-            is_kept = key in self._state.hosts.items and key not in self._dropped
-            if is_own and is_kept and suspect.find_hold_left(now) <= 0:
+            key = make_key(suspect.digest)
+            is_responsible = suspect.digest in self._written or self._has_duties()
+            is_stored = key in self._state.hosts.items and key not in self._deleted
+            if is_responsible and is_stored and suspect.find_hold_left(now) <= 0:
                 cleared.append(key)
         return cleared
 
 
-def find_key(digest: RequestDigest) -> str:
-    """Return the key of a request's copy."""
+def make_key(digest: RequestDigest) -> str:
+    """Return the store key of a request's copy."""
     return SUSPECTS_PREFIX + digest
 
 
-def encode_kept(suspect: Suspect, now: float) -> KeptSuspect:
-    """Return the store's form of a request: its times are those of the calendar."""
+def encode_stored(suspect: Suspect, now: float) -> StoredSuspect:
+    """Return the stored form of a request, with wall-clock times."""
     offset = time.time() - now
-    return KeptSuspect(
+    return StoredSuspect(
         suspect.digest,
         suspect.account,
         suspect.service,
@@ -156,17 +161,17 @@
     )
 
 
-def decode_kept(kept: KeptSuspect) -> Suspect:
-    """Return a request from the store's form, with steady times of this host."""
+def decode_stored(stored: StoredSuspect) -> Suspect:
+    """Return a request from its stored form, with steady times of this host."""
     now = trio.current_time()
     offset = now - time.time()
     return Suspect(
-        kept.digest,
-        kept.account,
-        kept.service,
+        stored.digest,
+        stored.account,
+        stored.service,
         {
-            server: End(min(now, ended + offset), sent + offset)
-            for server, (ended, sent) in kept.ends.items()
+            server: End(min(now, crashed_at + offset), sent_at + offset)
+            for server, (crashed_at, sent_at) in stored.ends.items()
         },
-        set(kept.cleared),
+        set(stored.cleared),
     )
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -1,4 +1,8 @@
-"""Requests under which servers ended: noted here, told to the others, set aside."""
+"""Suspect requests: requests that servers crashed on.
+
+They are recorded here, reported to the other hosts and, after several crashes,
+quarantined, that is refused for some time.
+"""
 
 from collections.abc import Callable, Iterable
 
@@ -13,49 +17,50 @@
 from dewridge.policy.suspects import End, Suspect
 from dewridge.sentinels import Failure
 
-TOLD_FOR = 4.0
-"""Seconds for which the others are told what is new of a request: single reports get
-lost."""
-MOST_AT_ONCE = 64
-"""Requests in urgent news: as many as a server commonly runs, some 100 bytes each."""
-HELD_LOOK_PERIOD = 0.5
-"""Seconds between two looks at what is set aside, for reports: a look goes through all
-suspects, and reports are many."""
-IN_A_REPORT = 4
-"""Requests in a report of which something is new, and as many that are set aside, for
-hosts that were away; the rest follows by turns."""
+REPORT_TIME = 4.0
+"""Seconds for which an update of a suspect is repeated in reports, since single reports
+get lost."""
+MAX_URGENT_SUSPECTS = 64
+"""Maximum number of suspects in an urgent update: as many as a server commonly runs, of
+some 100 bytes each."""
+QUARANTINE_POLL_INTERVAL = 0.5
+"""Seconds for which the list of quarantined requests is cached for reports: making it
+goes through all suspects, and reports are frequent."""
+SUSPECTS_PER_REPORT = 4
+"""Maximum number of updated suspects in a report, and of quarantined ones, which are
+repeated for hosts that missed them. The others follow in later reports."""
 
 
 def check_quarantine(state: GatewayState, job: Job) -> Failure | None:
-    """Refuse a request under which servers ended, before each of its sendings.
+    """Return a refusal if the request is quarantined; checked before each attempt.
 
-    Made for a request that ends each server that begins to run it and comes again at
-    any host. It can't be served, and each sending takes along what runs beside it.
+    A request may crash each server that begins to run it and be repeated at any host.
+    It can't be served, and each attempt fails all requests running on the same server.
     """
     if state.suspects.is_empty:
         return None
-    left = state.suspects.find_hold_left(job.digest, trio.current_time())
-    if left <= 0:
+    seconds_left = state.suspects.find_hold_left(job.digest, trio.current_time())
+    if seconds_left <= 0:
         return None
     state.metrics.add("requests_set_aside_total", service=job.service)
     reason = f"servers ended under {job.digest}"
-    return Failure(ResultCode.REQUEST_SET_ASIDE, reason, left)
+    return Failure(ResultCode.REQUEST_SET_ASIDE, reason, seconds_left)
 
 
 def describe_suspect(state: GatewayState, job: Job | None) -> dict[str, str]:
-    """Return a request's digest for its line in the log, if it is suspected."""
+    """Return the log field with a request's digest; empty if it is not a suspect."""
     if job is None or state.suspects.is_empty:
         return {}
     return {"digest": job.digest} if state.suspects.find(job.digest) else {}
 
 
-def note_end(
-    state: GatewayState, job: Job, server: BackendServerId, ended_at: float
+def record_crash(
+    state: GatewayState, job: Job, server: BackendServerId, crashed_at: float
 ) -> None:
-    """Note that a server ended just as it had begun to run a request."""
+    """Record that a server crashed when it had just begun to run a request."""
     account = job.account.name if job.account else ClientAccount("")
     suspect = Suspect(
-        job.digest, account, job.service, {server: End(ended_at, job.sent_at)}
+        job.digest, account, job.service, {server: End(crashed_at, job.sent_at)}
     )
     state.metrics.add("servers_ended_under_requests_total", service=job.service)
     state.seen_ending.add(job.digest)
@@ -72,14 +77,18 @@
         state.on_suspects()
 
 
-def note_answered(state: GatewayState, job: Job) -> None:
-    """Note that a server answered a request in full: it does not end servers."""
+def record_answer(state: GatewayState, job: Job) -> None:
+    """Clear a request that a server answered in full: it does not crash servers."""
     if not state.suspects.is_empty:
         clear_suspect(state, job.digest, "answered")
 
 
 def clear_suspect(state: GatewayState, digest: RequestDigest, reason: str) -> bool:
-    """Let a request through again, on all hosts; returns whether it was suspected."""
+    """Clear a request of its crashes, which releases it from quarantine on all hosts.
+
+    Returns:
+        Whether there was anything to clear.
+    """
     if not state.suspects.clear(digest, trio.current_time()):
         return False
     log.bind(digest=digest, reason=reason).info("request cleared")
@@ -88,21 +97,27 @@
 
 
 def merge_suspects(state: GatewayState, suspects: Iterable[Suspect]) -> bool:
-    """Take over what was seen or told; returns whether any of it was new."""
+    """Merge suspects seen by this or other hosts into the ledger.
+
+    Returns:
+        Whether any of it was new.
+    """
     now = trio.current_time()
     is_new = False
     for suspect in suspects:
-        before = state.suspects.find_hold_left(suspect.digest, now)
+        left_before = state.suspects.find_hold_left(suspect.digest, now)
         if not state.suspects.merge(suspect, now):
             continue
         is_new = True
-        left = state.suspects.find_hold_left(suspect.digest, now)
-        if left > 0 and before <= 0:
-            _log_set_aside(state, suspect.digest, left)
+        seconds_left = state.suspects.find_hold_left(suspect.digest, now)
+        if seconds_left > 0 and left_before <= 0:
+            _log_quarantine(state, suspect.digest, seconds_left)
     return is_new
 
 
-def _log_set_aside(state: GatewayState, digest: RequestDigest, left: float) -> None:
+def _log_quarantine(
+    state: GatewayState, digest: RequestDigest, seconds_left: float
+) -> None:
     suspect = state.suspects.find(digest)
     assert suspect is not None
     log.bind(
@@ -110,60 +125,64 @@
         account=suspect.account,
         service=suspect.service,
         servers=",".join(sorted(suspect.ends.keys() - suspect.cleared)),
-        for_seconds=round(left, 1),
+        for_seconds=round(seconds_left, 1),
     ).warning("request set aside")
 
 
 def make_urgent_lister(state: GatewayState) -> Callable[[], list[SuspectNews]]:
-    """Return what lists the news that was not yet told at once."""
-    told_until = float("-inf")
+    """Return a function that lists the suspects updated since its last call."""
+    listed_at = float("-inf")
 
     def list_urgent() -> list[SuspectNews]:
-        nonlocal told_until
+        nonlocal listed_at
         now = trio.current_time()
-        fresh = _list_told(state, told_until)[:MOST_AT_ONCE]
-        told_until = now
-        return [encode_suspect(one, now) for one in fresh]
+        updated = _list_updated(state, listed_at)[:MAX_URGENT_SUSPECTS]
+        listed_at = now
+        return [encode_suspect(suspect, now) for suspect in updated]
 
     return list_urgent
 
 
 def make_update_lister(state: GatewayState) -> Callable[[int], list[SuspectNews]]:
-    """Return what lists the news of a report: what is new, and what is set aside.
+    """Return a function that lists the suspects for a report, given its number.
 
-    Both by turns: another part of a long list begins each report.
+    These are recently updated and quarantined suspects. Long lists are divided over
+    successive reports.
     """
-    held: list[Suspect] = []
-    looked_at = float("-inf")
+    quarantined: list[Suspect] = []
+    polled_at = float("-inf")
 
-    def list_news(turn: int) -> list[SuspectNews]:
-        nonlocal held, looked_at
+    def list_updates(turn: int) -> list[SuspectNews]:
+        nonlocal quarantined, polled_at
         if state.suspects.is_empty:
             return []
         now = trio.current_time()
-        if now - looked_at >= HELD_LOOK_PERIOD:
-            held, looked_at = state.suspects.list_held(now), now
-        told = take_turn(_list_told(state, now - TOLD_FOR), turn)
-        chosen = {one.digest: one for one in [*told, *take_turn(held, turn)]}
-        return [encode_suspect(one, now) for one in chosen.values()]
+        if now - polled_at >= QUARANTINE_POLL_INTERVAL:
+            quarantined, polled_at = state.suspects.list_held(now), now
+        updated = select_turn(_list_updated(state, now - REPORT_TIME), turn)
+        chosen = {
+            suspect.digest: suspect
+            for suspect in [*updated, *select_turn(quarantined, turn)]
+        }
+        return [encode_suspect(reported, now) for reported in chosen.values()]
 
-    return list_news
+    return list_updates
 
 
-def _list_told(state: GatewayState, begin: float) -> list[Suspect]:
-    """Return what is new since then: first where the most servers ended."""
-    told = state.suspects.list_told_since(begin)
-    return sorted(told, key=lambda one: -len(one.ends))
+def _list_updated(state: GatewayState, since: float) -> list[Suspect]:
+    """Return the suspects updated since a time, those with the most crashes first."""
+    updated = state.suspects.list_told_since(since)
+    return sorted(updated, key=lambda suspect: -len(suspect.ends))
 
 
-def take_turn(suspects: list[Suspect], turn: int) -> list[Suspect]:
-    """Return the part of a list that is told this time."""
-    begin = (turn * IN_A_REPORT) % max(1, len(suspects))
-    return [*suspects[begin:], *suspects[:begin]][:IN_A_REPORT]
+def select_turn(suspects: list[Suspect], turn: int) -> list[Suspect]:
+    """Return the part of a list that belongs into the report of a number."""
+    begin = (turn * SUSPECTS_PER_REPORT) % max(1, len(suspects))
+    return [*suspects[begin:], *suspects[:begin]][:SUSPECTS_PER_REPORT]
 
 
 def encode_suspect(suspect: Suspect, now: float) -> SuspectNews:
-    """Return a request as hosts tell of it: ages in place of this host's times."""
+    """Return a suspect's wire form, with ages in place of this host's steady times."""
     return SuspectNews(
         digest=suspect.digest,
         account=suspect.account,
@@ -176,15 +195,15 @@
     )
 
 
-def decode_suspect(news: SuspectNews, now: float) -> Suspect:
-    """Return what another host tells, with times of this host."""
+def decode_suspect(update: SuspectNews, now: float) -> Suspect:
+    """Return a suspect reported by another host, with steady times of this host."""
     return Suspect(
-        news.digest,
-        news.account,
-        news.service,
+        update.digest,
+        update.account,
+        update.service,
         {
-            server: End(now - ended / 1000, now - sent / 1000)
-            for server, (ended, sent) in news.ends.items()
+            server: End(now - crashed_ms / 1000, now - sent_ms / 1000)
+            for server, (crashed_ms, sent_ms) in update.ends.items()
         },
-        set(news.cleared),
+        set(update.cleared),
     )
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -1,4 +1,4 @@
-"""Which server gets a request, from the loads and outcomes that this host knows."""
+"""Choice of the server for a request by the loads and outcomes known to this host."""
 
 import random
 from dataclasses import dataclass
@@ -24,57 +24,60 @@
 )
 from dewridge.policy.shedding import must_shed
 
-LEAST_COPIED = 1_500
-"""Tokens of a shared part from which it is copied: less is read in some 30 ms, and a
-copy has its price."""
-ROOM_SHARE = 0.8
-"""Part of a server's slots up to which it is a good place for a moved stream."""
+MIN_COPIED_TOKENS = 1_500
+"""Size in tokens from which a shared prompt prefix is copied between servers. A shorter
+one is computed anew in some 30 ms, which does not outweigh the cost of a copy."""
+MAX_TARGET_LOAD = 0.8
+"""Share of a server's slots that may be in use for it to be preferred as the target of
+a moved stream."""
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """A server for a job's next sending.
+class ServerChoice:
+    """The server chosen for a job's next attempt.
 
     Attributes:
-        server: where to send it.
-        tokens: of the prompt that the server likely has to read.
-        is_idle: whether nothing is known to be read there before it.
-        keeper: `a.b.c.d:port` of a server that likely keeps the shared part, if this
-            one does not.
-        is_suspect: whether a server ended under the request before.
+        server: the server to send the request to.
+        unread_tokens: prompt tokens that the server probably has to process.
+        is_idle: whether no earlier prompt is known to be waiting there.
+        cache_holder: `a.b.c.d:port` of a server that probably has the shared prefix
+            cached, if the chosen one does not.
+        is_suspect: whether a server crashed while it ran this request before.
     """
 
     server: ServerRecord
-    tokens: int
+    unread_tokens: int
     is_idle: bool = False
-    keeper: str | None = None
+    cache_holder: str | None = None
     is_suspect: bool = False
 
 
-def choose_server(state: GatewayState, job: Job, now: float) -> Choice | None:
-    """Return the server for a job's next sending; None if the service has none."""
+def choose_server(state: GatewayState, job: Job, now: float) -> ServerChoice | None:
+    """Return the server for a job's next attempt; None if the service has none."""
     records = state.rollouts.choose_servers(
         job.service,
         state.servers.list_service(job.service),
-        is_first=not job.tried,
+        is_first=not job.tried_servers,
         draw=state.rng.random,
     )
-    untried = [one for one in records if one.id not in job.tried] or records
+    untried = [
+        record for record in records if record.id not in job.tried_servers
+    ] or records
     if is_suspect(state, job, now):
-        return choose_apart(state, job, untried, now)
-    candidates = weigh(state, untried, now)
-    versions = {one.version for one in records}
-    settled = {
-        one.id: one
-        for one in state.servers.list_settled(job.service, now)
-        if one.version in versions
+        return choose_isolated_server(state, job, untried, now)
+    candidates = list_candidates(state, untried, now)
+    versions = {record.version for record in records}
+    cache_warm = {
+        record.id: record
+        for record in state.servers.list_cache_warm(job.service, now)
+        if record.version in versions
     }
-    keepers = list(settled) if is_worth_copying(job) else []
-    placement = place(
+    holders = list(cache_warm) if is_worth_copying(job) else []
+    placement = choose_placement(
         job,
         candidates,
         state.rng,
-        can_copy=bool(keepers),
+        can_copy=bool(holders),
         news_age=state.sharing.news_age,
     )
     if placement is None:
@@ -82,53 +85,55 @@
     server = state.servers.find(placement.server)
     if server is None:
         return None
-    keeper = find_keeper(keepers, name_prefix(job), server.id)
-    if keeper is not None and now < state.find_health(keeper).rests_until:
-        keeper = None
-    address = None if keeper is None else settled[keeper].address
-    return Choice(server, placement.tokens, placement.is_idle, address)
+    holder = find_keeper(holders, make_prefix_name(job), server.id)
+    if holder is not None and now < state.find_health(holder).rests_until:
+        holder = None
+    address = None if holder is None else cache_warm[holder].address
+    return ServerChoice(server, placement.tokens, placement.is_idle, address)
 
 
 def is_suspect(state: GatewayState, job: Job, now: float) -> bool:
-    """Whether a server ended under this request."""
+    """Return whether a server crashed while it ran this request."""
     return (
         not state.suspects.is_empty and state.suspects.count_ends(job.digest, now) > 0
     )
 
 
-def choose_apart(
+def choose_isolated_server(
     state: GatewayState, job: Job, records: list[ServerRecord], now: float
-) -> Choice | None:
-    """Return a server where a request under which servers ended harms least.
+) -> ServerChoice | None:
+    """Return the server where a crash caused by a suspect request harms least.
 
-    If it ends that one too, the fewest others go with it; and no second suspect is
-    beside it, so that an innocent one is not blamed for the same end again.
+    The server with the fewest requests is chosen, so that the fewest are lost with it.
+    Servers that already run a suspect request are avoided, so that an innocent request
+    is not blamed for the same crash again.
     """
-    candidates = weigh(state, records, now)
+    candidates = list_candidates(state, records, now)
     chosen = choose_fewest(candidates, state.work.suspects, state.rng)
     server = None if chosen is None else state.servers.find(chosen.id)
     if server is None:
         return None
-    return Choice(server, job.request.sizes.prompt_tokens, is_suspect=True)
+    return ServerChoice(server, job.request.sizes.prompt_tokens, is_suspect=True)
 
 
 def is_worth_copying(job: Job) -> bool:
-    """Return whether a prompt's shared part is long enough to be copied."""
+    """Return whether a prompt's shared prefix is long enough to be copied."""
     shared = job.request.sizes.parts[:-1]
-    return job.is_engine and sum(part.tokens for part in shared) >= LEAST_COPIED
+    return job.is_engine and sum(part.tokens for part in shared) >= MIN_COPIED_TOKENS
 
 
-def name_prefix(job: Job) -> str:
-    """Return the name of what a prompt shares with others, for its home.
+def make_prefix_name(job: Job) -> str:
+    """Return the name of a prompt's shared prefix, which determines its cache holder.
 
-    A prompt that shares nothing has any server for its home.
+    A prompt without a shared prefix is named by its request id, which spreads such
+    prompts over all servers.
     """
     sizes = job.request.sizes
     shared = sizes.parts[:-1]
     return f"{sizes.model}/{shared[-1].id if shared else job.request.id}"
 
 
-def place(
+def choose_placement(
     job: Job,
     candidates: list[Candidate],
     rng: random.Random,
@@ -136,12 +141,12 @@
     can_copy: bool,
     news_age: float,
 ) -> Placement | None:
-    """Choose by what is known of the prompt, or by free slots for a plain service."""
+    """Choose a server by prompt and cache for an engine, else by free slots."""
     sizes = job.request.sizes
     if job.is_engine:
         return place_prompt(
             candidates,
-            name_prefix(job),
+            make_prefix_name(job),
             sum(part.tokens for part in sizes.parts[:-1]),
             sizes.prompt_tokens,
             rng,
@@ -152,38 +157,41 @@
     return None if chosen is None else Placement(chosen.id, 0)
 
 
-def is_shed(state: GatewayState, job: Job) -> bool:
-    """Return whether a job's engines have too much for work of its urgency."""
+def is_load_shed(state: GatewayState, job: Job) -> bool:
+    """Return whether a job is refused because its engines are overloaded."""
     records = state.list_serving(job.service)
     in_flight = state.count_in_flight(records)
-    slots = sum(one.slots for one in records)
+    slots = sum(record.slots for record in records)
     return must_shed(in_flight, slots, job.route.priority, state.rng.random())
 
 
-def choose_target(
+def choose_move_target(
     state: GatewayState, job: Job, source: BackendServerId, now: float
 ) -> ServerRecord | None:
     """Return the server that a stream moves to: the one with the most free slots."""
-    records = [one for one in state.list_serving(job.service) if one.id != source]
-    candidates = weigh(state, records, now)
-    with_room = [
-        one
-        for one in candidates
-        if one.is_usable and one.requests < one.slots * ROOM_SHARE
+    records = [
+        record for record in state.list_serving(job.service) if record.id != source
     ]
-    chosen = choose_least_loaded(with_room or candidates, state.rng)
+    candidates = list_candidates(state, records, now)
+    with_free_slots = [
+        candidate
+        for candidate in candidates
+        if candidate.is_usable
+        and candidate.requests < candidate.slots * MAX_TARGET_LOAD
+    ]
+    chosen = choose_least_loaded(with_free_slots or candidates, state.rng)
     return None if chosen is None else state.servers.find(chosen.id)
 
 
-def weigh(
+def list_candidates(
     state: GatewayState, records: list[ServerRecord], now: float
 ) -> list[Candidate]:
-    """Return what all hosts together have at each server, and whether it is usable."""
+    """Return the servers with their load from all hosts and whether they are usable."""
     others = state.sharing.find_summary(now)
-    healths = [state.find_health(one.id) for one in records]
+    healths = [state.find_health(server.id) for server in records]
     shares = [
-        find_fleet_share(one.id, health, others, now)
-        for one, health in zip(records, healths, strict=True)
+        compute_fleet_failure_share(server.id, health, others, now)
+        for server, health in zip(records, healths, strict=True)
     ]
     median = find_median(
         health.failure_share if share is None else share
@@ -207,10 +215,14 @@
     return candidates
 
 
-def find_fleet_share(
+def compute_fleet_failure_share(
     server: BackendServerId, health: ServerHealth, others: Summary, now: float
 ) -> float | None:
-    """Return the share of all hosts' recent attempts at a server that failed."""
+    """Return the share of all hosts' recent attempts at a server that failed.
+
+    Returns:
+        None if there were too few attempts to tell.
+    """
     elsewhere = others.servers.get(server, NOTHING)
     attempts, failures = health.recent.read(now)
     return find_failure_share(
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -10,7 +10,7 @@
 from dewridge.gateway.forwarding import Lost
 from dewridge.gateway.hosts import PREFIX
 from dewridge.gateway.jobs import Job
-from dewridge.gateway.losses import LossNotes
+from dewridge.gateway.losses import LossHandler
 from dewridge.gateway.model import AttemptKey, CallerRequest, ServerRecord, Sizes
 from dewridge.gateway.reports import SuspectNews
 from dewridge.gateway.suspectkeeping import SUSPECTS_PREFIX, SuspectPersistence
@@ -391,15 +391,15 @@
             return await look(server)
 
         world.state.pool.probe = look_slowly  # type: ignore[method-assign]
-        notes = LossNotes(world.state)
+        notes = LossHandler(world.state)
         record = world.state.servers.list_all()[0]
         next(one for one in servers if one.id == record.id).end()
         await trio.sleep(0.01)
         lost = Lost(Loss.CUT_OFF)
         async with trio.open_nursery() as staying, trio.open_nursery() as leaving:
-            leaving.start_soon(notes.note, make_job(world, b"left"), record, lost)
+            leaving.start_soon(notes.handle, make_job(world, b"left"), record, lost)
             await looked.wait()
-            staying.start_soon(notes.note, make_job(world, b"stays"), record, lost)
+            staying.start_soon(notes.handle, make_job(world, b"stays"), record, lost)
             await trio.sleep(0.01)
             leaving.cancel_scope.cancel()
         suspects = world.state.suspects.list_all()
--- a/dewridge/tests/gateway/keepers_tests.py
+++ b/dewridge/tests/gateway/keepers_tests.py
@@ -6,7 +6,7 @@
 import trio
 
 from dewridge.gateway.model import ServerRecord
-from dewridge.gateway.servers import SETTLED_AFTER, ServerTable
+from dewridge.gateway.servers import CACHE_WARMUP_TIME, ServerTable
 from dewridge.ids import BackendServerId, ServerName
 from dewridge.policy.choice import find_keeper, score_home
 from dewridge.tests.gateway.world import (
@@ -38,7 +38,7 @@
 
 def list_settled(table: ServerTable, now: float) -> list[str]:
     """Return the names of the engines from which something may be copied."""
-    return sorted(one.name for one in table.list_settled(ENGINE, now))
+    return sorted(one.name for one in table.list_cache_warm(ENGINE, now))
 
 
 def test_a_leaving_server_is_copied_from_until_shortly_before_its_end() -> None:
@@ -50,7 +50,7 @@
     table = ServerTable()
     for name in ("s-1", "s-2", "s-3"):
         table.update(make_record(name), 0.0)
-    now = SETTLED_AFTER + 1
+    now = CACHE_WARMUP_TIME + 1
     table.update(make_record("s-1", is_draining=True), now)
     table.apply_full_list(
         [make_record("s-1", is_draining=True), make_record("s-2")], now
@@ -62,8 +62,8 @@
 def test_a_server_that_has_just_come_is_not_copied_from() -> None:
     table = ServerTable()
     table.update(make_record("s-1"), 0.0)
-    table.update(make_record("s-2"), SETTLED_AFTER)
-    assert list_settled(table, SETTLED_AFTER + 1.0) == ["s-1"]
+    table.update(make_record("s-2"), CACHE_WARMUP_TIME)
+    assert list_settled(table, CACHE_WARMUP_TIME + 1.0) == ["s-1"]
 
 
 def test_the_home_before_is_found_without_a_word() -> None:
@@ -93,7 +93,7 @@
         servers = [await world.add_server(f"s-{n}", answer, ENGINE) for n in range(3)]
         table = world.state.servers
         now = trio.current_time()
-        table._joined_at = dict.fromkeys(table._joined_at, now - 2 * SETTLED_AFTER)
+        table._joined_at = dict.fromkeys(table._joined_at, now - 2 * CACHE_WARMUP_TIME)
         home = max(servers, key=lambda one: score_home(PREFIX, one.id))
         record = table.find(home.id)
         assert record is not None
--- a/dewridge/tests/gateway/pool_tests.py
+++ b/dewridge/tests/gateway/pool_tests.py
@@ -1,4 +1,4 @@
-"""Kept connections to backend servers: which are used again, and which are not."""
+"""Tests of idle connections to backend servers: which are reused and which are not."""
 
 import random
 
