--- a/dewridge/tests/gateway/moving_tests.py
+++ b/dewridge/tests/gateway/moving_tests.py
@@ -124,7 +124,7 @@
     """Let the streams know of servers that leave, as the composition root does."""
 
     def note(record: object, gone_at: float, is_told: bool) -> None:
-        world.state.streams.note_leaving(record.id, gone_at)  # type: ignore[attr-defined]
+        world.state.streams.schedule_moves(record.id, gone_at)  # type: ignore[attr-defined]
 
     world.state.servers.on_left = note
 
