--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -1,4 +1,4 @@
-"""Answers of backend servers: what reaches callers, and what must not."""
+"""Tests of backend server answers: what reaches callers, and what must not."""
 
 from dataclasses import replace
 
@@ -15,7 +15,7 @@
 )
 
 
-async def test_a_request_is_passed_on_with_the_marks_of_its_account() -> None:
+async def test_a_request_is_forwarded_with_the_headers_of_its_account() -> None:
     async with open_world() as world:
         server = await world.add_server("s-1", answer_plainly)
         answer = await world.ask(
@@ -41,10 +41,10 @@
 
 
 async def test_a_second_answer_never_reaches_the_next_caller() -> None:
-    """A server sends its answer twice.
+    """Guards against giving a caller the answer to another caller's request.
 
-    The second copy waits on the kept connection where the next request's answer is due;
-    its caller would get another's answer.
+    A server sends its answer twice. The second copy is pending on the reused connection
+    when the next request's answer is due.
     """
 
     async def answer_twice(exchange: ServerExchange) -> None:
@@ -59,14 +59,15 @@
             assert answer.body == b"for r-%d" % number
 
 
-async def test_a_late_second_answer_is_told_by_its_id() -> None:
-    """A second copy of an answer comes when the next request was already sent.
+async def test_a_late_second_answer_is_recognized_by_its_id() -> None:
+    """A second copy of an answer arrives after the next request was sent.
 
-    The connection looked quiet before, so that only the id in the copy can tell.
+    Nothing was pending on the connection before, so only the id in the copy shows that
+    it answers another request.
     """
     sent: list[bytes] = []
 
-    async def answer_the_one_before(exchange: ServerExchange) -> None:
+    async def answer_with_previous(exchange: ServerExchange) -> None:
         if sent:
             await exchange.send(sent[-1])
             await trio.sleep(0.05)
@@ -75,17 +76,17 @@
         await exchange.send(sent[-1])
 
     async with open_world() as world:
-        await world.add_server("s-1", answer_the_one_before)
+        await world.add_server("s-1", answer_with_previous)
         first = await world.ask("/read/a", request_id="r-1")
         second = await world.ask("/read/a", request_id="r-2")
     assert first.body == b"r-1"
     assert second.body in {b"r-2"} or second.status >= 500
 
 
-async def test_a_success_without_its_marks_is_not_passed_on() -> None:
-    """A server spoils an answer so that only a status is left.
+async def test_a_success_without_its_signature_is_not_forwarded() -> None:
+    """Guards against an unsigned body that the caller takes for a valid document.
 
-    The caller would take an unsigned body for a stamped letter.
+    A server sends a success status without the headers that belong to it.
     """
 
     async def answer_unsigned(exchange: ServerExchange) -> None:
@@ -98,25 +99,25 @@
     assert b"x-server-seal" not in answer.headers
 
 
-async def test_bytes_that_are_no_answer_end_as_a_failure() -> None:
+async def test_bytes_that_are_not_http_lead_to_a_failure() -> None:
     """A server sends something that is not HTTP.
 
-    The caller gets a clear failure. It does not claim that the request has not run.
+    The caller gets a failure that does not claim that the request has not run.
     """
 
-    async def answer_rubbish(exchange: ServerExchange) -> None:
+    async def answer_malformed(exchange: ServerExchange) -> None:
         await exchange.send(b"\x00\x01rubbish\r\n\r\n")
 
     async with open_world() as world:
-        await world.add_server("s-1", answer_rubbish)
+        await world.add_server("s-1", answer_malformed)
         answer = await world.ask("/write/a", method="POST", body=b"x")
     assert answer.status == 502
 
 
-async def test_a_cut_answer_is_repeated_where_the_route_allows_it() -> None:
-    """A server breaks off in the middle of an answer.
+async def test_a_request_with_a_cut_answer_is_retried_if_the_route_allows_it() -> None:
+    """A server closes the connection in the middle of an answer.
 
-    A lookup can be asked again elsewhere, and its caller should not notice.
+    An idempotent request is sent to another server, and its caller sees no failure.
     """
     sent = 0
 
@@ -139,11 +140,11 @@
     assert sent == 2
 
 
-async def test_what_may_have_run_is_never_repeated_and_never_called_not_run() -> None:
-    """A server resets the connection after it has read an upload.
+async def test_a_request_that_may_have_run_is_not_retried_or_called_not_run() -> None:
+    """Guards against running a non-idempotent request twice.
 
-    A second sending could record the reading twice; a 503 would invite the caller to do
-    that itself.
+    A server resets the connection after it has read an upload. A retry could record the
+    uploaded value twice, and a 503 would invite the caller to retry by itself.
     """
 
     async def reset(exchange: ServerExchange) -> None:
@@ -156,8 +157,8 @@
     assert sum(len(server.seen) for server in servers) == 1
 
 
-async def test_a_refusal_goes_to_another_server() -> None:
-    """A full server says that it did not run the request; another one has room."""
+async def test_a_rejected_request_goes_to_another_server() -> None:
+    """A full server reports that it did not run the request; another has free slots."""
 
     async def refuse(exchange: ServerExchange) -> None:
         await exchange.answer(b"", 503, b"X-Not-Executed: 1\r\n")
@@ -172,8 +173,8 @@
     assert [answer.status for answer in answers] == [200] * 4
 
 
-async def test_a_full_service_is_told_with_a_time_to_come_back() -> None:
-    """All servers are full. The caller is told at once, and when to return."""
+async def test_requests_to_a_full_service_are_refused_with_a_retry_time() -> None:
+    """All servers are full: the caller learns at once, and when to retry."""
 
     async def refuse(exchange: ServerExchange) -> None:
         await exchange.answer(b"", 503, b"X-Not-Executed: 1\r\n")
@@ -185,11 +186,11 @@
     assert 0 < float(answer.headers[b"retry-after"]) < 1
 
 
-async def test_an_address_that_another_server_has_now_is_left_alone() -> None:
-    """A server went and its address was given to another service.
+async def test_an_address_that_was_assigned_to_another_server_is_not_used() -> None:
+    """A server left, and its address was assigned to a server of another service.
 
-    That server says so; the request must end up at the right service, and the old start
-    never again.
+    That server reports the mismatch. The request must reach the right service, and the
+    departed server process must not be used again.
     """
 
     async def misdirect(exchange: ServerExchange) -> None:
@@ -205,9 +206,10 @@
 
 
 async def test_an_early_answer_to_a_long_upload_does_not_spoil_the_connection() -> None:
-    """A server answers before it has read a long body and goes on reading.
+    """A server answers before it has read a long body, and continues reading.
 
-    Were the connection kept, the next request would be read as the rest of that body.
+    If the connection were reused, the server would read the next request as the rest of
+    that body.
     """
 
     async def answer_early(stream: trio.SocketStream) -> None:
@@ -244,10 +246,10 @@
         assert world.state.pool.acquire_idle(moved, must_arrive=False) is None
 
 
-async def test_a_caller_that_leaves_stops_its_request() -> None:
-    """A caller closes its connection while a server works.
+async def test_a_caller_that_disconnects_stops_its_request() -> None:
+    """Guards against servers that work on requests whose callers have disconnected.
 
-    The server must not work on for nobody: its connection ends within half a second.
+    The connection to the server is closed within half a second.
     """
     is_reached = trio.Event()
     is_stopped = trio.Event()
@@ -267,11 +269,11 @@
             await is_stopped.wait()
 
 
-async def test_a_request_is_given_up_at_its_routes_timeout() -> None:
+async def test_a_request_is_abandoned_at_its_routes_timeout() -> None:
     """A server never answers.
 
-    The caller gets its final answer when the time that the operator allows is over, not
-    at its own much later deadline.
+    The caller gets a failure at the timeout that the operator configured for the route,
+    not at its own much later deadline.
     """
 
     async def hang(exchange: ServerExchange) -> None:
@@ -279,15 +281,15 @@
 
     async with open_world() as world:
         await world.add_server("s-1", hang)
-        began = trio.current_time()
+        started_at = trio.current_time()
         answer = await world.ask(
             "/write/a", method="POST", body=b"x", deadline_ms=60_000
         )
     assert answer.status == 504
-    assert trio.current_time() - began < 2.4
+    assert trio.current_time() - started_at < 2.4
 
 
-async def test_events_are_passed_on_as_they_come() -> None:
+async def test_events_are_forwarded_as_they_arrive() -> None:
     async def stream_two_parts(exchange: ServerExchange) -> None:
         await exchange.begin_stream()
         await exchange.send_events(0, 1)
@@ -299,21 +301,21 @@
         await world.add_server("s-1", stream_two_parts, ENGINE)
         stream = await world.connect()
         await stream.send_all(make_request("/draft/a", method="POST", body=b"x"))
-        got = b""
+        received = b""
         with trio.fail_after(0.15):
-            while make_event(1) not in got:
-                got += bytes(await stream.receive_some(1000))
-        assert make_event(2) not in got
+            while make_event(1) not in received:
+                received += bytes(await stream.receive_some(1000))
+        assert make_event(2) not in received
 
 
-async def test_a_resumable_stream_goes_on_elsewhere_without_a_gap() -> None:
-    """A server dies in the middle of an event.
+async def test_a_resumable_stream_continues_elsewhere_without_a_gap() -> None:
+    """A server crashes in the middle of an event.
 
-    Another one goes on after the last whole event, and the caller reads each event
+    Another one continues after the last complete event, and the caller reads each event
     once.
     """
 
-    async def die_or_resume(exchange: ServerExchange) -> None:
+    async def crash_or_resume(exchange: ServerExchange) -> None:
         await exchange.begin_stream()
         after = exchange.headers.get(b"last-event-id")
         if after is None:
@@ -325,27 +327,26 @@
         await exchange.end_stream()
 
     async with open_world(retry_slack=20) as world:
-        await world.add_server("s-1", die_or_resume, ENGINE)
-        await world.add_server("s-2", die_or_resume, ENGINE)
+        await world.add_server("s-1", crash_or_resume, ENGINE)
+        await world.add_server("s-2", crash_or_resume, ENGINE)
         answer = await world.ask("/chat/a", method="POST", body=b"x")
     assert answer.is_whole
     assert answer.body == b"".join(make_event(number) for number in range(6))
 
 
 async def test_a_cut_stream_that_may_not_be_resumed_does_not_look_complete() -> None:
-    """A server dies in the middle of a certificate's draft.
+    """Guards against a partial document that the caller takes for a complete one.
 
-    The caller must see that the end is missing; an ended answer would be filed as a
-    whole certificate.
+    A server crashes in the middle of a stream that may not be resumed.
     """
 
-    async def die(exchange: ServerExchange) -> None:
+    async def crash(exchange: ServerExchange) -> None:
         await exchange.begin_stream()
         await exchange.send_events(0, 2)
         exchange.reset()
 
     async with open_world(retry_slack=20) as world:
-        servers = [await world.add_server(f"s-{n}", die, ENGINE) for n in range(2)]
+        servers = [await world.add_server(f"s-{n}", crash, ENGINE) for n in range(2)]
         answer = await world.ask("/draft/a", method="POST", body=b"x")
     assert answer.status == 200
     assert not answer.is_whole
@@ -353,9 +354,9 @@
 
 
 async def test_an_answer_without_length_that_is_reset_is_not_complete() -> None:
-    """A server marks a stream's end only by closing, and its connection is reset.
+    """Guards against a partial answer that the caller takes for a complete one.
 
-    The caller must not read the part as the whole.
+    A server marks the end of a stream only by closing the connection, which is reset.
     """
 
     async def reset_unframed(exchange: ServerExchange) -> None:
@@ -370,7 +371,7 @@
     assert not answer.is_whole
 
 
-async def test_kept_connections_carry_many_requests() -> None:
+async def test_persistent_connections_carry_many_requests() -> None:
     async with open_world() as world:
         await world.add_server("s-1", answer_plainly)
         stream = await world.connect()
@@ -381,16 +382,16 @@
                 assert answer.status == 200
 
 
-async def test_a_failure_does_not_follow_a_stream_that_has_begun() -> None:
-    """A stream is cut, and the server that should go on answers with a failure.
+async def test_no_failure_is_sent_after_a_stream_has_begun() -> None:
+    """A stream is cut, and the server that should continue it answers with a failure.
 
-    Its caller has the head of a success. A second head would be read as events.
+    The caller already has the head of a success and would read a second head as events.
     """
-    began: list[bytes] = []
+    resumed_after: list[bytes] = []
 
     async def cut_or_fail(exchange: ServerExchange) -> None:
-        began.append(exchange.headers.get(b"last-event-id", b""))
-        if len(began) > 1:
+        resumed_after.append(exchange.headers.get(b"last-event-id", b""))
+        if len(resumed_after) > 1:
             await exchange.answer(b"out of order", 500)
             return
         await exchange.begin_stream()
@@ -405,17 +406,18 @@
         failed = world.state.metrics.read(
             "requests_total", kind="stream", outcome="cut", code="OUTCOME_UNKNOWN"
         )
-    assert began == [b"", b"2"]
+    assert resumed_after == [b"", b"2"]
     assert answer.status == 200
     assert not answer.is_whole
     assert answer.body == make_event(1) + make_event(2)
     assert failed == 1
 
 
-async def test_work_beyond_what_engines_run_is_refused_at_once() -> None:
-    """Half of the engines were reclaimed, and the rest has far more than it can run.
+async def test_requests_to_overloaded_engines_are_refused_at_once() -> None:
+    """Guards against callers that wait until their deadline before they can retry.
 
-    A caller who waits for its deadline learns too late that it must come back.
+    Half of the engines were reclaimed, and the others have far more requests than they
+    can run.
     """
 
     async def stream(exchange: ServerExchange) -> None:
@@ -425,10 +427,10 @@
     async with open_world() as world:
         server = await world.add_server("s-1", stream, ENGINE)
         world.state.work.requests[server.id] = 8 * 4
-        began = trio.current_time()
+        started_at = trio.current_time()
         answer = await world.ask("/draft/a")
-        took = trio.current_time() - began
+        seconds = trio.current_time() - started_at
     assert answer.status == 503
     assert float(answer.headers[b"retry-after"]) > 0
-    assert took < 0.5
+    assert seconds < 0.5
     assert server.seen == []
--- a/dewridge/tests/gateway/digests_tests.py
+++ b/dewridge/tests/gateway/digests_tests.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same."""
+"""Tests of digests that identify requests by their content."""
 
 from dewridge.gateway.digests import make_digest
 from dewridge.gateway.model import AccountKey, AttemptKey, CallerRequest, Sizes
@@ -26,13 +26,16 @@
     )
 
 
-def test_a_repeat_under_another_id_has_the_same_digest() -> None:
+def test_a_repeated_request_with_another_id_has_the_same_digest() -> None:
     first = make_digest(make_request("r-1"), ACCOUNT)
     assert make_digest(make_request("r-2"), ACCOUNT) == first
 
 
 def test_other_content_and_other_accounts_have_other_digests() -> None:
-    """Parts that run into each other would let one account name another's request."""
+    """Guards against digests of concatenated parts without their boundaries.
+
+    With these, an account could make a request with the digest of another account's.
+    """
     requests = [
         (make_request(), ACCOUNT),
         (make_request(), ClientAccount("account-2")),
--- a/dewridge/tests/gateway/keepers_tests.py
+++ b/dewridge/tests/gateway/keepers_tests.py
@@ -1,4 +1,4 @@
-"""Copying the shared part of a prompt from the server that has read it."""
+"""Tests of copying the shared prefix of a prompt from the server that has it cached."""
 
 from collections import Counter
 from dataclasses import replace
@@ -36,16 +36,16 @@
     )
 
 
-def list_settled(table: ServerTable, now: float) -> list[str]:
-    """Return the names of the engines from which something may be copied."""
-    return sorted(one.name for one in table.list_cache_warm(ENGINE, now))
+def list_cache_warm(table: ServerTable, now: float) -> list[str]:
+    """Return the names of the engines that prefixes may be copied from."""
+    return sorted(record.name for record in table.list_cache_warm(ENGINE, now))
 
 
 def test_a_leaving_server_is_copied_from_until_shortly_before_its_end() -> None:
-    """A failure domain is reclaimed on two seconds' notice.
+    """Guards against cached prefixes that are lost with a reclaimed failure domain.
 
-    What its servers have read is read anew elsewhere, just when there are fewest; for
-    two seconds it can still be copied. From a server that crashed nothing can.
+    Otherwise the prefixes would be processed again on fewer servers. They can be copied
+    during the two seconds' notice of a leaving server, but not from a crashed one.
     """
     table = ServerTable()
     for name in ("s-1", "s-2", "s-3"):
@@ -55,34 +55,37 @@
     table.apply_full_list(
         [make_record("s-1", is_draining=True), make_record("s-2")], now
     )
-    assert list_settled(table, now + 1.0) == ["s-1", "s-2"]
-    assert list_settled(table, now + 1.8) == ["s-2"]
+    assert list_cache_warm(table, now + 1.0) == ["s-1", "s-2"]
+    assert list_cache_warm(table, now + 1.8) == ["s-2"]
 
 
-def test_a_server_that_has_just_come_is_not_copied_from() -> None:
+def test_a_server_that_has_just_joined_is_not_copied_from() -> None:
     table = ServerTable()
     table.update(make_record("s-1"), 0.0)
     table.update(make_record("s-2"), CACHE_WARMUP_TIME)
-    assert list_settled(table, CACHE_WARMUP_TIME + 1.0) == ["s-1"]
+    assert list_cache_warm(table, CACHE_WARMUP_TIME + 1.0) == ["s-1"]
 
 
-def test_the_home_before_is_found_without_a_word() -> None:
-    """A server comes and becomes the home of prefixes that it has not read."""
+def test_the_previous_cache_holder_is_computed_without_communication() -> None:
+    """A server joins and becomes the cache holder of prefixes that it has not cached.
+
+    Each host can compute which server was the holder before.
+    """
     before = [BackendServerId(f"s-{number}") for number in range(3)]
     new = BackendServerId("s-new")
-    keepers = Counter[str]()
+    previous_holders = Counter[str]()
     for number in range(200):
         prefix = f"p{number}"
-        home = max([*before, new], key=lambda one: score_home(prefix, one))
-        keeper = find_keeper(before, prefix, home)
-        assert (keeper is None) == (home != new)
-        keepers[str(keeper)] += 1
-    assert 30 < 200 - keepers["None"] < 70
+        holder = max([*before, new], key=lambda server: score_home(prefix, server))
+        previous_holder = find_keeper(before, prefix, holder)
+        assert (previous_holder is None) == (holder != new)
+        previous_holders[str(previous_holder)] += 1
+    assert 30 < 200 - previous_holders["None"] < 70
     assert find_keeper([], "p", new) is None
 
 
-async def test_an_engine_is_told_where_the_shared_part_is_kept() -> None:
-    """The home of a shared part has left, and another server gets the prompt."""
+async def test_an_engine_gets_the_address_of_the_cache_holder() -> None:
+    """The cache holder of a prefix leaves, and another server gets the prompt."""
 
     async def answer(exchange: ServerExchange) -> None:
         await exchange.begin_stream()
@@ -94,22 +97,24 @@
         table = world.state.servers
         now = trio.current_time()
         table._joined_at = dict.fromkeys(table._joined_at, now - 2 * CACHE_WARMUP_TIME)
-        home = max(servers, key=lambda one: score_home(PREFIX, one.id))
-        record = table.find(home.id)
+        holder = max(servers, key=lambda server: score_home(PREFIX, server.id))
+        record = table.find(holder.id)
         assert record is not None
         await world.ask("/draft/a", method="POST", body=b"x", extra=PARTS)
         table.update(replace(record, is_draining=True), now)
         await world.ask(
             "/draft/a", method="POST", body=b"x", extra=PARTS, request_id="r-2"
         )
-    (first,) = home.seen
-    second = next(one.seen[0] for one in servers if one is not home and one.seen)
+    (first,) = holder.seen
+    second = next(
+        server.seen[0] for server in servers if server is not holder and server.seen
+    )
     assert b"kv-fetch" not in first.headers
     assert second.headers[b"kv-fetch"] == record.address.encode()
 
 
 async def test_a_caller_cannot_name_a_server_to_copy_from() -> None:
-    """A caller sends the header itself, to read another account's prompt."""
+    """Guards against callers that send the header to read another account's prompt."""
 
     async def answer(exchange: ServerExchange) -> None:
         await exchange.begin_stream()
--- a/dewridge/tests/gateway/pool_tests.py
+++ b/dewridge/tests/gateway/pool_tests.py
@@ -16,10 +16,14 @@
 
 
 def use_connections(closes_after: float, announced: float | None) -> tuple[int, int]:
-    """Replay one host's requests to one server for ten minutes.
+    """Simulate one host's requests to one server over some twenty minutes.
+
+    Args:
+        closes_after: seconds after which the server closes idle connections.
+        announced: seconds that it announces; None if it announces nothing.
 
     Returns:
-        Connections used again, and those of them that the server had closed.
+        Connections that were reused, and those of them that the server had closed.
     """
     rng = random.Random(1)
     times = IdleTime()
@@ -36,20 +40,21 @@
     return reused, lost
 
 
-def test_connections_are_kept_as_long_as_servers_show_to_keep_them() -> None:
-    """Each host sends a request each two seconds to a server.
+def test_connections_are_reused_as_long_as_servers_keep_them_open() -> None:
+    """Guards against a new connection for nearly every request.
 
-    Used again for 0.6 s only, nearly every request needs a new connection.
+    Each host sends a request to a server every two seconds, while an idle connection is
+    at first reused for 0.6 s only.
     """
     reused, lost = use_connections(closes_after=60.0, announced=10.0)
     assert reused > 450
     assert lost == 0
 
 
-def test_a_server_that_closes_sooner_than_it_says_loses_few_requests() -> None:
-    """A server announces ten seconds and closes after one and a half.
+def test_a_server_that_closes_sooner_than_announced_loses_few_requests() -> None:
+    """A server announces ten seconds and closes connections after one and a half.
 
-    A request that may not be repeated is lost if it is sent just then.
+    A request that may not be retried is lost if it is sent on a closed connection.
     """
     reused, lost = use_connections(closes_after=1.5, announced=10.0)
     assert reused > 60
@@ -70,9 +75,10 @@
 
 
 async def test_requests_on_a_path_that_went_silent_lose_one_connection() -> None:
-    """A server's host loses power after an answer, and its connections stay open.
+    """Guards against losing a request on each idle connection to a dead server.
 
-    The first request sent on one of them is lost; the others must not follow it.
+    A server's host loses power, and its connections stay open. The first request that
+    is sent on one of them is lost; further requests must not use the others.
     """
     answered = 0
 
@@ -89,7 +95,7 @@
         server = await world.add_server("s-1", answer_three)
         async with trio.open_nursery() as nursery:
             for number in range(3):
-                nursery.start_soon(ask_once, world, f"r-{number}")
+                nursery.start_soon(send_one_request, world, f"r-{number}")
         record = world.state.servers.find(server.id)
         assert record is not None
         answer = await world.ask("/write/a", method="POST", body=b"x", request_id="w")
@@ -98,14 +104,12 @@
         assert world.state.pool.reused == 1
 
 
-async def ask_once(world: World, request: str) -> None:
-    """Send one request."""
-    await world.ask("/read/a", request_id=request)
+async def send_one_request(world: World, request_id: str) -> None:
+    """Send a request and ignore its answer."""
+    await world.ask("/read/a", request_id=request_id)
 
 
-async def test_a_request_that_may_not_be_repeated_uses_a_fresh_connection_again() -> (
-    None
-):
+async def test_a_request_that_may_not_be_retried_reuses_a_recent_connection() -> None:
     async with open_world() as world:
         await world.add_server("s-1", answer_plainly)
         for number in range(4):
