--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -36,11 +36,11 @@
         self._probes: dict[BackendServerId, _Probe] = {}
 
     async def handle(self, job: Job, server: ServerRecord, lost: Lost) -> None:
-        """Update the server's health, and the request's suspicion or attempt count."""
+        """Apply what a lost attempt shows about its server and about its request."""
         state = self._state
         now = trio.current_time()
         reach = await self._probe_server(server) if lost.loss in CUT else None
-        self._report_loss(job, server, lost, reach, now)
+        self._record_loss(job, server, lost, reach, now)
         verdict = judge_loss(
             lost.loss,
             reach,
@@ -103,7 +103,7 @@
             case ServerVerdict.GONE:
                 health.note_failure(now, is_hard=True)
 
-    def _report_loss(
+    def _record_loss(
         self,
         job: Job,
         server: ServerRecord,
--- a/dewridge/gateway/model.py
+++ b/dewridge/gateway/model.py
@@ -108,8 +108,8 @@
     Attributes:
         slots: requests that an engine runs at once.
         memory_tokens: tokens that fit into an engine's memory.
-        has_backups: whether engines back up the memory of running requests.
-        has_moves: whether running requests can be moved between engines.
+        has_backups: whether engines support backups of the memory of requests.
+        has_moves: whether engines support moving running requests.
     """
 
     slots: int
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Pool of idle connections to backend servers."""
+"""Pool of idle connections to backend servers, retained while surely usable."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass
--- a/dewridge/gateway/servers.py
+++ b/dewridge/gateway/servers.py
@@ -238,9 +238,9 @@
             and self._departures[server].stops_at > now + COPY_CUTOFF
         }
         departing = [
-            leaver
-            for leaver in self._departing_records.values()
-            if leaver.service == service
+            leaving_server
+            for leaving_server in self._departing_records.values()
+            if leaving_server.service == service
         ]
         cache_warm = [
             record
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -164,7 +164,7 @@
             suspect.digest: suspect
             for suspect in [*updated, *select_turn(quarantined, turn)]
         }
-        return [encode_suspect(reported, now) for reported in chosen.values()]
+        return [encode_suspect(suspect, now) for suspect in chosen.values()]
 
     return list_updates
 
@@ -176,7 +176,7 @@
 
 
 def select_turn(suspects: list[Suspect], turn: int) -> list[Suspect]:
-    """Return the part of a list that belongs into the report of a number."""
+    """Return the part of a list that the report with a given number contains."""
     begin = (turn * SUSPECTS_PER_REPORT) % max(1, len(suspects))
     return [*suspects[begin:], *suspects[:begin]][:SUSPECTS_PER_REPORT]
 
