--- a/dewridge/gateway/departures.py
+++ b/dewridge/gateway/departures.py
@@ -12,7 +12,7 @@
 )
 from dewridge.gateway.sharinglink import Audience, SharingLink
 from dewridge.gateway.state import GatewayState
-from dewridge.gateway.suspects import decode_suspect, take_suspects
+from dewridge.gateway.suspects import decode_suspect, merge_suspects
 from dewridge.gateway.watching import StoreWatcher
 from dewridge.ids import BackendServerId, HostId
 
@@ -62,7 +62,7 @@
     if not suspects:
         return False
     now = trio.current_time()
-    return take_suspects(state, [decode_suspect(suspect, now) for suspect in suspects])
+    return merge_suspects(state, [decode_suspect(suspect, now) for suspect in suspects])
 
 
 def drop_reported_servers(
@@ -72,7 +72,7 @@
     previous_version = state.servers.version
     now = trio.current_time()
     for server, leaves_in in left.items():
-        state.servers.drop(server, now, f"{reporter} told", leaves_in, is_told=True)
+        state.servers.drop(server, now, f"{reporter} told", leaves_in, is_reported=True)
     return state.servers.version != previous_version
 
 
@@ -90,6 +90,6 @@
     of it from a cell peer sends nothing. With 85 hosts this takes a hundred messages; a
     report from every host to all its targets took fifteen times as many.
     """
-    state.streams.note_leaving(record.id, stops_at)
+    state.streams.schedule_moves(record.id, stops_at)
     if not is_reported_by_peer:
         link.tell_now(Audience.ALL)
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -157,7 +157,7 @@
         """Prepare for a restored store, which may lack recent writes."""
         self.metrics.add("store_restores")
         self.configuration.handle_restore()
-        self.servers.note_outage(trio.current_time())
+        self.servers.record_outage(trio.current_time())
         self.hosts.handle_restore()
         self.rollouts.note_restored()
 
@@ -222,7 +222,7 @@
             totals=self._make_totals(now),
             began=self.list_usage(windows),
             version=self.configuration.version,
-            left=self.servers.list_just_left(now),
+            left=self.servers.list_recently_left(now),
             confirmed_age=self.configuration.age,
             heard=self.sharing.list_heard_numbers(),
             holder=self.sharing.holder,
@@ -301,4 +301,4 @@
         self.observed_crashes = {
             digest for digest in self.observed_crashes if self.suspects.find(digest)
         }
-        self.pool.drop_old()
+        self.pool.close_expired()
