--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -21,7 +21,7 @@
 )
 from dewridge.gateway.directory import Directory
 from dewridge.gateway.duties import Tenancy
-from dewridge.gateway.echoes import Echoes
+from dewridge.gateway.echoes import SentReportTimes
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
 from dewridge.gateway.ingress import IngressState, Serve, handle_caller
 from dewridge.gateway.leaving import leave
@@ -35,14 +35,14 @@
 from dewridge.gateway.scaling import ScalingDuty
 from dewridge.gateway.servers import ServerTable
 from dewridge.gateway.serving import Serving
-from dewridge.gateway.sharing import Sharing
-from dewridge.gateway.sharinglink import Audience, SharingLink
+from dewridge.gateway.sharing import SharedReports
+from dewridge.gateway.sharinglink import Recipients, ReportLink
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspectkeeping import SuspectKeeper
 from dewridge.gateway.suspects import make_news_list, make_urgent_list
 from dewridge.gateway.upkeep import keep_up
 from dewridge.gateway.usage import UsageDuty
-from dewridge.gateway.usagetelling import UsageTeller
+from dewridge.gateway.usagetelling import UsageReporter
 from dewridge.gateway.watching import WATCH_WAIT, StoreWatcher
 from dewridge.http1.calls import Caller
 from dewridge.ids import FailureDomain, HostId
@@ -111,7 +111,7 @@
             self._state.hosts,
             0.0 if settings.host.is_first_start else settings.bounds.lease_ms / 1000,
             lambda: self._state.sharing.is_reader,
-            self._state.sharing.note_holder,
+            self._state.sharing.record_holder,
         )
         self._state.describe_duties = self._tenancy.describe
         self._keeper = SuspectKeeper(
@@ -125,20 +125,20 @@
             Pace(find_rate(settings.host.link_mbps)),
             metrics,
         )
-        self._teller = UsageTeller(
+        self._teller = UsageReporter(
             self._state.sharing,
             self._state.hosts,
             self._socket,
             lambda: self._state.find_window(time.time()),
             lambda: self._state.list_began(REPORTED_WINDOWS),
         )
-        self._link = SharingLink(
+        self._link = ReportLink(
             self._socket,
             self._state.sharing,
             self._state.hosts,
             FailureDomain(settings.host.failure_domain),
             self._state.make_report,
-            Echoes(self._state.host, self._state.boot),
+            SentReportTimes(self._state.host, self._state.boot),
             self._teller,
             self._state.configuration.confirm_by_peer,
         )
@@ -167,7 +167,7 @@
             configuration=ConfigurationState(find_trusted_time(settings)),
             servers=ServerTable(),
             hosts=HostTable(host),
-            sharing=Sharing(
+            sharing=SharedReports(
                 host,
                 ledger.note,
                 ledger.note_asked,
@@ -241,22 +241,24 @@
             self._settings.services.store_reads,
             state.find_part,
             state.count_heard,
-            lambda: state.sharing.readers,
+            lambda: state.sharing.reader_count,
             state.rollouts.apply_order,
         )
         rollouts = RolloutDuty(state, self._tenancy, self._store)
         self._era.on_restored.append(rollouts.note_restored)
         state.sharing.on_outcomes = state.rollouts.add_remote_count
         state.sharing.is_outcome_open = state.rollouts.is_outcome_open
-        state.sharing.on_demand = state.note_demand
+        state.sharing.on_token_demand = state.note_demand
         state.servers.on_left = partial(note_left, state, self._link)
-        state.sharing.on_news = partial(take_news, state, watcher, self._link)
-        self._link.on_left = partial(take_left, state, self._link)
-        self._link.list_left = lambda: state.servers.list_just_left(trio.current_time())
+        state.sharing.on_report = partial(take_news, state, watcher, self._link)
+        self._link.on_departures = partial(take_left, state, self._link)
+        self._link.list_departing = lambda: state.servers.list_just_left(
+            trio.current_time()
+        )
         self._link.on_suspects = partial(take_suspect_report, state, self._link)
         self._link.list_suspects = make_urgent_list(state)
         state.list_suspects = make_news_list(state)
-        state.on_suspects = partial(self._link.tell_now, Audience.ALL)
+        state.on_suspects = partial(self._link.schedule_urgent_send, Recipients.ALL)
         state.hosts.on_item = fan_out(self._keeper.take, rollouts.take)
         hosts = HostWatcher(
             self._store,
@@ -264,7 +266,7 @@
             state.hosts,
             WATCH_WAIT,
             lambda: state.sharing.is_reader,
-            lambda: state.sharing.readers,
+            lambda: state.sharing.reader_count,
         )
         tasks: list[tuple[str, Task]] = [
             ("configuration", watcher.poll_configuration),
@@ -292,7 +294,11 @@
         if not self._settings.services.cloud:
             return []
         usage = UsageDuty(
-            self._state, self._tenancy, self._store, self._cloud, self._teller.ask
+            self._state,
+            self._tenancy,
+            self._store,
+            self._cloud,
+            self._teller.request_usage,
         )
         scaling = ScalingDuty(self._state, self._tenancy, self._store, self._cloud)
         self._era.on_restored.append(scaling.note_restored)
--- a/dewridge/gateway/datagrams.py
+++ b/dewridge/gateway/datagrams.py
@@ -11,7 +11,7 @@
 from dewridge.metrics.registry import Metrics
 from dewridge.policy.pacing import Pace
 
-DATAGRAM_LIMIT = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 PeerAddress = tuple[str, int]
 
 
@@ -51,10 +51,10 @@
         self._pace = pace
         self._metrics = metrics or Metrics()
         self._socket = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
-        self._waiting: dict[Urgency, deque[Datagram]] = {
+        self._queues: dict[Urgency, deque[Datagram]] = {
             urgency: deque() for urgency in Urgency
         }
-        self._posted = trio.Event()
+        self._has_queued = trio.Event()
 
     @property
     def rate(self) -> float:
@@ -71,13 +71,13 @@
 
     async def receive(self) -> tuple[bytes, PeerAddress]:
         """Wait for a datagram; returns it with its sender's address."""
-        data, address = await self._socket.recvfrom(DATAGRAM_LIMIT)
+        data, address = await self._socket.recvfrom(MAX_DATAGRAM_BYTES)
         return data, address
 
-    def post(self, address: PeerAddress, data: bytes, urgency: Urgency) -> None:
+    def enqueue(self, address: PeerAddress, data: bytes, urgency: Urgency) -> None:
         """Send a datagram when it is its turn."""
-        self._waiting[urgency].append(Datagram(address, data))
-        self._posted.set()
+        self._queues[urgency].append(Datagram(address, data))
+        self._has_queued.set()
 
     def begin_round(self) -> None:
         """Drop what is left of the round before: the new one tells it better.
@@ -85,25 +85,25 @@
         A link that is too weak for a round then loses the last part of each, and not
         ever more time behind what goes on.
         """
-        left = self._waiting[Urgency.ROUND]
+        left = self._queues[Urgency.ROUND]
         self._metrics.add("datagrams_outdated", len(left))
         left.clear()
 
     async def run(self) -> None:
         """Send what is posted, for ever."""
         while True:
-            await self._posted.wait()
+            await self._has_queued.wait()
             wait = self._pace.find_wait(trio.current_time())
             if wait > 0:
                 await trio.sleep(wait)
-            datagram = self._take_next()
+            datagram = self._pop_next()
             if datagram is None:
-                self._posted = trio.Event()
+                self._has_queued = trio.Event()
             else:
                 await self._send(datagram)
 
-    def _take_next(self) -> Datagram | None:
-        for waiting in self._waiting.values():
+    def _pop_next(self) -> Datagram | None:
+        for waiting in self._queues.values():
             if waiting:
                 return waiting.popleft()
         return None
--- a/dewridge/gateway/departures.py
+++ b/dewridge/gateway/departures.py
@@ -5,12 +5,12 @@
 from dewridge.gateway.model import ServerRecord
 from dewridge.gateway.reports import (
     CellReport,
-    LeftReport,
-    News,
-    SuspectNews,
+    DepartureReport,
+    PeriodicReport,
     SuspectReport,
+    SuspectUpdate,
 )
-from dewridge.gateway.sharinglink import Audience, SharingLink
+from dewridge.gateway.sharinglink import Recipients, ReportLink
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import decode_suspect, take_suspects
 from dewridge.gateway.watching import StoreWatcher
@@ -18,35 +18,35 @@
 
 
 def take_news(
-    state: GatewayState, watcher: StoreWatcher, link: SharingLink, news: News
+    state: GatewayState, watcher: StoreWatcher, link: ReportLink, news: PeriodicReport
 ) -> None:
     """Take over what another host knows of the configuration and of servers."""
     watcher.note_version(news.version)
-    is_new = drop_told(state, news.host, news.left)
+    is_new = drop_told(state, news.host, news.departing_servers)
     is_new |= take_told_suspects(state, news.suspects)
     for progress in news.rollouts:
         state.rollouts.apply_progress(progress)
     if is_new and isinstance(news, CellReport):
-        link.tell_now(Audience.MATES)
+        link.schedule_urgent_send(Recipients.CELL_PEERS)
 
 
-def take_left(state: GatewayState, link: SharingLink, report: LeftReport) -> None:
+def take_left(state: GatewayState, link: ReportLink, report: DepartureReport) -> None:
     """Take over which servers leave; what comes from another cell is passed on."""
-    is_new = drop_told(state, report.host, report.left)
-    if is_new and not report.is_for_mates:
-        link.tell_now(Audience.MATES)
+    is_new = drop_told(state, report.host, report.departing_servers)
+    if is_new and not report.is_cell_local:
+        link.schedule_urgent_send(Recipients.CELL_PEERS)
 
 
 def take_suspect_report(
-    state: GatewayState, link: SharingLink, report: SuspectReport
+    state: GatewayState, link: ReportLink, report: SuspectReport
 ) -> None:
     """Take over under which requests servers ended; pass on another cell's word."""
     is_new = take_told_suspects(state, report.suspects)
-    if is_new and not report.is_for_mates:
-        link.tell_now(Audience.MATES)
+    if is_new and not report.is_cell_local:
+        link.schedule_urgent_send(Recipients.CELL_PEERS)
 
 
-def take_told_suspects(state: GatewayState, suspects: list[SuspectNews]) -> bool:
+def take_told_suspects(state: GatewayState, suspects: list[SuspectUpdate]) -> bool:
     """Take over what another host tells; returns whether any of it was new."""
     if not suspects:
         return False
@@ -67,7 +67,7 @@
 
 def note_left(
     state: GatewayState,
-    link: SharingLink,
+    link: ReportLink,
     record: ServerRecord,
     gone_at: float,
     is_told: bool,
@@ -80,4 +80,4 @@
     """
     state.streams.note_leaving(record.id, gone_at)
     if not is_told:
-        link.tell_now(Audience.ALL)
+        link.schedule_urgent_send(Recipients.ALL)
--- a/dewridge/gateway/directory.py
+++ b/dewridge/gateway/directory.py
@@ -79,7 +79,7 @@
         others = [
             one
             for one in registered
-            if one.id in summary.heard and one.id not in summary.unready
+            if one.id in summary.live_hosts and one.id not in summary.unready_hosts
         ]
         chosen = [*own, *others] if others else registered
         addresses = [entry.frontend for entry in chosen]
--- a/dewridge/gateway/duties.py
+++ b/dewridge/gateway/duties.py
@@ -8,7 +8,7 @@
 from dewridge.codes import ResultCode
 from dewridge.gateway.clock import read_boot_clock
 from dewridge.gateway.hosts import LEASE_TTL, PREFIX, HostTable, Registration
-from dewridge.gateway.reports import Holder
+from dewridge.gateway.reports import DutyHolder
 from dewridge.ids import HostId
 from dewridge.platform.cloud import Tenure
 from dewridge.platform.store import Item, Store, Write
@@ -50,7 +50,7 @@
         table: HostTable,
         lease: float,
         may_try: Callable[[], bool] = lambda: True,
-        on_taken: Callable[[Holder], None] = lambda holder: None,
+        on_taken: Callable[[DutyHolder], None] = lambda holder: None,
     ) -> None:
         self._host = host
         self._mark = f"{host}/{boot}".encode()
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -62,7 +62,7 @@
     metrics.set_gauge("configuration_age_seconds", state.configuration.age)
     metrics.set_gauge("hosts", state.hosts.count())
     metrics.set_gauge("hosts_silent", len(state.list_silent()))
-    metrics.set_gauge("reports_heard", state.sharing.reports_heard)
+    metrics.set_gauge("reports_heard", state.sharing.reports_received)
     metrics.set_gauge("reports_missed", state.sharing.reports_missed)
     held = len(state.suspects.list_held(trio.current_time()))
     metrics.set_gauge("requests_suspected", len(state.suspects.list_all()))
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -92,7 +92,7 @@
         ],
         "reports": {
             "period_seconds": round(state.sharing.period, 3),
-            "heard": state.sharing.reports_heard,
+            "heard": state.sharing.reports_received,
             "missed": state.sharing.reports_missed,
             "datagrams_sent": state.metrics.read("datagrams_sent"),
             "datagram_bytes_sent": state.metrics.read("datagram_bytes_sent"),
--- a/dewridge/gateway/reports.py
+++ b/dewridge/gateway/reports.py
@@ -15,19 +15,19 @@
 from dewridge.policy.cells import CellName
 from dewridge.policy.rollouts import Stage
 
-Holder = tuple[int, HostId]
+DutyHolder = tuple[int, HostId]
 """Fencing token and name of a holder of the duties; a later one has a higher token."""
-NOBODY: Holder = (0, HostId(""))
+NO_HOLDER: DutyHolder = (0, HostId(""))
 UsageCounts = dict[int, dict[ClientAccount, int]]
 """Requests of each account that began to run, by usage window."""
-Start = tuple[HostId, int]
+HostIncarnation = tuple[HostId, int]
 """One start of a host."""
-OutcomeName = NewType("OutcomeName", str)
+OutcomeKey = NewType("OutcomeKey", str)
 """Key of a counter: revision of a rollout order, version, kind of count and route."""
 REPORTED_WINDOWS = 4
 """Usage windows that hosts tell of: the one that runs and those whose sum is due."""
 
-TENTHS = 10
+TENTHS_PER_ATTEMPT = 10
 """Parts of an attempt that outcomes are told in."""
 
 
@@ -55,27 +55,27 @@
         )
 
 
-NOTHING = ServerTotals()
+ZERO_SERVER_TOTALS = ServerTotals()
 
 
 class Totals(msgspec.Struct, frozen=True, array_like=True):
     """Running totals since the sender's start, and what goes on now.
 
     Attributes:
-        used: units of quota that each account used.
-        asked: units of quota that each account asked for, refused ones included.
-        demand: prompt tokens that arrived for each service.
+        quota_usage: units of quota that each account used.
+        quota_demand: units of quota that each account asked for, refused ones included.
+        token_demand: prompt tokens that arrived for each service.
         servers: what goes on at each server. One table of whole numbers takes half of
             the bytes of two with fractions, and datagrams beyond 4 KB get lost.
         outcomes: counts of answers and bad answers of both versions of each rollout
             in progress.
     """
 
-    used: dict[ClientAccount, int] = {}
-    asked: dict[ClientAccount, int] = {}
-    demand: dict[ServiceName, int] = {}
+    quota_usage: dict[ClientAccount, int] = {}
+    quota_demand: dict[ClientAccount, int] = {}
+    token_demand: dict[ServiceName, int] = {}
     servers: dict[BackendServerId, ServerTotals] = {}
-    outcomes: dict[OutcomeName, int] = {}
+    outcomes: dict[OutcomeKey, int] = {}
 
 
 class RolloutProgress(msgspec.Struct, frozen=True):
@@ -100,21 +100,21 @@
     duration: float
 
 
-class SuspectNews(msgspec.Struct, frozen=True, array_like=True):
+class SuspectUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A request under which servers ended.
 
     Attributes:
         digest: names its content.
         account: whose it is; empty on an anonymous route.
         service: whose servers ended.
-        ends: milliseconds since each server ended, and since the request went there.
+        crashes: milliseconds since each server ended, and since the request went there.
         cleared: servers whose ends count no more.
     """
 
     digest: RequestDigest
     account: ClientAccount
     service: ServiceName
-    ends: dict[BackendServerId, tuple[int, int]]
+    crashes: dict[BackendServerId, tuple[int, int]]
     cleared: list[BackendServerId] = []
 
 
@@ -128,12 +128,13 @@
         is_ready: whether callers may be sent to it.
         age: seconds since the start.
         totals: the host's own.
-        began: requests of each account that began to run, by usage window.
+        usage_counts: requests of each account that began to run, by usage window.
         version: configuration in force there; 0 for none.
-        left: servers that left lately, with the seconds until each stops serving; none
-            of them comes back under that name.
+        departing_servers: servers that left lately, with the seconds until each stops
+            serving; none of them comes back under that name.
         confirmed_age: seconds since that version was surely the newest.
-        heard: start and number of the last report that the sender heard of each host.
+        last_received: start and number of the last report that the sender heard of
+            each host.
         holder: the holder of the duties that the sender knows.
         suspects: requests under which servers ended.
         rollouts: progress of the rollouts that the sender knows.
@@ -145,13 +146,13 @@
     is_ready: bool
     age: float
     totals: Totals
-    began: UsageCounts = {}
+    usage_counts: UsageCounts = {}
     version: int = 0
-    left: dict[BackendServerId, float] = {}
+    departing_servers: dict[BackendServerId, float] = {}
     confirmed_age: float = float("inf")
-    heard: dict[HostId, tuple[int, int]] = {}
-    holder: Holder = NOBODY
-    suspects: list[SuspectNews] = []
+    last_received: dict[HostId, tuple[int, int]] = {}
+    holder: DutyHolder = NO_HOLDER
+    suspects: list[SuspectUpdate] = []
     rollouts: list[RolloutProgress] = []
 
 
@@ -167,7 +168,8 @@
         unready: those of them to which callers should not be sent.
         totals: sums over the cell, counted since the sender's start.
         version: configuration in force at the sender; 0 for none.
-        left: servers that left lately, with the seconds until each stops serving.
+        departing_servers: servers that left lately, with the seconds until each stops
+            serving.
         holder: the holder of the duties that the sender knows.
         suspects: requests under which servers ended.
         rollouts: progress of the rollouts that the sender knows.
@@ -181,9 +183,9 @@
     unready: list[HostId]
     totals: Totals
     version: int = 0
-    left: dict[BackendServerId, float] = {}
-    holder: Holder = NOBODY
-    suspects: list[SuspectNews] = []
+    departing_servers: dict[BackendServerId, float] = {}
+    holder: DutyHolder = NO_HOLDER
+    suspects: list[SuspectUpdate] = []
     rollouts: list[RolloutProgress] = []
 
 
@@ -192,21 +194,21 @@
 
     host: HostId
     boot: int
-    began: UsageCounts
+    usage_counts: UsageCounts
 
 
-class LeftReport(msgspec.Struct, frozen=True, array_like=True, tag="left"):
+class DepartureReport(msgspec.Struct, frozen=True, array_like=True, tag="left"):
     """Urgent news of servers that left; the usual reports repeat it.
 
     Attributes:
         host: who tells it.
-        left: seconds until each stops serving.
-        is_for_mates: whether it comes from the own cell and goes no further.
+        departing_servers: seconds until each stops serving.
+        is_cell_local: whether it comes from the own cell and goes no further.
     """
 
     host: HostId
-    left: dict[BackendServerId, float]
-    is_for_mates: bool
+    departing_servers: dict[BackendServerId, float]
+    is_cell_local: bool
 
 
 class SuspectReport(msgspec.Struct, frozen=True, array_like=True, tag="suspects"):
@@ -215,12 +217,12 @@
     Attributes:
         host: who tells it.
         suspects: the requests.
-        is_for_mates: whether it comes from the own cell and goes no further.
+        is_cell_local: whether it comes from the own cell and goes no further.
     """
 
     host: HostId
-    suspects: list[SuspectNews]
-    is_for_mates: bool
+    suspects: list[SuspectUpdate]
+    is_cell_local: bool
 
 
 class UsageReport(msgspec.Struct, frozen=True, array_like=True, tag="usage"):
@@ -242,7 +244,7 @@
     usage: list[HostUsage]
 
 
-class UsageHeard(msgspec.Struct, frozen=True, array_like=True, tag="heard"):
+class UsageConfirmation(msgspec.Struct, frozen=True, array_like=True, tag="heard"):
     """The holder's confirmation of a word on usage.
 
     Attributes:
@@ -251,24 +253,24 @@
         number: of the word.
     """
 
-    holder: Holder
+    holder: DutyHolder
     boot: int
     number: int
 
 
-class UsageQuestion(msgspec.Struct, frozen=True, array_like=True, tag="question"):
+class UsageRequest(msgspec.Struct, frozen=True, array_like=True, tag="question"):
     """The holder of the duties lacks a host's counts and asks for them."""
 
-    holder: Holder
+    holder: DutyHolder
 
 
-News = Report | CellReport
-Message = (
+PeriodicReport = Report | CellReport
+HostMessage = (
     Report
     | CellReport
-    | LeftReport
+    | DepartureReport
     | SuspectReport
     | UsageReport
-    | UsageHeard
-    | UsageQuestion
+    | UsageConfirmation
+    | UsageRequest
 )
--- a/dewridge/gateway/rollouts.py
+++ b/dewridge/gateway/rollouts.py
@@ -17,7 +17,7 @@
     ServerRecord,
     ServerVersion,
 )
-from dewridge.gateway.reports import OutcomeName, RolloutProgress
+from dewridge.gateway.reports import OutcomeKey, RolloutProgress
 from dewridge.ids import ServiceName
 from dewridge.policy.losses import Loss
 from dewridge.policy.rollouts import (
@@ -114,11 +114,9 @@
         outcomes: answers and bad answers counted by this host.
     """
 
-    outcomes: dict[OutcomeName, int] = field(default_factory=lambda: defaultdict(int))
+    outcomes: dict[OutcomeKey, int] = field(default_factory=lambda: defaultdict(int))
     _progress: dict[ServiceName, RolloutProgress] = field(default_factory=dict)
-    _totals: dict[OutcomeName, float] = field(
-        default_factory=lambda: defaultdict(float)
-    )
+    _totals: dict[OutcomeKey, float] = field(default_factory=lambda: defaultdict(float))
     _latencies: dict[RouteName, TypicalLatency] = field(
         default_factory=lambda: defaultdict(TypicalLatency)
     )
@@ -192,11 +190,11 @@
             if order in orders
         }
 
-    def is_outcome_open(self, name: OutcomeName) -> bool:
+    def is_outcome_open(self, name: OutcomeKey) -> bool:
         """Whether a counter belongs to a rollout that has not ended."""
         return self._find_open_rollout(name) is not None
 
-    def _find_open_rollout(self, name: OutcomeName) -> RolloutProgress | None:
+    def _find_open_rollout(self, name: OutcomeKey) -> RolloutProgress | None:
         order = name.partition("/")[0]
         for progress in self._progress.values():
             if str(progress.order) == order and progress.stage not in FINAL:
@@ -303,11 +301,11 @@
             self._count(make_outcome_name(progress.order, side, BAD, route))
             self._judge(progress)
 
-    def _count(self, name: OutcomeName) -> None:
+    def _count(self, name: OutcomeKey) -> None:
         self.outcomes[name] += 1
         self._totals[name] += 1
 
-    def add_remote_count(self, name: OutcomeName, increase: float) -> None:
+    def add_remote_count(self, name: OutcomeKey, increase: float) -> None:
         """Add the increase of a counter at other hosts."""
         progress = self._find_open_rollout(name)
         if progress is not None:
@@ -342,14 +340,12 @@
             ).warning("rollout target judged bad")
 
 
-def make_outcome_name(
-    order: int, side: str, kind: str, route: RouteName
-) -> OutcomeName:
+def make_outcome_name(order: int, side: str, kind: str, route: RouteName) -> OutcomeKey:
     """Return the name of a counter.
 
     The route comes last, as its name may contain slashes.
     """
-    return OutcomeName(f"{order}/{side}/{kind}/{route}")
+    return OutcomeKey(f"{order}/{side}/{kind}/{route}")
 
 
 def _rank(progress: RolloutProgress) -> tuple[int, int]:
--- a/dewridge/gateway/serversums.py
+++ b/dewridge/gateway/serversums.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Mapping
 
-from dewridge.gateway.reports import NOTHING, ServerTotals
+from dewridge.gateway.reports import ZERO_SERVER_TOTALS, ServerTotals
 from dewridge.ids import BackendServerId
 
 Source = str
 """Who tells: a host of the own cell, or another cell as a whole."""
-Told = Mapping[BackendServerId, ServerTotals]
+ServerTotalsMap = Mapping[BackendServerId, ServerTotals]
 
 
 class ServerSums:
@@ -23,32 +23,32 @@
 
     def __init__(self) -> None:
         self.totals: dict[BackendServerId, ServerTotals] = {}
-        self._told: dict[Source, Told] = {}
+        self._reported: dict[Source, ServerTotalsMap] = {}
 
     def __contains__(self, source: Source) -> bool:
         """Whether a source's word counts."""
-        return source in self._told
+        return source in self._reported
 
-    def replace(self, source: Source, told: Told) -> None:
+    def replace(self, source: Source, told: ServerTotalsMap) -> None:
         """Take over a source's word in place of its last one."""
-        before = self._told.get(source, {})
-        self._told[source] = told
+        before = self._reported.get(source, {})
+        self._reported[source] = told
         for server, now in told.items():
-            known = before.get(server, NOTHING)
+            known = before.get(server, ZERO_SERVER_TOTALS)
             if now != known:
-                self._change(server, known, now)
+                self._apply_change(server, known, now)
         for server in before.keys() - told.keys():
-            self._change(server, before[server], NOTHING)
-            if self.totals[server] == NOTHING:
+            self._apply_change(server, before[server], ZERO_SERVER_TOTALS)
+            if self.totals[server] == ZERO_SERVER_TOTALS:
                 del self.totals[server]
 
     def drop(self, source: Source) -> None:
         """Count a source no longer."""
-        if source in self._told:
+        if source in self._reported:
             self.replace(source, {})
-            del self._told[source]
+            del self._reported[source]
 
-    def _change(
+    def _apply_change(
         self, server: BackendServerId, known: ServerTotals, now: ServerTotals
     ) -> None:
         total = self.totals.get(server)
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -15,18 +15,18 @@
 from dewridge.gateway.model import ServerRecord
 from dewridge.gateway.pool import ConnectionPool
 from dewridge.gateway.reports import (
-    NOTHING,
     REPORTED_WINDOWS,
-    TENTHS,
+    TENTHS_PER_ATTEMPT,
+    ZERO_SERVER_TOTALS,
     Report,
     ServerTotals,
-    SuspectNews,
+    SuspectUpdate,
     Totals,
     UsageCounts,
 )
 from dewridge.gateway.rollouts import RolloutTable
 from dewridge.gateway.servers import ServerTable
-from dewridge.gateway.sharing import Sharing
+from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.streams import RunningStreams
 from dewridge.gateway.watching import Part
 from dewridge.http1.calls import Caller
@@ -111,7 +111,7 @@
     configuration: ConfigurationState
     servers: ServerTable
     hosts: HostTable
-    sharing: Sharing
+    sharing: SharedReports
     ledger: QuotaLedger
     pool: ConnectionPool
     ingress: IngressState
@@ -138,7 +138,7 @@
     """Requests under which this host saw a server end itself."""
     on_suspects: Callable[[], None] = lambda: None
     """Told when something is new of the requests under which servers ended."""
-    list_suspects: Callable[[int], list[SuspectNews]] = lambda turn: []
+    list_suspects: Callable[[int], list[SuspectUpdate]] = lambda turn: []
     """Returns what a report tells of them."""
     metrics: Metrics = field(default_factory=Metrics)
     dependencies: list[Caller] = field(default_factory=list)
@@ -186,9 +186,10 @@
 
     def count_in_flight(self, records: Iterable[ServerRecord]) -> int:
         """Return the requests of all hosts at the given servers."""
-        others = self.sharing.find_summary(trio.current_time()).servers
+        others = self.sharing.find_summary(trio.current_time()).server_totals
         return sum(
-            others.get(one.id, NOTHING).requests + self.work.requests.get(one.id, 0)
+            others.get(one.id, ZERO_SERVER_TOTALS).requests
+            + self.work.requests.get(one.id, 0)
             for one in records
         )
 
@@ -216,11 +217,11 @@
             is_ready=self.is_ready,
             age=now - self.sharing.started_at,
             totals=self._make_totals(now),
-            began=self.list_began(windows),
+            usage_counts=self.list_began(windows),
             version=self.configuration.version,
-            left=self.servers.list_just_left(now),
+            departing_servers=self.servers.list_just_left(now),
             confirmed_age=self.configuration.age,
-            heard=self.sharing.list_heard_numbers(),
+            last_received=self.sharing.list_last_received(),
             holder=self.sharing.holder,
             suspects=self.list_suspects(number),
             rollouts=self.rollouts.list_progress(),
@@ -234,9 +235,9 @@
 
     def _make_totals(self, now: float) -> Totals:
         return Totals(
-            used=round_all(self.ledger.totals),
-            asked=round_all(self.ledger.asked),
-            demand=round_all(self.own_demand),
+            quota_usage=round_all(self.ledger.totals),
+            quota_demand=round_all(self.ledger.asked),
+            token_demand=round_all(self.own_demand),
             servers=self._list_server_totals(now),
             outcomes=dict(self.rollouts.outcomes),
         )
@@ -248,10 +249,10 @@
             totals = ServerTotals(
                 requests=self.work.requests.get(server, 0),
                 tokens=self.work.tokens.get(server, 0),
-                attempts=round(attempts * TENTHS),
-                failures=round(failures * TENTHS),
+                attempts=round(attempts * TENTHS_PER_ATTEMPT),
+                failures=round(failures * TENTHS_PER_ATTEMPT),
             )
-            if totals != NOTHING:
+            if totals != ZERO_SERVER_TOTALS:
                 told[server] = totals
         return told
 
@@ -259,9 +260,9 @@
         """Return what this host knows of the others, for quotas."""
         summary = self.sharing.find_summary(trio.current_time())
         peers = self.hosts.list_peers()
-        silent = sum(peer.id not in summary.heard for peer in peers)
+        silent = sum(peer.id not in summary.live_hosts for peer in peers)
         return FleetView(
-            hosts=len(peers) + 1, silent=silent, news_age=self.sharing.news_age
+            hosts=len(peers) + 1, silent=silent, news_age=self.sharing.staleness
         )
 
     def find_part(self) -> Part:
@@ -272,11 +273,11 @@
 
     def count_heard(self) -> int:
         """Return how many other hosts are heard."""
-        return len(self.sharing.list_heard())
+        return len(self.sharing.list_live_hosts())
 
     def list_silent(self) -> list[HostId]:
         """Return the registered hosts that are not heard."""
-        heard = self.sharing.list_heard()
+        heard = self.sharing.list_live_hosts()
         return [peer.id for peer in self.hosts.list_peers() if peer.id not in heard]
 
     def forget_old(self) -> None:
@@ -284,7 +285,7 @@
         window = self.find_window(time.time()) - REPORTED_WINDOWS * 2
         for old in [known for known in self.began if known < window]:
             del self.began[old]
-        self.sharing.forget_before(window, trio.current_time())
+        self.sharing.discard_before(window, trio.current_time())
         gone = [one for one in self.health if self.servers.find(one) is None]
         for server in gone:
             del self.health[server]
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -7,7 +7,7 @@
 
 from dewridge.codes import ResultCode
 from dewridge.gateway.jobs import Job
-from dewridge.gateway.reports import SuspectNews
+from dewridge.gateway.reports import SuspectUpdate
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest
 from dewridge.policy.suspects import End, Suspect
@@ -114,11 +114,11 @@
     ).warning("request set aside")
 
 
-def make_urgent_list(state: GatewayState) -> Callable[[], list[SuspectNews]]:
+def make_urgent_list(state: GatewayState) -> Callable[[], list[SuspectUpdate]]:
     """Return what lists the news that was not yet told at once."""
     told_until = float("-inf")
 
-    def list_urgent() -> list[SuspectNews]:
+    def list_urgent() -> list[SuspectUpdate]:
         nonlocal told_until
         now = trio.current_time()
         fresh = _list_told(state, told_until)[:MOST_AT_ONCE]
@@ -128,7 +128,7 @@
     return list_urgent
 
 
-def make_news_list(state: GatewayState) -> Callable[[int], list[SuspectNews]]:
+def make_news_list(state: GatewayState) -> Callable[[int], list[SuspectUpdate]]:
     """Return what lists the news of a report: what is new, and what is set aside.
 
     Both by turns: another part of a long list begins each report.
@@ -136,7 +136,7 @@
     held: list[Suspect] = []
     looked_at = float("-inf")
 
-    def list_news(turn: int) -> list[SuspectNews]:
+    def list_news(turn: int) -> list[SuspectUpdate]:
         nonlocal held, looked_at
         if state.suspects.is_empty:
             return []
@@ -162,13 +162,13 @@
     return [*suspects[begin:], *suspects[:begin]][:IN_A_REPORT]
 
 
-def encode_suspect(suspect: Suspect, now: float) -> SuspectNews:
+def encode_suspect(suspect: Suspect, now: float) -> SuspectUpdate:
     """Return a request as hosts tell of it: ages in place of this host's times."""
-    return SuspectNews(
+    return SuspectUpdate(
         digest=suspect.digest,
         account=suspect.account,
         service=suspect.service,
-        ends={
+        crashes={
             server: (round((now - end.at) * 1000), round((now - end.sent_at) * 1000))
             for server, end in suspect.ends.items()
         },
@@ -176,7 +176,7 @@
     )
 
 
-def decode_suspect(news: SuspectNews, now: float) -> Suspect:
+def decode_suspect(news: SuspectUpdate, now: float) -> Suspect:
     """Return what another host tells, with times of this host."""
     return Suspect(
         news.digest,
@@ -184,7 +184,7 @@
         news.service,
         {
             server: End(now - ended / 1000, now - sent / 1000)
-            for server, (ended, sent) in news.ends.items()
+            for server, (ended, sent) in news.crashes.items()
         },
         set(news.cleared),
     )
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -17,17 +17,17 @@
 from dewridge.sentinels import Failure
 
 USAGE_PREFIX = PREFIX + "usage/"
-LOOK_PERIOD = 0.5
-SETTLE = 2.0
+POLL_PERIOD = 0.5
+SETTLE_TIME = 2.0
 """Seconds after a window's end before its sum is made: requests that began in it are
 counted and heard from all hosts, and clocks differ a little."""
-NEW_HOLDER_SETTLE = 2.5
+NEW_HOLDER_SETTLE_TIME = 2.5
 """Seconds from the begin of a tenure in a large fleet until its first sum: the news of
 the holder takes two rounds of reports, and hosts tell it of starts that are gone."""
-REPORT_TIME = 4.0
+REPORT_MARGIN = 4.0
 """Seconds before a sum is due at which it is made of what is there, though counts of
 hosts are missing: the store and the cloud API may each let one call time out."""
-KEPT_WINDOWS = 8
+RETAINED_WINDOWS = 8
 """Windows whose records are kept: longer than any is due."""
 Counts = dict[ClientAccount, int]
 
@@ -43,25 +43,25 @@
         cloud: Cloud,
         ask: Callable[[Iterable[HostEntry]], None] = lambda hosts: None,
     ) -> None:
-        self._ask = ask
+        self._request_usage = ask
         self._state = state
         self._tenancy = tenancy
         self._store = store
         self._cloud = cloud
-        self._done: set[int] = set()
+        self._reported_windows: set[int] = set()
         self._fixed_counts: dict[int, Counts] = {}
-        self._tenure: Tenure | None = None
-        self._held_since = 0.0
+        self._term: Tenure | None = None
+        self._term_seen_at = 0.0
 
     async def run(self) -> None:
         """Report each window that is due, for ever."""
         while True:
             tenure = self._tenancy.find_tenure()
             if tenure is not None and self._has_settled(tenure):
-                for window in self._list_due():
-                    if self._is_complete(window):
+                for window in self._list_due_windows():
+                    if self._is_ready_to_report(window):
                         await self._report(tenure, window)
-            await trio.sleep(LOOK_PERIOD)
+            await trio.sleep(POLL_PERIOD)
 
     def _has_settled(self, tenure: Tenure) -> bool:
         """Whether the other hosts have had the time to tell a new holder their counts.
@@ -70,47 +70,49 @@
         the holder before: sums were off by a third after each change of the holder.
         """
         now = trio.current_time()
-        if tenure != self._tenure:
-            self._tenure = tenure
-            self._held_since = now
-        needs = NEW_HOLDER_SETTLE if self._state.sharing.has_cells else 0.0
-        return now - self._held_since >= needs
+        if tenure != self._term:
+            self._term = tenure
+            self._term_seen_at = now
+        needs = NEW_HOLDER_SETTLE_TIME if self._state.sharing.has_cells else 0.0
+        return now - self._term_seen_at >= needs
 
-    def _list_due(self) -> list[int]:
+    def _list_due_windows(self) -> list[int]:
         bounds = self._state.settings.bounds
         now = time.time()
-        newest = self._state.find_window(now - SETTLE) - 1
+        newest = self._state.find_window(now - SETTLE_TIME) - 1
         oldest = self._state.find_window(now - bounds.usage_due) - 1
         windows = range(oldest, newest + 1)
-        self._done = {window for window in self._done if window >= oldest}
+        self._reported_windows = {
+            window for window in self._reported_windows if window >= oldest
+        }
         self._fixed_counts = {
             window: counts
             for window, counts in self._fixed_counts.items()
             if window >= oldest
         }
-        return [window for window in windows if window not in self._done]
+        return [window for window in windows if window not in self._reported_windows]
 
-    def _is_complete(self, window: int) -> bool:
+    def _is_ready_to_report(self, window: int) -> bool:
         """Whether a sum would hold all live hosts, or can't wait for them any longer.
 
         The first sum stands. Made while hosts' counts were missing, it left out
         requests for good, and nothing told whose; so these are asked first.
         """
-        lacking = self._list_lacking(window)
+        lacking = self._list_missing_hosts(window)
         if not lacking:
             return True
         bounds = self._state.settings.bounds
         ended_at = (window + 1) * bounds.usage_window
-        waits_until = ended_at + max(SETTLE, bounds.usage_due - REPORT_TIME)
+        waits_until = ended_at + max(SETTLE_TIME, bounds.usage_due - REPORT_MARGIN)
         may_wait = time.time() < waits_until
         log.bind(
             window=window, hosts=[host.id for host in lacking], waits=may_wait
         ).info("usage lacks hosts")
         if may_wait:
-            self._ask(lacking)
+            self._request_usage(lacking)
         return not may_wait
 
-    def _list_lacking(self, window: int) -> list[HostEntry]:
+    def _list_missing_hosts(self, window: int) -> list[HostEntry]:
         """Return the registered hosts whose counts of a window are not complete."""
         sharing = self._state.sharing
         if not sharing.has_cells:
@@ -127,13 +129,13 @@
             return
         outcome = await self._cloud.report_usage(tenure, window, counts)
         if outcome is CallOutcome.ACCEPTED:
-            self._done.add(window)
+            self._reported_windows.add(window)
         log.bind(
             window=window,
             outcome=outcome.name,
             total=sum(counts.values()),
             told=sum(self._sum_counts(window).values()),
-            starts=len(self._state.sharing.usage.began.get(window, {})) + 1,
+            starts=len(self._state.sharing.usage.counts_by_window.get(window, {})) + 1,
         ).info("usage reported")
 
     async def _fix_counts(self, window: int) -> Counts | None:
@@ -147,7 +149,7 @@
         counts = self._find_fixed_counts(window, key) or self._sum_counts(window)
         if not counts:
             return None
-        old = f"{USAGE_PREFIX}{window - KEPT_WINDOWS}"
+        old = f"{USAGE_PREFIX}{window - RETAINED_WINDOWS}"
         result = await self._store.change(
             expected={key: 0},
             writes=(Write(key, msgspec.json.encode(counts)),),
--- a/dewridge/gateway/usagecounts.py
+++ b/dewridge/gateway/usagecounts.py
@@ -4,7 +4,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from dewridge.gateway.reports import HostUsage, Start, UsageCounts, UsageReport
+from dewridge.gateway.reports import (
+    HostIncarnation,
+    HostUsage,
+    UsageCounts,
+    UsageReport,
+)
 from dewridge.ids import ClientAccount
 
 Counts = dict[ClientAccount, int]
@@ -15,24 +20,24 @@
     """Counts of each start of a host, kept beyond its end.
 
     Attributes:
-        began: the counts, by window and start.
-        counted_until: the window in which each start last told this host its usage as
+        counts_by_window: the counts, by window and start.
+        complete_before: the window in which each start last told this host its usage as
             the holder of the duties; its counts of earlier ones are complete.
     """
 
-    began: dict[int, dict[Start, Counts]] = field(
+    counts_by_window: dict[int, dict[HostIncarnation, Counts]] = field(
         default_factory=lambda: defaultdict(dict)
     )
-    counted_until: dict[Start, int] = field(default_factory=dict)
+    complete_before: dict[HostIncarnation, int] = field(default_factory=dict)
 
-    def note(self, start: Start, began: UsageCounts) -> None:
+    def merge_counts(self, start: HostIncarnation, began: UsageCounts) -> None:
         """Take over counts, which only grow; older words may come later."""
         for window, counts in began.items():
-            known = self.began[window].setdefault(start, {})
+            known = self.counts_by_window[window].setdefault(start, {})
             for account, count in counts.items():
                 known[account] = max(count, known.get(account, 0))
 
-    def note_report(self, report: UsageReport, own: Start) -> None:
+    def apply_report(self, report: UsageReport, own: HostIncarnation) -> None:
         """Take over what was told to this host as the holder of the duties.
 
         Several hosts may tell of a start that is gone, and each may have missed its
@@ -41,19 +46,19 @@
         for usage in report.usage:
             start = (usage.host, usage.boot)
             if start != own:
-                self.note(start, usage.began)
+                self.merge_counts(start, usage.usage_counts)
         teller = (report.host, report.boot)
-        told = self.counted_until.get(teller, report.window)
-        self.counted_until[teller] = max(told, report.window)
+        told = self.complete_before.get(teller, report.window)
+        self.complete_before[teller] = max(told, report.window)
 
-    def is_incomplete(self, start: Start, window: int) -> bool:
+    def is_incomplete(self, start: HostIncarnation, window: int) -> bool:
         """Whether a start's counts of a window may still grow, or are not told yet."""
-        return self.counted_until.get(start, window) <= window
+        return self.complete_before.get(start, window) <= window
 
-    def list_gone(self, live: set[Start]) -> list[HostUsage]:
+    def list_departed(self, live: set[HostIncarnation]) -> list[HostUsage]:
         """Return the usage of starts that are not among the live ones."""
-        gone: dict[Start, UsageCounts] = defaultdict(dict)
-        for window, by_start in self.began.items():
+        gone: dict[HostIncarnation, UsageCounts] = defaultdict(dict)
+        for window, by_start in self.counts_by_window.items():
             for start, counts in by_start.items():
                 if start not in live:
                     gone[start][window] = counts
@@ -61,14 +66,16 @@
 
     def sum(self, window: int, own: Counts) -> Counts:
         """Return all hosts' usage in a window, with this host's own."""
-        return _add_counts([own, *self.began.get(window, {}).values()])
+        return _add_counts([own, *self.counts_by_window.get(window, {}).values()])
 
-    def forget_before(self, window: int) -> None:
+    def discard_before(self, window: int) -> None:
         """Forget the windows before this one."""
-        for old in [known for known in self.began if known < window]:
-            del self.began[old]
-        self.counted_until = {
-            start: told for start, told in self.counted_until.items() if told >= window
+        for old in [known for known in self.counts_by_window if known < window]:
+            del self.counts_by_window[old]
+        self.complete_before = {
+            start: told
+            for start, told in self.complete_before.items()
+            if told >= window
         }
 
 
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -5,8 +5,8 @@
 
 from dewridge.gateway.jobs import Job
 from dewridge.gateway.model import ServerRecord
-from dewridge.gateway.reports import NOTHING, TENTHS
-from dewridge.gateway.sharing import Summary
+from dewridge.gateway.reports import TENTHS_PER_ATTEMPT, ZERO_SERVER_TOTALS
+from dewridge.gateway.sharing import FleetSummary
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import BackendServerId
 from dewridge.policy.choice import (
@@ -75,7 +75,7 @@
         candidates,
         state.rng,
         can_copy=bool(keepers),
-        news_age=state.sharing.news_age,
+        news_age=state.sharing.staleness,
     )
     if placement is None:
         return None
@@ -191,7 +191,7 @@
     )
     candidates = []
     for record, health, share in zip(records, healths, shares, strict=True):
-        elsewhere = others.servers.get(record.id, NOTHING)
+        elsewhere = others.server_totals.get(record.id, ZERO_SERVER_TOTALS)
         requests = elsewhere.requests + state.work.requests.get(record.id, 0)
         tokens = elsewhere.tokens + state.work.tokens.get(record.id, 0)
         candidates.append(
@@ -208,11 +208,12 @@
 
 
 def find_fleet_share(
-    server: BackendServerId, health: ServerHealth, others: Summary, now: float
+    server: BackendServerId, health: ServerHealth, others: FleetSummary, now: float
 ) -> float | None:
     """Return the share of all hosts' recent attempts at a server that failed."""
-    elsewhere = others.servers.get(server, NOTHING)
+    elsewhere = others.server_totals.get(server, ZERO_SERVER_TOTALS)
     attempts, failures = health.recent.read(now)
     return find_failure_share(
-        elsewhere.attempts / TENTHS + attempts, elsewhere.failures / TENTHS + failures
+        elsewhere.attempts / TENTHS_PER_ATTEMPT + attempts,
+        elsewhere.failures / TENTHS_PER_ATTEMPT + failures,
     )
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -12,7 +12,7 @@
 from dewridge.gateway.jobs import Job
 from dewridge.gateway.losses import LossNotes
 from dewridge.gateway.model import AttemptKey, CallerRequest, ServerRecord, Sizes
-from dewridge.gateway.reports import SuspectNews
+from dewridge.gateway.reports import SuspectUpdate
 from dewridge.gateway.suspectkeeping import SUSPECTS_PREFIX, SuspectKeeper
 from dewridge.gateway.suspects import (
     clear,
@@ -232,7 +232,7 @@
         seen = Suspect(DIGEST, ACCOUNT, ENGINE, {BackendServerId(f"s-{number}"): end})
         told.append(encode_suspect(seen, 12.5))
     for news in told:
-        wire = msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=SuspectNews)
+        wire = msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=SuspectUpdate)
         ledger.merge(decode_suspect(wire, 500.0), 500.0)
     assert ledger.find_hold_left(DIGEST, 500.0) > 0
 
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -15,7 +15,7 @@
 from dewridge.gateway.rolloutduty import RolloutDuty, make_progress_key
 from dewridge.gateway.rollouts import AttemptResult, RolloutTable, classify_attempt
 from dewridge.gateway.servers import ServerTable
-from dewridge.gateway.sharing import Sharing
+from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.watching import StoreWatcher
 from dewridge.ids import BackendServerId, HostId, ServerName
@@ -198,15 +198,15 @@
         join_trial(peer)
         await note_answers(peer.rollouts, SERVERS[0], AttemptResult.ANSWERED, 10)
         before = peer.make_report(1)
-        receiver.sharing.note(before, trio.current_time())
+        receiver.sharing.apply_report(before, trio.current_time())
         await note_answers(peer.rollouts, SERVERS[-1], AttemptResult.FAILED, 2)
-        receiver.sharing.note(peer.make_report(2), trio.current_time())
+        receiver.sharing.apply_report(peer.make_report(2), trio.current_time())
     assert receiver.rollouts.find_stage(PLAIN) is Stage.REVERTED
 
 
 def join_trial(state: GatewayState) -> None:
     """Connect a host's sharing to its rollouts and start a trial."""
-    state.sharing = Sharing(
+    state.sharing = SharedReports(
         state.host,
         state.ledger.note,
         on_outcomes=state.rollouts.add_remote_count,
--- a/dewridge/tests/gateway/serversums_tests.py
+++ b/dewridge/tests/gateway/serversums_tests.py
@@ -3,8 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewridge.gateway.reports import NOTHING, ServerTotals
-from dewridge.gateway.serversums import ServerSums, Told
+from dewridge.gateway.reports import ZERO_SERVER_TOTALS, ServerTotals
+from dewridge.gateway.serversums import ServerSums, ServerTotalsMap
 from dewridge.ids import BackendServerId
 
 totals = st.builds(
@@ -17,7 +17,7 @@
 
 @given(st.lists(st.tuples(sources, words | st.none())))
 def test_the_sums_are_those_of_all_last_words(
-    changes: list[tuple[str, Told | None]],
+    changes: list[tuple[str, ServerTotalsMap | None]],
 ) -> None:
     """Hosts tell, fall silent and are heard again, in any order.
 
@@ -25,7 +25,7 @@
     for as long as the process lives.
     """
     sums = ServerSums()
-    last: dict[str, Told] = {}
+    last: dict[str, ServerTotalsMap] = {}
     for source, told in changes:
         if told is None:
             sums.drop(source)
@@ -36,7 +36,9 @@
     expected: dict[BackendServerId, ServerTotals] = {}
     for told in last.values():
         for server, total in told.items():
-            expected[server] = expected.get(server, NOTHING) + total
+            expected[server] = expected.get(server, ZERO_SERVER_TOTALS) + total
     for server in {*expected, *sums.totals}:
-        assert sums.totals.get(server, NOTHING) == expected.get(server, NOTHING)
+        assert sums.totals.get(server, ZERO_SERVER_TOTALS) == expected.get(
+            server, ZERO_SERVER_TOTALS
+        )
     assert sums.totals.keys() <= expected.keys()
--- a/dewridge/tests/gateway/usagetelling_tests.py
+++ b/dewridge/tests/gateway/usagetelling_tests.py
@@ -23,31 +23,31 @@
 
 def test_what_is_confirmed_is_not_told_again() -> None:
     outbox = UsageOutbox(FIRST)
-    number = outbox.note_sent(outbox.choose(make_usage(3)))
-    assert outbox.choose(make_usage(3)).began == {7: {ACCOUNT: 3}}
-    outbox.note_heard(number)
-    assert outbox.choose(make_usage(3)).began == {}
-    assert outbox.choose(make_usage(4)).began == {7: {ACCOUNT: 4}}
+    number = outbox.record_sent(outbox.select_unconfirmed(make_usage(3)))
+    assert outbox.select_unconfirmed(make_usage(3)).usage_counts == {7: {ACCOUNT: 3}}
+    outbox.apply_confirmation(number)
+    assert outbox.select_unconfirmed(make_usage(3)).usage_counts == {}
+    assert outbox.select_unconfirmed(make_usage(4)).usage_counts == {7: {ACCOUNT: 4}}
 
 
 def test_a_late_confirmation_does_not_cover_what_came_after() -> None:
     """Counts grow between a word and its confirmation, and the next word is lost."""
     outbox = UsageOutbox(FIRST)
-    first = outbox.note_sent(outbox.choose(make_usage(3)))
-    outbox.note_sent(outbox.choose(make_usage(8)))
-    outbox.note_heard(first)
-    assert outbox.choose(make_usage(8)).began == {7: {ACCOUNT: 8}}
+    first = outbox.record_sent(outbox.select_unconfirmed(make_usage(3)))
+    outbox.record_sent(outbox.select_unconfirmed(make_usage(8)))
+    outbox.apply_confirmation(first)
+    assert outbox.select_unconfirmed(make_usage(8)).usage_counts == {7: {ACCOUNT: 8}}
 
 
 def test_another_holder_is_told_all() -> None:
     """The holder dies; what it confirmed died with it."""
     outbox = UsageOutbox(FIRST)
-    number = outbox.note_sent(outbox.choose(make_usage(3)))
-    outbox.note_heard(number)
-    outbox.note_holder(SECOND)
-    assert outbox.choose(make_usage(3)).began == {7: {ACCOUNT: 3}}
-    outbox.note_heard(number)
-    assert outbox.choose(make_usage(3)).began == {7: {ACCOUNT: 3}}
+    number = outbox.record_sent(outbox.select_unconfirmed(make_usage(3)))
+    outbox.apply_confirmation(number)
+    outbox.set_holder(SECOND)
+    assert outbox.select_unconfirmed(make_usage(3)).usage_counts == {7: {ACCOUNT: 3}}
+    outbox.apply_confirmation(number)
+    assert outbox.select_unconfirmed(make_usage(3)).usage_counts == {7: {ACCOUNT: 3}}
 
 
 async def test_urgent_words_overtake_a_round(
@@ -73,10 +73,10 @@
         for task in (network.run, sender.run, listen):
             nursery.start_soon(task)
         for _ in range(8):
-            sender.post(("b", 1), b"r" * 3_000, Urgency.ROUND)
+            sender.enqueue(("b", 1), b"r" * 3_000, Urgency.ROUND)
         await trio.sleep(0.01)
-        sender.post(("b", 1), b"u", Urgency.MUST_ARRIVE)
-        sender.post(("b", 1), b"l", Urgency.AT_ONCE)
+        sender.enqueue(("b", 1), b"u", Urgency.MUST_ARRIVE)
+        sender.enqueue(("b", 1), b"l", Urgency.AT_ONCE)
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
     assert heard.index(b"l") < heard.index(b"u") < 5
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -10,14 +10,14 @@
 from dewridge.gateway import sharinglink
 from dewridge.gateway.datagrams import PacedSocket
 from dewridge.gateway.departures import note_left, take_left, take_suspect_report
-from dewridge.gateway.echoes import Echoes
+from dewridge.gateway.echoes import SentReportTimes
 from dewridge.gateway.hosts import HostEntry
 from dewridge.gateway.reports import REPORTED_WINDOWS
-from dewridge.gateway.sharinglink import Audience, SharingLink
+from dewridge.gateway.sharinglink import Recipients, ReportLink
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import make_news_list, make_urgent_list, take_suspects
 from dewridge.gateway.usage import UsageDuty
-from dewridge.gateway.usagetelling import UsageTeller
+from dewridge.gateway.usagetelling import UsageReporter
 from dewridge.ids import (
     BackendServerId,
     ClientAccount,
@@ -68,31 +68,31 @@
         self.state.servers.update(server, 0.0)
         self.leaving = server.id
         self.socket = PacedSocket(self.address, PORT, Pace(LINK_SHARE * LINK))
-        self.teller = UsageTeller(
+        self.teller = UsageReporter(
             sharing,
             self.state.hosts,
             self.socket,
             lambda: self.state.find_window(time.time()),
             lambda: self.state.list_began(REPORTED_WINDOWS),
         )
-        self.link = SharingLink(
+        self.link = ReportLink(
             self.socket,
             sharing,
             self.state.hosts,
             FailureDomain(f"domain-{number % DOMAINS}"),
             self.state.make_report,
-            Echoes(self.id, self.state.boot),
+            SentReportTimes(self.id, self.state.boot),
             self.teller,
             lambda version, at: None,
         )
         servers = self.state.servers
         servers.on_left = partial(note_left, self.state, self.link)
-        self.link.on_left = partial(take_left, self.state, self.link)
-        self.link.list_left = lambda: servers.list_just_left(trio.current_time())
+        self.link.on_departures = partial(take_left, self.state, self.link)
+        self.link.list_departing = lambda: servers.list_just_left(trio.current_time())
         self.link.on_suspects = partial(take_suspect_report, self.state, self.link)
         self.link.list_suspects = make_urgent_list(self.state)
         self.state.list_suspects = make_news_list(self.state)
-        self.state.on_suspects = partial(self.link.tell_now, Audience.ALL)
+        self.state.on_suspects = partial(self.link.schedule_urgent_send, Recipients.ALL)
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Run all that tells and hears."""
@@ -121,10 +121,10 @@
     """Return the state of one host of the fleet."""
     state = make_state(make_configuration())
     state.host = name
-    state.sharing.own = name
+    state.sharing.local_host = name
     state.sharing.boot = state.boot
     state.hosts._own = name
-    state.sharing.note_holder((5, HOLDER))
+    state.sharing.record_holder((5, HOLDER))
     return state
 
 
@@ -171,7 +171,9 @@
 ) -> None:
     """Let a fleet work through one usage window and report it."""
     holder = holder or next(host for host in fleet if host.id == HOLDER)
-    duty = UsageDuty(holder.state, Holder(), MemoryStore(), cloud, holder.teller.ask)
+    duty = UsageDuty(
+        holder.state, Holder(), MemoryStore(), cloud, holder.teller.request_usage
+    )
     began = trio.current_time()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(network.run)
@@ -238,7 +240,7 @@
     fleet = make_fleet()
     cloud = RecordingCloud()
     hung = fleet[4]
-    hung.teller.take_question = lambda *_: None  # type: ignore[method-assign]
+    hung.teller.receive_request = lambda *_: None  # type: ignore[method-assign]
     hung.teller.run = trio.sleep_forever  # type: ignore[method-assign]
     hung.work = lambda: None  # type: ignore[method-assign]
     await report_one_window(links, fleet, cloud, ends_at=12.0)
@@ -266,7 +268,7 @@
         for host in served:
             for one in away:
                 host.state.hosts.update(Item(f"hosts/{one.id}/1", removed=True))
-        successor.state.sharing.note_holder((9, successor.id))
+        successor.state.sharing.record_holder((9, successor.id))
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(lapse)
--- a/dewridge/tests/gateway/world.py
+++ b/dewridge/tests/gateway/world.py
@@ -28,7 +28,7 @@
 from dewridge.gateway.pool import ConnectionPool
 from dewridge.gateway.servers import ServerTable
 from dewridge.gateway.serving import Serving
-from dewridge.gateway.sharing import Sharing
+from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import (
     BackendServerId,
@@ -134,7 +134,7 @@
         configuration=ConfigurationState(trusted_for=4.0),
         servers=ServerTable(),
         hosts=HostTable(HOST),
-        sharing=Sharing(HOST, ledger.note),
+        sharing=SharedReports(HOST, ledger.note),
         ledger=ledger,
         pool=ConnectionPool(),
         ingress=IngressState(Limits(), connection_limit=100),
