--- a/dewridge/gateway/cellview.py
+++ b/dewridge/gateway/cellview.py
@@ -1,4 +1,4 @@
-"""What is known of another cell from the hosts that tell of it."""
+"""State of another cell, merged from the reports of its hosts."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass
 class SourceView:
-    """The last word of one host on its cell."""
+    """The last report of one host on its cell."""
 
     report: CellReport
     received_at: float
@@ -17,7 +17,15 @@
 
 @dataclass
 class CellView:
-    """What is known of another cell from all who told of it."""
+    """State of another cell.
+
+    Attributes:
+        sources: the last report of each of its hosts that reports on it.
+        quota_usage: usage of each account in the cell.
+        quota_demand: demand of each account in the cell.
+        token_demand: prompt tokens that arrived for each service in the cell.
+        outcomes: counters of rollout outcomes in the cell.
+    """
 
     sources: dict[HostId, SourceView] = field(default_factory=dict)
     quota_usage: MergedTotals[ClientAccount] = field(default_factory=MergedTotals)
@@ -27,17 +35,21 @@
 
     @property
     def received_at(self) -> float:
-        """When the last word on it came."""
+        """Steady time at which the last report on the cell was received."""
         return max(view.received_at for view in self.sources.values())
 
     @property
-    def newest(self) -> CellReport:
-        """The last word on it."""
+    def newest_report(self) -> CellReport:
+        """The last report received on the cell."""
         newest = max(self.sources.values(), key=lambda view: view.received_at)
         return newest.report
 
-    def realign(self) -> None:
-        """Leave what was counted since the last word to those who kept to a share."""
+    def reset_baselines(self) -> None:
+        """Count no growth up to the next report of each source.
+
+        While the cell was silent, its hosts used only their share of each quota. This
+        growth must not be deducted from the quotas a second time.
+        """
         for totals in (
             self.quota_usage,
             self.quota_demand,
--- a/dewridge/gateway/datagrams.py
+++ b/dewridge/gateway/datagrams.py
@@ -1,4 +1,4 @@
-"""The datagram socket between hosts: urgent words first, at a pace that links bear."""
+"""Paced datagram socket between hosts, with one queue per urgency."""
 
 import errno
 from collections import deque
@@ -13,35 +13,37 @@
 
 MAX_DATAGRAM_BYTES = 60_000
 PeerAddress = tuple[str, int]
+"""IP address and port."""
 
 
 class Urgency(IntEnum):
-    """Which datagrams go first."""
+    """Priority of a datagram; lower values are sent first."""
 
     AT_ONCE = 0
-    """Servers that leave: streams there have seconds to move."""
+    """Departing servers and suspect requests: streams on such a server have seconds to
+    move."""
     MUST_ARRIVE = 1
-    """What is sent again until it is confirmed."""
+    """Messages that are sent again until they are confirmed."""
     ROUND = 2
-    """What the next round tells anew."""
+    """Reports that the next round replaces."""
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """What waits to be sent."""
+    """A datagram that waits to be sent."""
 
     address: PeerAddress
     data: bytes
 
 
 def read_address(text: str) -> PeerAddress:
-    """Return the parts of `a.b.c.d:port`."""
+    """Parse an address of the form `a.b.c.d:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class PacedSocket:
-    """Owns the socket; what is posted goes out in the order of its urgency."""
+    """Sends queued datagrams in order of urgency, at a limited rate."""
 
     def __init__(
         self, address: str, port: int, pace: Pace, metrics: Metrics | None = None
@@ -54,58 +56,58 @@
         self._queues: dict[Urgency, deque[Datagram]] = {
             urgency: deque() for urgency in Urgency
         }
-        self._has_queued = trio.Event()
+        self._datagram_queued = trio.Event()
 
     @property
     def rate(self) -> float:
-        """Bytes a second that may be sent."""
+        """Maximum bytes sent per second."""
         return self._pace.rate
 
     async def bind(self) -> None:
-        """Open the port."""
+        """Bind the socket to its address and port."""
         await self._socket.bind((self._address, self._port))
 
     def close(self) -> None:
-        """Close the port."""
+        """Close the socket."""
         self._socket.close()
 
     async def receive(self) -> tuple[bytes, PeerAddress]:
-        """Wait for a datagram; returns it with its sender's address."""
+        """Wait for a datagram and return it with the address of its sender."""
         data, address = await self._socket.recvfrom(MAX_DATAGRAM_BYTES)
         return data, address
 
     def enqueue(self, address: PeerAddress, data: bytes, urgency: Urgency) -> None:
-        """Send a datagram when it is its turn."""
+        """Queue a datagram to be sent."""
         self._queues[urgency].append(Datagram(address, data))
-        self._has_queued.set()
+        self._datagram_queued.set()
 
     def begin_round(self) -> None:
-        """Drop what is left of the round before: the new one tells it better.
+        """Drop the datagrams left of the previous round, which the new one supersedes.
 
-        A link that is too weak for a round then loses the last part of each, and not
-        ever more time behind what goes on.
+        On a link too weak for a whole round, the last part of each round is lost, but
+        the backlog and its delay do not grow without bound.
         """
-        left = self._queues[Urgency.ROUND]
-        self._metrics.add("datagrams_outdated", len(left))
-        left.clear()
+        outdated = self._queues[Urgency.ROUND]
+        self._metrics.add("datagrams_outdated", len(outdated))
+        outdated.clear()
 
     async def run(self) -> None:
-        """Send what is posted, for ever."""
+        """Send queued datagrams forever."""
         while True:
-            await self._has_queued.wait()
+            await self._datagram_queued.wait()
             wait = self._pace.find_wait(trio.current_time())
             if wait > 0:
                 await trio.sleep(wait)
             datagram = self._pop_next()
             if datagram is None:
-                self._has_queued = trio.Event()
+                self._datagram_queued = trio.Event()
             else:
                 await self._send(datagram)
 
     def _pop_next(self) -> Datagram | None:
-        for waiting in self._queues.values():
-            if waiting:
-                return waiting.popleft()
+        for queue in self._queues.values():
+            if queue:
+                return queue.popleft()
         return None
 
     async def _send(self, datagram: Datagram) -> None:
@@ -116,7 +118,8 @@
         try:
             await self._socket.sendto(datagram.data, datagram.address)
         except OSError as error:
-            # What matters is sent again; only odd errors are worth a line.
+            # Important messages are sent again. Refused and unreachable are common
+            # while a peer is down, so only other errors are logged.
             if error.errno not in {errno.ECONNREFUSED, errno.EHOSTUNREACH}:
                 log.bind(peer=datagram.address[0], reason=str(error)).warning(
                     "datagram not sent"
--- a/dewridge/gateway/echoes.py
+++ b/dewridge/gateway/echoes.py
@@ -1,4 +1,4 @@
-"""When another host's word was surely still to be said."""
+"""Lower bounds for the time at which a report of another host was made."""
 
 from collections import OrderedDict
 
@@ -6,31 +6,40 @@
 from dewridge.ids import HostId
 
 RETAINED_ROUNDS = 64
-"""Own rounds whose time is kept: an echo older than that many says nothing of use."""
+"""Number of local rounds whose send times are kept: an answer to an older round is too
+old to confirm anything."""
 
 
 class SentReportTimes:
-    """The times of this host's reports, to date the reports that answer them.
+    """Send times of this host's reports, used to date the reports that answer them.
 
-    A report may be read long after it was sent: this host was frozen, or is behind.
-    Dated by its arrival, a confirmation of the configuration would look new, and a key
-    that was taken away meanwhile would go on working. A report that names one of this
-    host's own was made after that one was sent, whatever happened on the way.
+    A report may be processed long after it was sent, if this host was suspended or has
+    a backlog. Dated by its arrival, an old confirmation of the configuration would look
+    recent, and a revoked API key would continue to work. A report that names a report
+    of this host was made after that one was sent, however long it was in transit.
     """
 
-    def __init__(self, own: HostId, boot: int) -> None:
-        self._local_host = own
+    def __init__(self, local_host: HostId, boot: int) -> None:
+        self._local_host = local_host
         self._boot = boot
         self._sent_at: OrderedDict[int, float] = OrderedDict()
 
     def record_sent(self, number: int, at: float) -> None:
-        """Note that a report is about to be sent; suspension counts in `at`."""
+        """Record that a report is about to be sent.
+
+        Args:
+            number: sequence number of the report.
+            at: time by a clock that also runs while the host is suspended.
+        """
         self._sent_at[number] = at
         while len(self._sent_at) > RETAINED_ROUNDS:
             self._sent_at.popitem(last=False)
 
     def find_confirmation_time(self, report: Report) -> float | None:
-        """Return when the sender's version was surely the newest; None if unknown."""
+        """Return a time at which the sender's configuration version was the newest.
+
+        Returns None if the report answers no report whose send time is kept.
+        """
         boot, number = report.last_received.get(self._local_host, (0, 0))
         if boot != self._boot or number not in self._sent_at:
             return None
--- a/dewridge/gateway/reports.py
+++ b/dewridge/gateway/reports.py
@@ -1,4 +1,10 @@
-"""What entry hosts tell each other, as it goes over the wire."""
+"""Messages that entry hosts send each other in datagrams.
+
+Each host reports to the peers of its cell, a group of hosts in one failure domain
+(`dewridge.policy.cells`), and reports sums over its cell to hosts of other cells. One
+host at a time is the holder of the duties: it runs the tasks that only one host may
+run, such as summing the usage of all hosts for billing.
+"""
 
 from typing import NewType
 
@@ -16,29 +22,33 @@
 from dewridge.policy.rollouts import Stage
 
 DutyHolder = tuple[int, HostId]
-"""Fencing token and name of a holder of the duties; a later one has a higher token."""
+"""Fencing token and id of a holder of the duties; each holder has a higher token than
+the one before."""
 NO_HOLDER: DutyHolder = (0, HostId(""))
 UsageCounts = dict[int, dict[ClientAccount, int]]
-"""Requests of each account that began to run, by usage window."""
+"""Requests of each account that started to run, by usage window."""
 HostIncarnation = tuple[HostId, int]
-"""One start of a host."""
+"""A host and the start time of its process, in microseconds since 1970."""
 OutcomeKey = NewType("OutcomeKey", str)
-"""Key of a counter: revision of a rollout order, version, kind of count and route."""
+"""Key of a counter of rollout outcomes: revision of the rollout order, version, kind of
+count and route."""
 REPORTED_WINDOWS = 4
-"""Usage windows that hosts tell of: the one that runs and those whose sum is due."""
+"""Number of usage windows that hosts report: the current one and those whose sum is
+still due."""
 
 TENTHS_PER_ATTEMPT = 10
-"""Parts of an attempt that outcomes are told in."""
+"""Units per attempt in which reports count attempts and failures."""
 
 
 class ServerTotals(msgspec.Struct, array_like=True):
-    """What goes on at one server.
+    """Load and recent failures at one server.
 
     Attributes:
-        requests: in flight.
-        tokens: of prompts in flight that are not read yet.
-        attempts: recent ones, in tenths, since older ones count less than one.
-        failures: those of them that failed, in tenths.
+        requests: requests in flight.
+        tokens: prompt tokens in flight that the server has not processed yet.
+        attempts: recent attempts, in tenths, because the weight of an attempt decays
+            below one with its age.
+        failures: the failed ones among these attempts, in tenths.
     """
 
     requests: int = 0
@@ -59,14 +69,16 @@
 
 
 class Totals(msgspec.Struct, frozen=True, array_like=True):
-    """Running totals since the sender's start, and what goes on now.
+    """Running totals since the sender's start, and its current load on servers.
 
     Attributes:
         quota_usage: units of quota that each account used.
-        quota_demand: units of quota that each account asked for, refused ones included.
+        quota_demand: units of quota that each account requested, including those of
+            refused requests.
         token_demand: prompt tokens that arrived for each service.
-        servers: what goes on at each server. One table of whole numbers takes half of
-            the bytes of two with fractions, and datagrams beyond 4 KB get lost.
+        servers: load and recent failures at each server. One table of integers takes
+            half the bytes of two tables of fractions, and datagrams above 4 KB get
+            lost.
         outcomes: counts of answers and bad answers of both versions of each rollout
             in progress.
     """
@@ -84,11 +96,11 @@
     Attributes:
         service: the service.
         target: the version to move to.
-        order: the store's revision of the order.
+        order: store revision at which the rollout was ordered.
         stage: the current stage.
-        share: of the requests that a trial sends to the target version.
-        ordered_at: when the order was first seen, in seconds since 1970.
-        duration: seconds after the order by which the rollout must have ended.
+        share: share of the requests that a trial sends to the target version.
+        ordered_at: time at which the order was first seen, in seconds since 1970.
+        duration: seconds after `ordered_at` within which the rollout must complete.
     """
 
     service: ServiceName
@@ -101,14 +113,15 @@
 
 
 class SuspectUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A request under which servers ended.
+    """A suspect: a request during which servers crashed.
 
     Attributes:
-        digest: names its content.
-        account: whose it is; empty on an anonymous route.
-        service: whose servers ended.
-        crashes: milliseconds since each server ended, and since the request went there.
-        cleared: servers whose ends count no more.
+        digest: digest of the request's content.
+        account: the account that sent it; empty on an anonymous route.
+        service: the service whose servers crashed.
+        crashes: milliseconds since each server crashed, and since the request was sent
+            to it.
+        cleared: servers whose crashes no longer count.
     """
 
     digest: RequestDigest
@@ -119,24 +132,25 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="host"):
-    """One host's word to its cell.
+    """Periodic report of one host to the peers of its cell.
 
     Attributes:
         host: the sender.
-        boot: start of its process.
-        number: grows with each report.
-        is_ready: whether callers may be sent to it.
-        age: seconds since the start.
-        totals: the host's own.
-        usage_counts: requests of each account that began to run, by usage window.
-        version: configuration in force there; 0 for none.
-        departing_servers: servers that left lately, with the seconds until each stops
-            serving; none of them comes back under that name.
-        confirmed_age: seconds since that version was surely the newest.
-        last_received: start and number of the last report that the sender heard of
-            each host.
-        holder: the holder of the duties that the sender knows.
-        suspects: requests under which servers ended.
+        boot: start time of its process, in microseconds since 1970.
+        number: sequence number, increasing with each report.
+        is_ready: whether callers may be directed to the sender.
+        age: seconds since the start of its process.
+        totals: totals of the sender alone.
+        usage_counts: requests of each account that started to run at the sender, by
+            usage window.
+        version: configuration version in force at the sender; 0 for none.
+        departing_servers: servers that left recently, with the seconds until each stops
+            serving. Their ids are never reused.
+        confirmed_age: seconds since that version was last known to be the newest.
+        last_received: boot time and number of the last report that the sender received
+            from each host of its cell.
+        holder: the latest holder of the duties that the sender knows.
+        suspects: requests during which servers crashed.
         rollouts: progress of the rollouts that the sender knows.
     """
 
@@ -157,21 +171,21 @@
 
 
 class CellReport(msgspec.Struct, frozen=True, array_like=True, tag="cell"):
-    """One host's word on its whole cell to hosts of other cells.
+    """Periodic report of one host on its cell, sent to hosts of other cells.
 
     Attributes:
         host: the sender.
-        boot: start of its process.
-        number: grows with each report.
+        boot: start time of its process, in microseconds since 1970.
+        number: sequence number, increasing with each report.
         cell: the sender's cell.
-        members: the hosts of the cell that the sender hears, itself included.
-        unready: those of them to which callers should not be sent.
+        members: the live hosts of the cell, including the sender.
+        unready: the members to which callers should not be directed.
         totals: sums over the cell, counted since the sender's start.
-        version: configuration in force at the sender; 0 for none.
-        departing_servers: servers that left lately, with the seconds until each stops
+        version: configuration version in force at the sender; 0 for none.
+        departing_servers: servers that left recently, with the seconds until each stops
             serving.
-        holder: the holder of the duties that the sender knows.
-        suspects: requests under which servers ended.
+        holder: the latest holder of the duties that the sender knows.
+        suspects: requests during which servers crashed.
         rollouts: progress of the rollouts that the sender knows.
     """
 
@@ -190,7 +204,7 @@
 
 
 class HostUsage(msgspec.Struct, frozen=True, array_like=True):
-    """What one start of a host counted."""
+    """Requests that started at one incarnation of a host, counted for billing."""
 
     host: HostId
     boot: int
@@ -198,12 +212,13 @@
 
 
 class DepartureReport(msgspec.Struct, frozen=True, array_like=True, tag="left"):
-    """Urgent news of servers that left; the usual reports repeat it.
+    """Urgent message about servers that left; the periodic reports repeat it.
 
     Attributes:
-        host: who tells it.
-        departing_servers: seconds until each stops serving.
-        is_cell_local: whether it comes from the own cell and goes no further.
+        host: the sender.
+        departing_servers: seconds until each server stops serving.
+        is_cell_local: whether the sender is in the receiver's cell; the receiver then
+            does not forward the message.
     """
 
     host: HostId
@@ -212,12 +227,13 @@
 
 
 class SuspectReport(msgspec.Struct, frozen=True, array_like=True, tag="suspects"):
-    """Urgent news of requests under which servers ended; the usual reports repeat it.
+    """Urgent message about suspect requests; the periodic reports repeat it.
 
     Attributes:
-        host: who tells it.
+        host: the sender.
         suspects: the requests.
-        is_cell_local: whether it comes from the own cell and goes no further.
+        is_cell_local: whether the sender is in the receiver's cell; the receiver then
+            does not forward the message.
     """
 
     host: HostId
@@ -226,15 +242,15 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True, array_like=True, tag="usage"):
-    """Usage told to the holder of the duties in a large fleet.
+    """Usage that a host of a large fleet reports to the holder of the duties.
 
     Attributes:
         host: the sender.
-        boot: start of its process.
-        number: grows with each word on usage; the holder confirms it.
-        window: the usage window in which it was made. Counts of earlier ones, told by
-            now, are complete.
-        usage: its own, or that of a start of another host that is gone.
+        boot: start time of its process, in microseconds since 1970.
+        number: sequence number of the usage report, which the holder confirms.
+        window: the usage window in which the report was made. The sender's counts of
+            earlier windows, reported by now, are complete.
+        usage: usage of the sender, or of a departed incarnation of another host.
     """
 
     host: HostId
@@ -245,12 +261,12 @@
 
 
 class UsageConfirmation(msgspec.Struct, frozen=True, array_like=True, tag="heard"):
-    """The holder's confirmation of a word on usage.
+    """Confirmation of a usage report by the holder of the duties.
 
     Attributes:
-        holder: who confirms it.
-        boot: start of the process that told it.
-        number: of the word.
+        holder: the holder that confirms it.
+        boot: `boot` of the confirmed report.
+        number: `number` of the confirmed report.
     """
 
     holder: DutyHolder
@@ -259,7 +275,7 @@
 
 
 class UsageRequest(msgspec.Struct, frozen=True, array_like=True, tag="question"):
-    """The holder of the duties lacks a host's counts and asks for them."""
+    """Request of the holder of the duties for usage counts that it is missing."""
 
     holder: DutyHolder
 
--- a/dewridge/gateway/serversums.py
+++ b/dewridge/gateway/serversums.py
@@ -1,4 +1,4 @@
-"""What goes on at each server over all hosts, kept up word by word."""
+"""Load and recent failures at each server over all hosts, updated incrementally."""
 
 from collections.abc import Mapping
 
@@ -6,19 +6,19 @@
 from dewridge.ids import BackendServerId
 
 Source = str
-"""Who tells: a host of the own cell, or another cell as a whole."""
+"""Sender of totals: a host of the local cell, or the name of another cell."""
 ServerTotalsMap = Mapping[BackendServerId, ServerTotals]
 
 
 class ServerSums:
-    """Sums over the last word of each source.
+    """Sums over the last totals of each source.
 
-    A large fleet tells of all its servers some forty times a second, and each request
-    asks for the sums. Added up anew for each request they took more processor time
-    than all else that is done for it; here a word costs what it changes.
+    In a large fleet some forty reports per second cover all servers, and each request
+    reads the sums. Computing them for each request took more processor time than the
+    rest of its handling; here the cost of a report is proportional to what it changes.
 
     Attributes:
-        totals: the sums; a server of which nobody tells is missing.
+        totals: the sums by server, without the servers that no source reports.
     """
 
     def __init__(self) -> None:
@@ -26,35 +26,35 @@
         self._reported: dict[Source, ServerTotalsMap] = {}
 
     def __contains__(self, source: Source) -> bool:
-        """Whether a source's word counts."""
+        """Whether the sums include a source."""
         return source in self._reported
 
-    def replace(self, source: Source, told: ServerTotalsMap) -> None:
-        """Take over a source's word in place of its last one."""
-        before = self._reported.get(source, {})
-        self._reported[source] = told
-        for server, now in told.items():
-            known = before.get(server, ZERO_SERVER_TOTALS)
-            if now != known:
-                self._apply_change(server, known, now)
-        for server in before.keys() - told.keys():
-            self._apply_change(server, before[server], ZERO_SERVER_TOTALS)
+    def replace(self, source: Source, totals: ServerTotalsMap) -> None:
+        """Replace the totals of a source, or add them if it has none."""
+        previous = self._reported.get(source, {})
+        self._reported[source] = totals
+        for server, new in totals.items():
+            old = previous.get(server, ZERO_SERVER_TOTALS)
+            if new != old:
+                self._apply_change(server, old, new)
+        for server in previous.keys() - totals.keys():
+            self._apply_change(server, previous[server], ZERO_SERVER_TOTALS)
             if self.totals[server] == ZERO_SERVER_TOTALS:
                 del self.totals[server]
 
     def drop(self, source: Source) -> None:
-        """Count a source no longer."""
+        """Remove a source from the sums."""
         if source in self._reported:
             self.replace(source, {})
             del self._reported[source]
 
     def _apply_change(
-        self, server: BackendServerId, known: ServerTotals, now: ServerTotals
+        self, server: BackendServerId, old: ServerTotals, new: ServerTotals
     ) -> None:
         total = self.totals.get(server)
         if total is None:
             total = self.totals[server] = ServerTotals()
-        total.requests += now.requests - known.requests
-        total.tokens += now.tokens - known.tokens
-        total.attempts += now.attempts - known.attempts
-        total.failures += now.failures - known.failures
+        total.requests += new.requests - old.requests
+        total.tokens += new.tokens - old.tokens
+        total.attempts += new.attempts - old.attempts
+        total.failures += new.failures - old.failures
--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -1,10 +1,10 @@
-"""What a host knows from the others: use of quotas, work at servers, usage, life.
+"""State received from the other entry hosts: quota usage, server load, liveness.
 
-Hosts of the own cell tell their own totals, hosts of other cells the sums of theirs
-(`dewridge.policy.cells`). All are running totals, so that a lost datagram costs nothing
-but time. The period between two rounds grows with the messages of a round, so that a
-host's cost stays the same in a larger fleet while news gets older; decisions allow for
-its age.
+Hosts of the local cell report their own totals, hosts of other cells the sums over
+theirs (`dewridge.policy.cells`). All are running totals, so that a lost datagram only
+delays an update. The period between two rounds grows with the number of messages in a
+round: the cost of each host stays the same in a larger fleet, while reports become more
+stale. Decisions allow for this staleness.
 """
 
 from collections import defaultdict
@@ -34,35 +34,40 @@
 
 MIN_REPORT_PERIOD = 0.1
 """Seconds between two reports: a tenth of the shortest time to first token, so that
-the others' load is known before it has changed much."""
+hosts learn each other's load before it has changed much."""
 REPORTS_PER_SECOND = 90.0
-"""Datagrams a second that a host of a small fleet sends: about 2% of a core, for news
-that are a tenth of a second old where each host takes much of the load."""
+"""Datagrams that a host of a small fleet sends per second. They take about 2% of a core
+and keep reports within a tenth of a second old, because each host of a small fleet
+carries much of the load."""
 CELL_REPORTS_PER_SECOND = 40.0
-"""The same in a large fleet: sums over many hosts change slowly, and each host has few
-requests to set the cost of its reports against."""
+"""Datagrams that a host of a large fleet sends per second: sums over many hosts change
+slowly, and each host handles few requests relative to the cost of its reports."""
 SILENT_AFTER_PERIODS = 5
 """Periods without a report after which a host counts as silent: single datagrams get
-lost, five in a row seldom."""
+lost, but five in a row rarely do."""
 MIN_SILENCE = 0.6
-"""Seconds that a host may be silent at least: a busy process stalls for tenths."""
+"""Minimum seconds without a report before a host counts as silent: a busy process may
+stall for tenths of a second."""
 SUMMARY_CACHE_TIME = 0.05
-"""Seconds for which it stands who is heard: half of the shortest period. Looked at for
-each request it took a large part of its processor time in a large fleet."""
+"""Seconds for which a summary is reused: half of the shortest report period. In a large
+fleet, computing it for each request took a large part of the time spent on a
+request."""
 DIRECT_STALENESS_PERIODS = 1.5
+"""Staleness of direct reports, in periods: one on average until the next round, and a
+half in transit or in a busy process."""
 CELL_STALENESS_PERIODS = 2.5
-"""Periods by which the others' news may lag: one on average until the next round and
-half a one on the way or in a busy process; with cells, one more for the second step."""
+"""Staleness of reports in a fleet with cells, in periods: one more for the second hop,
+from cell to cell."""
 CELL_RETENTION_TIME = 10.0
-"""Seconds after its silence at which a host's word on its cell is forgotten: a cut of
-that length must not be taken for a new cell when it heals."""
+"""Seconds for which the cell report of a silent host is retained, so that a cell is not
+taken for a new one when a network partition of that length heals."""
 
 Name = TypeVar("Name", bound=str)
 
 
 @dataclass
 class PeerView:
-    """The last report of one start of a host of the own cell."""
+    """The last report received from a host of the local cell."""
 
     report: Report
     received_at: float
@@ -70,12 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSummary:
-    """Sums over all other hosts that are heard.
+    """Sums over all other live hosts.
 
     Attributes:
-        live_hosts: the hosts that are heard, directly or through their cell.
-        unready_hosts: those of them to which callers should not be sent.
-        server_totals: what goes on at each server; it goes on changing.
+        live_hosts: hosts that sent a report recently, or that a recent cell report
+            lists.
+        unready_hosts: the live hosts to which callers should not be directed.
+        server_totals: load and recent failures at each server; updated in place as
+            reports arrive.
     """
 
     live_hosts: frozenset[HostId]
@@ -89,30 +96,30 @@
 
 @dataclass
 class SharedReports:
-    """The last word of every host heard, and who is silent.
+    """The last report of every other host, and which hosts are silent.
 
     Attributes:
         local_host: this host.
-        boot: this start of it.
-        on_quota_usage: told the growth of an account's use at other hosts.
-        on_quota_demand: told the growth of what an account asked for at other hosts.
-        on_token_demand: told the growth of the prompt tokens for a service at other
-            hosts.
-        on_outcomes: told the growth of a counter of rollout outcomes at other hosts.
+        on_quota_usage: called with the growth of an account's usage at other hosts.
+        on_quota_demand: called with the growth of an account's demand at other hosts.
+        on_token_demand: called with the growth of the prompt tokens for a service at
+            other hosts.
+        on_outcomes: called with the growth of a rollout outcome counter at other hosts.
         is_outcome_open: whether such a counter belongs to a rollout in progress.
-        on_report: told the version in force at another host, and who left.
+        on_report: called with each periodic report that is accepted.
         started_at: steady time at which this process started.
-        cell_peers: last report by host of the own cell.
+        boot: start time of this process, in microseconds since 1970.
+        cell_peers: the last report of each other host of the local cell.
         cells: the other cells.
-        usage: what began at other hosts: the own cell's, and at the holder of the
-            duties that of all.
-        reports_received: those of hosts of the own cell.
-        reports_missed: those of theirs that never came, or too late.
-        holder: the holder of the duties.
+        usage: requests started at other hosts: those of the local cell, and all hosts
+            if this host holds the duties.
+        reports_received: number of reports received from hosts of the local cell.
+        reports_missed: number of their reports that were lost or arrived too late.
+        holder: the latest known holder of the duties.
         period: seconds between two rounds.
-        has_cells: whether the fleet is large enough for cells.
-        is_reader: whether this host follows the store for its cell.
-        reader_count: hosts that follow the store.
+        has_cells: whether the fleet is large enough for more than one cell.
+        is_reader: whether this host follows the store on behalf of its cell.
+        reader_count: number of hosts that follow the store.
     """
 
     local_host: HostId
@@ -148,78 +155,81 @@
     )
     _server_sums: ServerSums = field(default_factory=ServerSums)
     _summary: FleetSummary | None = None
-    _summed_at: float = float("-inf")
+    _summarized_at: float = float("-inf")
 
     @property
     def staleness(self) -> float:
-        """Seconds by which the others' news may lag."""
+        """Seconds by which the state of other hosts may lag."""
         return self.period * (
             CELL_STALENESS_PERIODS if self.has_cells else DIRECT_STALENESS_PERIODS
         )
 
-    def apply_report(self, news: PeriodicReport, now: float) -> None:
-        """Take over a message; late ones and those of earlier starts are dropped."""
-        if news.host == self.local_host:
+    def apply_report(self, report: PeriodicReport, now: float) -> None:
+        """Apply a report; drop late ones and those of earlier incarnations."""
+        if report.host == self.local_host:
             return
-        if isinstance(news, CellReport):
-            is_taken = self._apply_cell_report(news, now)
+        if isinstance(report, CellReport):
+            is_accepted = self._apply_cell_report(report, now)
         else:
-            is_taken = self._apply_host_report(news, now)
-        if is_taken:
-            self.record_holder(news.holder)
-            self.on_report(news)
+            is_accepted = self._apply_host_report(report, now)
+        if is_accepted:
+            self.record_holder(report.holder)
+            self.on_report(report)
 
     def _apply_host_report(self, report: Report, now: float) -> bool:
         known = self.cell_peers.get(report.host)
         was_silent = known is not None and self._is_stale(known.received_at, now)
-        before = None
+        previous = None
         if known is not None:
             order = (known.report.boot, known.report.number)
             if (report.boot, report.number) <= order:
                 return False
             if report.boot == known.report.boot:
-                before = known.report
+                previous = known.report
         else:
             log.bind(host=report.host, boot=report.boot).info("peer heard")
         if was_silent:
             log.bind(host=report.host).info("peer heard again")
         else:
-            self._apply_growth(report, before, now)
+            self._apply_growth(report, previous, now)
         self.usage.merge_counts((report.host, report.boot), report.usage_counts)
         self.reports_received += 1
-        if before is not None:
-            self.reports_missed += report.number - before.number - 1
+        if previous is not None:
+            self.reports_missed += report.number - previous.number - 1
         self.cell_peers[report.host] = PeerView(report, now)
         self._server_sums.replace(report.host, report.totals.servers)
         return True
 
-    # A host that was silent kept to its share, and this one left that share to it. Its
-    # use of that time must not be taken out once more: after a cut of ten seconds an
-    # account would be refused for ten more at the host that was cut off.
-    def _apply_growth(self, report: Report, before: Report | None, now: float) -> None:
-        # What a host used before this one started is not in this one's buckets.
-        if before is None and report.age > now - self.started_at:
+    # Growth during a host's silence is not applied. The silent host used no more than
+    # its share of each quota, which this host had reserved for it. Deducting that usage
+    # again would, after a partition of ten seconds, refuse an account for ten more at
+    # the host that was cut off.
+    def _apply_growth(
+        self, report: Report, previous: Report | None, now: float
+    ) -> None:
+        # Usage from before this process started is not in its quota buckets.
+        if previous is None and report.age > now - self.started_at:
             return
-        earlier = before.totals if before is not None else Totals()
+        earlier = previous.totals if previous is not None else Totals()
         totals = report.totals
-        for account, grown in find_growth(
+        for account, growth in find_growth(
             totals.quota_usage, earlier.quota_usage
         ).items():
-            self._cell_quota_usage[account] += grown
-            self.on_quota_usage(report.host, account, grown, now)
-        for account, grown in find_growth(
+            self._cell_quota_usage[account] += growth
+            self.on_quota_usage(report.host, account, growth, now)
+        for account, growth in find_growth(
             totals.quota_demand, earlier.quota_demand
         ).items():
-            self._cell_quota_demand[account] += grown
-            self.on_quota_demand(account, grown, now)
-        for service, grown in find_growth(
+            self._cell_quota_demand[account] += growth
+            self.on_quota_demand(account, growth, now)
+        for service, growth in find_growth(
             totals.token_demand, earlier.token_demand
         ).items():
-            self._cell_token_demand[service] += grown
-            self.on_token_demand(service, grown, now)
-        for name, grown in find_growth(totals.outcomes, earlier.outcomes).items():
-            self._cell_outcomes[name] += grown
-            self.on_outcomes(name, grown)
+            self._cell_token_demand[service] += growth
+            self.on_token_demand(service, growth, now)
+        for name, growth in find_growth(totals.outcomes, earlier.outcomes).items():
+            self._cell_outcomes[name] += growth
+            self.on_outcomes(name, growth)
 
     def _apply_cell_report(self, report: CellReport, now: float) -> bool:
         cell = self.cells.setdefault(report.cell, CellView())
@@ -230,137 +240,144 @@
                 return False
         if cell.sources and self._is_stale(cell.received_at, now):
             log.bind(cell=report.cell).info("cell heard again")
-            cell.realign()
+            cell.reset_baselines()
         cell.sources[report.host] = SourceView(report, now)
         self._server_sums.replace(report.cell, report.totals.servers)
         source = (report.host, report.boot)
         totals = report.totals
-        for account, grown in cell.quota_usage.note(source, totals.quota_usage).items():
-            self.on_quota_usage(report.host, account, grown, now)
-        for account, grown in cell.quota_demand.note(
+        for account, growth in cell.quota_usage.note(
+            source, totals.quota_usage
+        ).items():
+            self.on_quota_usage(report.host, account, growth, now)
+        for account, growth in cell.quota_demand.note(
             source, totals.quota_demand
         ).items():
-            self.on_quota_demand(account, grown, now)
-        for service, grown in cell.token_demand.note(
+            self.on_quota_demand(account, growth, now)
+        for service, growth in cell.token_demand.note(
             source, totals.token_demand
         ).items():
-            self.on_token_demand(service, grown, now)
-        for name, grown in cell.outcomes.note(source, totals.outcomes).items():
-            self.on_outcomes(name, grown)
+            self.on_token_demand(service, growth, now)
+        for name, growth in cell.outcomes.note(source, totals.outcomes).items():
+            self.on_outcomes(name, growth)
         return True
 
     def record_holder(self, holder: DutyHolder) -> None:
-        """Take over who holds the duties; an earlier holder gives way."""
+        """Record the holder of the duties unless a later one is known."""
         self.holder = max(self.holder, holder)
 
-    def _is_stale(self, heard_at: float, now: float) -> bool:
-        return now - heard_at > max(MIN_SILENCE, SILENT_AFTER_PERIODS * self.period)
+    def _is_stale(self, received_at: float, now: float) -> bool:
+        return now - received_at > max(MIN_SILENCE, SILENT_AFTER_PERIODS * self.period)
 
     def list_live_hosts(self) -> frozenset[HostId]:
-        """Return the other hosts that are heard now, directly or through their cell."""
+        """Return the other live hosts of all cells."""
         return self.find_summary(trio.current_time()).live_hosts
 
     def is_silent(self, host: HostId, now: float) -> bool:
-        """Whether nothing was heard from or of a host for some periods."""
+        """Whether no recent report came from a host or lists it as a cell member."""
         return host not in self.find_summary(now).live_hosts
 
     def find_summary(self, now: float) -> FleetSummary:
-        """Return what is known of all other hosts together."""
-        if self._summary is None or not 0 <= now - self._summed_at < SUMMARY_CACHE_TIME:
+        """Return the state of all other hosts together, cached for a short time."""
+        if (
+            self._summary is None
+            or not 0 <= now - self._summarized_at < SUMMARY_CACHE_TIME
+        ):
             self._summary = self._make_summary(now)
-            self._summed_at = now
+            self._summarized_at = now
         return self._summary
 
     def _make_summary(self, now: float) -> FleetSummary:
-        heard: set[HostId] = set()
+        live: set[HostId] = set()
         unready: set[HostId] = set()
         for host, view in self.cell_peers.items():
-            is_old = self._is_stale(view.received_at, now)
-            self._update_server_sums(host, view.report, is_old=is_old)
-            if not is_old:
-                heard.add(host)
+            is_stale = self._is_stale(view.received_at, now)
+            self._update_server_sums(host, view.report, is_stale=is_stale)
+            if not is_stale:
+                live.add(host)
                 if not view.report.is_ready:
                     unready.add(host)
         for name, cell in self.cells.items():
-            fresh = [
+            live_sources = [
                 source
                 for source in cell.sources.values()
                 if not self._is_stale(source.received_at, now)
             ]
-            self._update_server_sums(name, cell.newest, is_old=not fresh)
-            for source in fresh:
-                heard.update(source.report.members)
-            if fresh:
-                unready.update(cell.newest.unready)
+            self._update_server_sums(
+                name, cell.newest_report, is_stale=not live_sources
+            )
+            for source in live_sources:
+                live.update(source.report.members)
+            if live_sources:
+                unready.update(cell.newest_report.unready)
         return FleetSummary(
-            live_hosts=frozenset(heard - {self.local_host}),
+            live_hosts=frozenset(live - {self.local_host}),
             unready_hosts=frozenset(unready),
             server_totals=self._server_sums.totals,
         )
 
     def _update_server_sums(
-        self, source: str, report: Report | CellReport, *, is_old: bool
+        self, source: str, report: Report | CellReport, *, is_stale: bool
     ) -> None:
-        """Leave out what silent hosts had at servers, and count it when heard again."""
-        if is_old:
+        """Exclude the load of a silent source, and include it once it is live again."""
+        if is_stale:
             self._server_sums.drop(source)
         elif source not in self._server_sums:
             self._server_sums.replace(source, report.totals.servers)
 
     def list_live_cell_members(self, now: float) -> list[HostId]:
-        """Return the hosts of the own cell that are heard, this one included."""
-        heard = [
+        """Return the live hosts of the local cell, including this one."""
+        live = [
             host
             for host, view in self.cell_peers.items()
             if not self._is_stale(view.received_at, now)
         ]
-        return [self.local_host, *heard]
+        return [self.local_host, *live]
 
     def list_last_received(self) -> dict[HostId, tuple[int, int]]:
-        """Return start and number of the last report of each host of the cell."""
+        """Return boot time and number of the last report of each cell peer."""
         return {
             host: (view.report.boot, view.report.number)
             for host, view in self.cell_peers.items()
         }
 
     def list_unready_cell_peers(self, now: float) -> list[HostId]:
-        """Return the heard hosts of the own cell that are not ready."""
+        """Return the live cell peers that are not ready."""
         return [
             host
             for host, view in self.cell_peers.items()
             if not self._is_stale(view.received_at, now) and not view.report.is_ready
         ]
 
-    def sum_cell_totals(self, own: Totals, now: float) -> Totals:
-        """Return the own cell's totals.
+    def sum_cell_totals(self, local: Totals, now: float) -> Totals:
+        """Return the totals of the local cell.
 
         Args:
-            own: this host's totals.
+            local: this host's totals.
             now: steady time.
         """
-        mates = [
+        peer_totals = [
             view.report.totals
             for view in self.cell_peers.values()
             if not self._is_stale(view.received_at, now)
         ]
         return Totals(
-            quota_usage=_add(self._cell_quota_usage, own.quota_usage),
-            quota_demand=_add(self._cell_quota_demand, own.quota_demand),
-            token_demand=_add(self._cell_token_demand, own.token_demand),
-            servers=sum_server_totals([own, *mates]),
-            outcomes=self._sum_outcomes(own),
+            quota_usage=_add(self._cell_quota_usage, local.quota_usage),
+            quota_demand=_add(self._cell_quota_demand, local.quota_demand),
+            token_demand=_add(self._cell_token_demand, local.token_demand),
+            servers=sum_server_totals([local, *peer_totals]),
+            outcomes=self._sum_outcomes(local),
         )
 
-    def _sum_outcomes(self, own: Totals) -> dict[OutcomeKey, int]:
+    def _sum_outcomes(self, local: Totals) -> dict[OutcomeKey, int]:
         closed = [
             name for name in self._cell_outcomes if not self.is_outcome_open(name)
         ]
         for name in closed:
             del self._cell_outcomes[name]
-        return _add(self._cell_outcomes, own.outcomes)
+        return _add(self._cell_outcomes, local.outcomes)
 
     def discard_before(self, window: int, now: float) -> None:
-        """Forget the usage of windows before this one, and cells that are gone."""
+        """Discard the usage of windows before this one, and departed cells."""
         self.usage.discard_before(window)
         for name, cell in list(self.cells.items()):
             for host, view in list(cell.sources.items()):
--- a/dewridge/gateway/sharinglink.py
+++ b/dewridge/gateway/sharinglink.py
@@ -1,4 +1,4 @@
-"""The rounds in which hosts tell each other what they know."""
+"""Periodic rounds of reports between hosts, and urgent messages outside of them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -35,17 +35,18 @@
 from dewridge.policy.cells import CellName, deal_cells, find_cell, list_receivers
 
 URGENT_GATHER_TIME = 0.02
-"""Seconds before urgent news goes out: a failure domain's servers leave within that."""
+"""Seconds for which urgent updates are collected before they are sent: the servers of a
+failure domain leave within that time."""
 MAX_SUSPECTS_PER_DATAGRAM = 16
-"""Some 1.5 KB: what a weak link's queue takes beside a round."""
+"""About 1.5 KB, which fits into the queue of a weak link in addition to a round."""
 READERS_PER_CELL = 1
-"""Hosts of each cell that follow the store for all; what one learns goes to all cells.
-When the store turns a third of the hosts away, the chance that it is the readers of all
-eight cells of 85 hosts is one in 6,000."""
+"""Hosts of each cell that follow the store for the other hosts. What one of them learns
+is sent to all cells: when the store rejects a third of the hosts, the probability that
+these include the readers of all eight cells of 85 hosts is 1 in 6,000."""
 
 
 class Recipients(Enum):
-    """Whom urgent news goes to."""
+    """Recipients of an urgent message."""
 
     ALL = "all of a round"
     CELL_PEERS = "the own cell"
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """Whom a round of messages goes to.
+    """Recipients of a round of reports.
 
     Attributes:
         cell: this host's cell.
         cell_peers: the other hosts of the cell.
-        receivers: hosts of other cells.
-        is_reader: whether this host follows the store for its cell.
-        reader_count: hosts of a large fleet that do.
+        receivers: the hosts of other cells that this host reports to.
+        is_reader: whether this host follows the store on behalf of its cell.
+        reader_count: number of hosts that follow the store.
     """
 
     cell: CellName
@@ -71,61 +72,68 @@
 
     @property
     def message_count(self) -> int:
-        """How many messages it takes."""
+        """Number of messages in the round."""
         return len(self.cell_peers) + len(self.receivers)
 
 
 def plan_round(
     entries: dict[HostId, HostEntry],
-    own: HostId,
-    own_domain: FailureDomain,
+    local_host: HostId,
+    local_domain: FailureDomain,
     number: int,
 ) -> Round:
-    """Return whom this host tells in a round.
+    """Return the recipients of a round of reports.
 
     Args:
-        entries: the hosts that news is shared with, by id.
-        own: this host; it may not be registered yet.
-        own_domain: where it is.
-        number: of the round.
+        entries: the hosts that exchange reports, by id.
+        local_host: this host; it may not be registered yet.
+        local_domain: failure domain of this host.
+        number: sequence number of the round.
     """
     domains = {host: entry.failure_domain for host, entry in entries.items()}
-    domains[own] = own_domain
+    domains[local_host] = local_domain
     cells = deal_cells(domains)
-    cell = find_cell(cells, own)
+    cell = find_cell(cells, local_host)
     assert cell is not None
-    mates = [host for host in cells[cell] if host != own]
-    receivers = list_receivers(cells, own, number)
+    cell_peers = [host for host in cells[cell] if host != local_host]
+    receivers = list_receivers(cells, local_host, number)
     return Round(
         cell=cell,
-        cell_peers=[entries[host] for host in mates],
+        cell_peers=[entries[host] for host in cell_peers],
         receivers=[entries[host] for host in receivers],
-        is_reader=len(cells) == 1 or own in cells[cell][:READERS_PER_CELL],
+        is_reader=len(cells) == 1 or local_host in cells[cell][:READERS_PER_CELL],
         reader_count=1 if len(cells) == 1 else READERS_PER_CELL * len(cells),
     )
 
 
 class ReportLink:
-    """Sends this host's word and takes the others'."""
+    """Sends the reports of this host and receives those of the others.
+
+    Attributes:
+        on_departures: called with each urgent message about departing servers.
+        list_departing: returns seconds until each departing server stops serving.
+        on_suspects: called with each urgent message about suspect requests.
+        list_suspects: returns the suspects not yet sent in an urgent message.
+    """
 
     def __init__(
         self,
         socket: PacedSocket,
         sharing: SharedReports,
-        table: HostTable,
-        own_domain: FailureDomain,
+        host_table: HostTable,
+        local_domain: FailureDomain,
         make_report: Callable[[int], Report],
-        echoes: SentReportTimes,
-        teller: UsageReporter,
+        sent_times: SentReportTimes,
+        usage_reporter: UsageReporter,
         on_confirmed: Callable[[int, float], None],
     ) -> None:
         self._socket = socket
         self._sharing = sharing
-        self._host_table = table
-        self._local_domain = own_domain
+        self._host_table = host_table
+        self._local_domain = local_domain
         self._make_report = make_report
-        self._sent_times = echoes
-        self._usage_reporter = teller
+        self._sent_times = sent_times
+        self._usage_reporter = usage_reporter
         self._on_confirmed = on_confirmed
         self.on_departures: Callable[[DepartureReport], None] = lambda report: None
         self.list_departing: Callable[[], dict[BackendServerId, float]] = dict
@@ -133,11 +141,11 @@
         self.list_suspects: Callable[[], list[SuspectUpdate]] = list
         self._encoder = msgspec.msgpack.Encoder()
         self._number = 0
-        self._urgent = trio.Event()
+        self._urgent_requested = trio.Event()
         self._urgent_recipients: Recipients | None = None
 
     async def receive(self) -> None:
-        """Take over messages for ever."""
+        """Receive and apply messages forever."""
         decoder: msgspec.msgpack.Decoder[HostMessage] = msgspec.msgpack.Decoder(
             HostMessage
         )
@@ -146,7 +154,7 @@
             try:
                 message = decoder.decode(data)
             except msgspec.DecodeError as error:
-                log.bind(reason=str(error)).warning("report can't be read")
+                log.bind(reason=str(error)).warning("datagram cannot be decoded")
                 continue
             self._dispatch(message, sender)
 
@@ -173,26 +181,26 @@
         if confirmed_at is not None:
             self._on_confirmed(report.version, confirmed_at)
 
-    def schedule_urgent_send(self, audience: Recipients) -> None:
-        """Tell at once which servers leave, and under which requests servers ended.
+    def schedule_urgent_send(self, recipients: Recipients) -> None:
+        """Send departing servers and suspect requests before the next round.
 
-        A reclaimed server is gone a second after its notice. With the news of it in
-        the usual rounds its streams could not be moved in time; and a request that ends
-        servers comes again at other hosts within tenths.
+        A reclaimed server stops one second after its notice, so that its streams could
+        not be moved in time with the periodic rounds alone. A request that crashes
+        servers arrives again at other hosts within tenths of a second.
         """
         if self._urgent_recipients is not Recipients.ALL:
-            self._urgent_recipients = audience
-        self._urgent.set()
+            self._urgent_recipients = recipients
+        self._urgent_requested.set()
 
     async def send(self) -> None:
-        """Tell the others for ever."""
+        """Send rounds of reports and urgent messages forever."""
         while True:
             self._number += 1
             self._send_round(self._plan_round())
             next_at = trio.current_time() + self._sharing.period
             while trio.current_time() < next_at:
                 with trio.move_on_at(next_at):
-                    await self._urgent.wait()
+                    await self._urgent_requested.wait()
                     await trio.sleep(URGENT_GATHER_TIME)
                 self._send_urgent()
 
@@ -223,40 +231,42 @@
         self._enqueue(plan.receivers, cell_data, Urgency.ROUND)
 
     def _find_period(self, plan: Round, size: int) -> float:
-        """Return the seconds until the next round: all of this one has gone by then."""
+        """Return the seconds until the next round, enough to send all of this one."""
         pace = CELL_REPORTS_PER_SECOND if plan.receivers else REPORTS_PER_SECOND
         return max(
             MIN_REPORT_PERIOD, plan.message_count / pace, size / self._socket.rate
         )
 
     def _send_urgent(self) -> None:
-        audience, self._urgent_recipients = self._urgent_recipients, None
-        self._urgent = trio.Event()
-        if audience is None:
+        recipients, self._urgent_recipients = self._urgent_recipients, None
+        self._urgent_requested = trio.Event()
+        if recipients is None:
             return
         plan = self._plan_round()
-        left = self.list_departing()
+        departing = self.list_departing()
         suspects = self.list_suspects()
-        self._enqueue_urgent(plan.cell_peers, left, suspects, is_for_mates=True)
-        if audience is Recipients.ALL:
-            self._enqueue_urgent(plan.receivers, left, suspects, is_for_mates=False)
+        self._enqueue_urgent(plan.cell_peers, departing, suspects, is_cell_local=True)
+        if recipients is Recipients.ALL:
+            self._enqueue_urgent(
+                plan.receivers, departing, suspects, is_cell_local=False
+            )
 
     def _enqueue_urgent(
         self,
         peers: list[HostEntry],
-        left: dict[BackendServerId, float],
+        departing: dict[BackendServerId, float],
         suspects: list[SuspectUpdate],
         *,
-        is_for_mates: bool,
+        is_cell_local: bool,
     ) -> None:
-        own = self._sharing.local_host
-        if left:
-            told = DepartureReport(own, left, is_for_mates)
-            self._enqueue(peers, self._encoder.encode(told), Urgency.AT_ONCE)
+        local_host = self._sharing.local_host
+        if departing:
+            departures = DepartureReport(local_host, departing, is_cell_local)
+            self._enqueue(peers, self._encoder.encode(departures), Urgency.AT_ONCE)
         for begin in range(0, len(suspects), MAX_SUSPECTS_PER_DATAGRAM):
             part = suspects[begin : begin + MAX_SUSPECTS_PER_DATAGRAM]
-            news = SuspectReport(own, part, is_for_mates)
-            self._enqueue(peers, self._encoder.encode(news), Urgency.AT_ONCE)
+            suspect_report = SuspectReport(local_host, part, is_cell_local)
+            self._enqueue(peers, self._encoder.encode(suspect_report), Urgency.AT_ONCE)
 
     def _make_cell_report(
         self, cell: CellName, report: Report, totals: Totals
@@ -281,7 +291,7 @@
         )
 
     def _enqueue(self, peers: list[HostEntry], data: bytes, urgency: Urgency) -> None:
-        """Send to all; another begins each round, so that none is the last always."""
-        turn = self._number % max(1, len(peers))
-        for peer in [*peers[turn:], *peers[:turn]]:
+        """Send to all peers, rotating the first one so that none is always the last."""
+        first = self._number % max(1, len(peers))
+        for peer in [*peers[first:], *peers[:first]]:
             self._socket.enqueue(read_address(peer.peers), data, urgency)
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -1,4 +1,8 @@
-"""The duty to report usage: one sum for each window, the same however often sent."""
+"""The duty to report usage for billing: one sum per usage window.
+
+Each report of a window carries the same sum, however often and by whichever holder of
+the duties it is sent.
+"""
 
 import time
 from collections.abc import Callable, Iterable
@@ -18,22 +22,24 @@
 
 USAGE_PREFIX = PREFIX + "usage/"
 POLL_PERIOD = 0.5
+"""Seconds between two checks for windows to report."""
 SETTLE_TIME = 2.0
-"""Seconds after a window's end before its sum is made: requests that began in it are
-counted and heard from all hosts, and clocks differ a little."""
+"""Seconds after a window's end before its sum is computed: the hosts must count and
+report the requests that started in it, and their clocks differ slightly."""
 NEW_HOLDER_SETTLE_TIME = 2.5
-"""Seconds from the begin of a tenure in a large fleet until its first sum: the news of
-the holder takes two rounds of reports, and hosts tell it of starts that are gone."""
+"""Seconds in a large fleet between the start of a holder's term and its first sum: the
+hosts learn of the new holder within two rounds of reports, and then also report to it
+for departed hosts."""
 REPORT_MARGIN = 4.0
-"""Seconds before a sum is due at which it is made of what is there, though counts of
-hosts are missing: the store and the cloud API may each let one call time out."""
+"""Seconds before a sum is due at which it is computed even if counts of some hosts are
+missing. One call to the store and one to the cloud API may time out in that time."""
 RETAINED_WINDOWS = 8
-"""Windows whose records are kept: longer than any is due."""
-Counts = dict[ClientAccount, int]
+"""Number of windows whose sums stay in the store: more than can be due at any time."""
+AccountCounts = dict[ClientAccount, int]
 
 
 class UsageDuty:
-    """Sums the hosts' counts, fixes the sum in the store and reports it."""
+    """Sums the hosts' counts, fixes each sum in the store and reports it."""
 
     def __init__(
         self,
@@ -41,40 +47,41 @@
         tenancy: Tenancy,
         store: Store,
         cloud: Cloud,
-        ask: Callable[[Iterable[HostEntry]], None] = lambda hosts: None,
+        request_usage: Callable[[Iterable[HostEntry]], None] = lambda hosts: None,
     ) -> None:
-        self._request_usage = ask
+        self._request_usage = request_usage
         self._state = state
         self._tenancy = tenancy
         self._store = store
         self._cloud = cloud
         self._reported_windows: set[int] = set()
-        self._fixed_counts: dict[int, Counts] = {}
+        self._fixed_counts: dict[int, AccountCounts] = {}
         self._term: Tenure | None = None
         self._term_seen_at = 0.0
 
     async def run(self) -> None:
-        """Report each window that is due, for ever."""
+        """Report each window that is due, forever."""
         while True:
-            tenure = self._tenancy.find_tenure()
-            if tenure is not None and self._has_settled(tenure):
+            term = self._tenancy.find_tenure()
+            if term is not None and self._has_settled(term):
                 for window in self._list_due_windows():
                     if self._is_ready_to_report(window):
-                        await self._report(tenure, window)
+                        await self._report(term, window)
             await trio.sleep(POLL_PERIOD)
 
-    def _has_settled(self, tenure: Tenure) -> bool:
-        """Whether the other hosts have had the time to tell a new holder their counts.
+    def _has_settled(self, term: Tenure) -> bool:
+        """Whether the hosts have had time to report their counts to a new holder.
 
-        The first sum of a window stands. Made at once, it lacked what other hosts told
-        the holder before: sums were off by a third after each change of the holder.
+        The first sum of a window is final. Computed immediately, it lacked the counts
+        that hosts had reported to the previous holder: sums were off by a third after
+        each change of the holder.
         """
         now = trio.current_time()
-        if tenure != self._term:
-            self._term = tenure
+        if term != self._term:
+            self._term = term
             self._term_seen_at = now
-        needs = NEW_HOLDER_SETTLE_TIME if self._state.sharing.has_cells else 0.0
-        return now - self._term_seen_at >= needs
+        settle_time = NEW_HOLDER_SETTLE_TIME if self._state.sharing.has_cells else 0.0
+        return now - self._term_seen_at >= settle_time
 
     def _list_due_windows(self) -> list[int]:
         bounds = self._state.settings.bounds
@@ -93,27 +100,28 @@
         return [window for window in windows if window not in self._reported_windows]
 
     def _is_ready_to_report(self, window: int) -> bool:
-        """Whether a sum would hold all live hosts, or can't wait for them any longer.
+        """Whether a sum would cover all registered hosts, or must not wait any longer.
 
-        The first sum stands. Made while hosts' counts were missing, it left out
-        requests for good, and nothing told whose; so these are asked first.
+        The first sum of a window is final. Computed while counts were missing, it left
+        out requests permanently and nothing showed whose; so the missing hosts are
+        asked for their counts first, and logged.
         """
-        lacking = self._list_missing_hosts(window)
-        if not lacking:
+        missing = self._list_missing_hosts(window)
+        if not missing:
             return True
         bounds = self._state.settings.bounds
         ended_at = (window + 1) * bounds.usage_window
-        waits_until = ended_at + max(SETTLE_TIME, bounds.usage_due - REPORT_MARGIN)
-        may_wait = time.time() < waits_until
+        wait_until = ended_at + max(SETTLE_TIME, bounds.usage_due - REPORT_MARGIN)
+        may_wait = time.time() < wait_until
         log.bind(
-            window=window, hosts=[host.id for host in lacking], waits=may_wait
+            window=window, hosts=[host.id for host in missing], waits=may_wait
         ).info("usage lacks hosts")
         if may_wait:
-            self._request_usage(lacking)
+            self._request_usage(missing)
         return not may_wait
 
     def _list_missing_hosts(self, window: int) -> list[HostEntry]:
-        """Return the registered hosts whose counts of a window are not complete."""
+        """Return the registered hosts whose counts of a window are incomplete."""
         sharing = self._state.sharing
         if not sharing.has_cells:
             return []
@@ -123,11 +131,11 @@
             if sharing.usage.is_incomplete((host.id, host.boot), window)
         ]
 
-    async def _report(self, tenure: Tenure, window: int) -> None:
+    async def _report(self, term: Tenure, window: int) -> None:
         counts = await self._fix_counts(window)
-        if counts is None or self._tenancy.find_tenure() != tenure:
+        if counts is None or self._tenancy.find_tenure() != term:
             return
-        outcome = await self._cloud.report_usage(tenure, window, counts)
+        outcome = await self._cloud.report_usage(term, window, counts)
         if outcome is CallOutcome.ACCEPTED:
             self._reported_windows.add(window)
         log.bind(
@@ -138,12 +146,12 @@
             starts=len(self._state.sharing.usage.counts_by_window.get(window, {})) + 1,
         ).info("usage reported")
 
-    async def _fix_counts(self, window: int) -> Counts | None:
-        """Return the counts of a window as all holders will report them.
+    async def _fix_counts(self, window: int) -> AccountCounts | None:
+        """Return the counts of a window as every holder will report them.
 
         A report whose answer was lost may have been accepted, and the next holder may
-        count a host's last words differently. The first sum written to the store
-        stands, so that whoever reports sends the same.
+        have received different last reports. The first sum written to the store is
+        final, so that each holder reports the same counts.
         """
         key = f"{USAGE_PREFIX}{window}"
         counts = self._find_fixed_counts(window, key) or self._sum_counts(window)
@@ -166,9 +174,9 @@
         item = await self._store.read(key)
         if isinstance(item, Failure) or not isinstance(item, Item):
             return None
-        return msgspec.json.decode(item.value, type=Counts)
+        return msgspec.json.decode(item.value, type=AccountCounts)
 
-    def _find_fixed_counts(self, window: int, key: str) -> Counts | None:
+    def _find_fixed_counts(self, window: int, key: str) -> AccountCounts | None:
         """Return the counts already fixed for a window, even if the store lost them.
 
         They may have been reported; reporting different counts for the same window
@@ -179,8 +187,8 @@
         item = self._state.hosts.lost_items.get(key)
         if item is None:
             return None
-        return msgspec.json.decode(item.value, type=Counts)
+        return msgspec.json.decode(item.value, type=AccountCounts)
 
-    def _sum_counts(self, window: int) -> Counts:
-        own = self._state.began.get(window, {})
-        return self._state.sharing.usage.sum(window, own)
+    def _sum_counts(self, window: int) -> AccountCounts:
+        local = self._state.began.get(window, {})
+        return self._state.sharing.usage.sum(window, local)
--- a/dewridge/gateway/usagecounts.py
+++ b/dewridge/gateway/usagecounts.py
@@ -1,4 +1,4 @@
-"""What requests began at other hosts, by usage window and account."""
+"""Numbers of requests started at other hosts, by usage window and account."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -12,75 +12,88 @@
 )
 from dewridge.ids import ClientAccount
 
-Counts = dict[ClientAccount, int]
+AccountCounts = dict[ClientAccount, int]
 
 
 @dataclass
 class FleetUsage:
-    """Counts of each start of a host, kept beyond its end.
+    """Counts of each host incarnation, retained after it has departed.
 
     Attributes:
-        counts_by_window: the counts, by window and start.
-        complete_before: the window in which each start last told this host its usage as
-            the holder of the duties; its counts of earlier ones are complete.
+        counts_by_window: the counts, by window and incarnation.
+        complete_before: window in which each incarnation last reported its usage to
+            this host as the holder of the duties. Its counts of earlier windows are
+            complete.
     """
 
-    counts_by_window: dict[int, dict[HostIncarnation, Counts]] = field(
+    counts_by_window: dict[int, dict[HostIncarnation, AccountCounts]] = field(
         default_factory=lambda: defaultdict(dict)
     )
     complete_before: dict[HostIncarnation, int] = field(default_factory=dict)
 
-    def merge_counts(self, start: HostIncarnation, began: UsageCounts) -> None:
-        """Take over counts, which only grow; older words may come later."""
-        for window, counts in began.items():
-            known = self.counts_by_window[window].setdefault(start, {})
+    def merge_counts(
+        self, incarnation: HostIncarnation, usage_counts: UsageCounts
+    ) -> None:
+        """Merge counts of an incarnation by maximum.
+
+        Counts only grow, and older reports may arrive later.
+        """
+        for window, counts in usage_counts.items():
+            known = self.counts_by_window[window].setdefault(incarnation, {})
             for account, count in counts.items():
                 known[account] = max(count, known.get(account, 0))
 
-    def apply_report(self, report: UsageReport, own: HostIncarnation) -> None:
-        """Take over what was told to this host as the holder of the duties.
+    def apply_report(self, report: UsageReport, local: HostIncarnation) -> None:
+        """Apply a usage report sent to this host as the holder of the duties.
+
+        Several hosts may report for a departed incarnation, and each of them may have
+        missed its last report.
 
-        Several hosts may tell of a start that is gone, and each may have missed its
-        last word.
+        Args:
+            report: the usage report.
+            local: the incarnation of this host, whose own counts are not overwritten.
         """
         for usage in report.usage:
-            start = (usage.host, usage.boot)
-            if start != own:
-                self.merge_counts(start, usage.usage_counts)
-        teller = (report.host, report.boot)
-        told = self.complete_before.get(teller, report.window)
-        self.complete_before[teller] = max(told, report.window)
+            incarnation = (usage.host, usage.boot)
+            if incarnation != local:
+                self.merge_counts(incarnation, usage.usage_counts)
+        sender = (report.host, report.boot)
+        known = self.complete_before.get(sender, report.window)
+        self.complete_before[sender] = max(known, report.window)
 
-    def is_incomplete(self, start: HostIncarnation, window: int) -> bool:
-        """Whether a start's counts of a window may still grow, or are not told yet."""
-        return self.complete_before.get(start, window) <= window
+    def is_incomplete(self, incarnation: HostIncarnation, window: int) -> bool:
+        """Whether counts of a window may still grow or have not been reported yet."""
+        return self.complete_before.get(incarnation, window) <= window
 
     def list_departed(self, live: set[HostIncarnation]) -> list[HostUsage]:
-        """Return the usage of starts that are not among the live ones."""
-        gone: dict[HostIncarnation, UsageCounts] = defaultdict(dict)
-        for window, by_start in self.counts_by_window.items():
-            for start, counts in by_start.items():
-                if start not in live:
-                    gone[start][window] = counts
-        return [HostUsage(host, boot, began) for (host, boot), began in gone.items()]
-
-    def sum(self, window: int, own: Counts) -> Counts:
-        """Return all hosts' usage in a window, with this host's own."""
-        return _add_counts([own, *self.counts_by_window.get(window, {}).values()])
+        """Return the usage of the incarnations that are not among the live ones."""
+        departed: dict[HostIncarnation, UsageCounts] = defaultdict(dict)
+        for window, by_incarnation in self.counts_by_window.items():
+            for incarnation, counts in by_incarnation.items():
+                if incarnation not in live:
+                    departed[incarnation][window] = counts
+        return [
+            HostUsage(host, boot, usage_counts)
+            for (host, boot), usage_counts in departed.items()
+        ]
+
+    def sum(self, window: int, local: AccountCounts) -> AccountCounts:
+        """Return the sum of a window over all hosts, given the counts of this host."""
+        return _add_counts([local, *self.counts_by_window.get(window, {}).values()])
 
     def discard_before(self, window: int) -> None:
-        """Forget the windows before this one."""
+        """Discard the counts of windows before this one."""
         for old in [known for known in self.counts_by_window if known < window]:
             del self.counts_by_window[old]
         self.complete_before = {
-            start: told
-            for start, told in self.complete_before.items()
-            if told >= window
+            incarnation: reported
+            for incarnation, reported in self.complete_before.items()
+            if reported >= window
         }
 
 
-def _add_counts(parts: Iterable[Counts]) -> Counts:
-    total: Counts = defaultdict(int)
+def _add_counts(parts: Iterable[AccountCounts]) -> AccountCounts:
+    total: AccountCounts = defaultdict(int)
     for part in parts:
         for account, count in part.items():
             total[account] += count
