--- a/dewridge/tests/gateway/sharing_tests.py
+++ b/dewridge/tests/gateway/sharing_tests.py
@@ -1,4 +1,4 @@
-"""Reports between hosts: lost, late, repeated, and after a silence."""
+"""Tests of applying reports that are lost, late, repeated, or follow a silence."""
 
 import msgspec
 
@@ -17,16 +17,16 @@
 from dewridge.policy.cells import CellName
 from dewridge.tests.gateway.world import make_configuration
 
-OWN = HostId("host-1")
+LOCAL = HostId("host-1")
 PEER = HostId("host-2")
 ACCOUNT = ClientAccount("account-1")
 SERVER = BackendServerId("s-1")
 
 
 def make_report(
-    number: int, used: int, *, boot: int = 1, age: float = 0.0, work: int = 0
+    number: int, used: int, *, boot: int = 1, age: float = 0.0, in_flight: int = 0
 ) -> Report:
-    """Return a peer's report."""
+    """Return a report of a cell peer with given totals and requests in flight."""
     return Report(
         host=PEER,
         boot=boot,
@@ -36,212 +36,213 @@
         totals=Totals(
             quota_usage={ACCOUNT: used},
             token_demand={ServiceName("engine"): used},
-            servers={SERVER: ServerTotals(work, work * 100)},
+            servers={SERVER: ServerTotals(in_flight, in_flight * 100)},
         ),
         usage_counts={7: {ACCOUNT: number}},
     )
 
 
-class Listener:
-    """A host's view with what it was told of use."""
+class UsageRecorder:
+    """Reports received by a host, and the quota usage that they add to its buckets."""
 
     def __init__(self) -> None:
         self.used: list[float] = []
-        self.sharing = SharedReports(OWN, self._note)
+        self.sharing = SharedReports(LOCAL, self._record)
 
-    def _note(
+    def _record(
         self, host: HostId, account: ClientAccount, amount: float, now: float
     ) -> None:
         self.used.append(amount)
 
 
-def test_lost_and_late_reports_cost_nothing() -> None:
-    """A datagram is lost, the next one overtakes another."""
-    listener = Listener()
+def test_lost_and_late_reports_lose_no_usage() -> None:
+    """One datagram is lost and another arrives after its successor."""
+    recorder = UsageRecorder()
     for number, used, now in ((1, 10, 1.0), (3, 40, 1.2), (2, 25, 1.3), (3, 40, 1.4)):
-        listener.sharing.apply_report(make_report(number, used), now)
-    assert listener.used == [10, 30]
+        recorder.sharing.apply_report(make_report(number, used), now)
+    assert recorder.used == [10, 30]
 
 
 def test_a_restarted_host_counts_from_zero_again() -> None:
-    listener = Listener()
-    listener.sharing.apply_report(make_report(5, 100), 1.0)
-    listener.sharing.apply_report(make_report(1, 7, boot=2), 1.3)
-    assert listener.used == [100, 7]
-    assert listener.sharing.usage.counts_by_window[7][PEER, 1] == {ACCOUNT: 5}
-    assert listener.sharing.usage.counts_by_window[7][PEER, 2] == {ACCOUNT: 1}
+    recorder = UsageRecorder()
+    recorder.sharing.apply_report(make_report(5, 100), 1.0)
+    recorder.sharing.apply_report(make_report(1, 7, boot=2), 1.3)
+    assert recorder.used == [100, 7]
+    assert recorder.sharing.usage.counts_by_window[7][PEER, 1] == {ACCOUNT: 5}
+    assert recorder.sharing.usage.counts_by_window[7][PEER, 2] == {ACCOUNT: 1}
 
 
-def test_use_before_this_host_started_is_not_counted() -> None:
-    listener = Listener()
-    listener.sharing.apply_report(make_report(500, 9000, age=60.0), 1.0)
-    listener.sharing.apply_report(make_report(501, 9010, age=60.1), 1.1)
-    assert listener.used == [10]
+def test_usage_before_this_host_started_is_not_counted() -> None:
+    recorder = UsageRecorder()
+    recorder.sharing.apply_report(make_report(500, 9000, age=60.0), 1.0)
+    recorder.sharing.apply_report(make_report(501, 9010, age=60.1), 1.1)
+    assert recorder.used == [10]
 
 
-def test_use_of_a_silence_is_not_taken_out_twice() -> None:
-    """A host was cut off from its peers for ten seconds and hears them again.
+def test_usage_during_a_silence_is_not_deducted_twice() -> None:
+    """A partition of ten seconds between a host and its peers heals.
 
-    It had left them their shares meanwhile. Taken out at once, their use would leave
-    every account with a debt, and callers of this host would be refused for as long.
+    The host had reserved the peers' shares of the quotas meanwhile. If their usage were
+    deducted as well, every account would be in debt, and callers of this host would be
+    refused for another ten seconds.
     """
-    listener = Listener()
-    listener.sharing.apply_report(make_report(1, 10), 1.0)
-    listener.sharing.apply_report(make_report(100, 9000), 11.0)
-    listener.sharing.apply_report(make_report(101, 9030), 11.1)
-    assert listener.used == [10, 30]
-
-
-def test_work_of_silent_hosts_is_not_counted() -> None:
-    """A host dies with requests in flight; its servers must not look busy for ever."""
-    listener = Listener()
-    listener.sharing.apply_report(make_report(1, 0, work=5), 1.0)
-    assert listener.sharing.find_summary(1.1).server_totals == {
+    recorder = UsageRecorder()
+    recorder.sharing.apply_report(make_report(1, 10), 1.0)
+    recorder.sharing.apply_report(make_report(100, 9000), 11.0)
+    recorder.sharing.apply_report(make_report(101, 9030), 11.1)
+    assert recorder.used == [10, 30]
+
+
+def test_load_of_silent_hosts_is_not_counted() -> None:
+    """A host dies with requests in flight; its servers must not look busy forever."""
+    recorder = UsageRecorder()
+    recorder.sharing.apply_report(make_report(1, 0, in_flight=5), 1.0)
+    assert recorder.sharing.find_summary(1.1).server_totals == {
         SERVER: ServerTotals(5, 500)
     }
-    assert listener.sharing.find_summary(5.0).server_totals == {}
+    assert recorder.sharing.find_summary(5.0).server_totals == {}
 
 
-FAR = CellName("domain-b/0-2")
-TELLER, OTHER_TELLER = HostId("host-8"), HostId("host-9")
+REMOTE_CELL = CellName("domain-b/0-2")
+SENDER, OTHER_SENDER = HostId("host-8"), HostId("host-9")
 
 
 def make_cell_report(
-    teller: HostId, number: int, used: int, *, boot: int = 1, work: int = 0
+    sender: HostId, number: int, used: int, *, boot: int = 1, in_flight: int = 0
 ) -> CellReport:
-    """Return a word on another cell."""
+    """Return a report on another cell."""
     return CellReport(
-        host=teller,
+        host=sender,
         boot=boot,
         number=number,
-        cell=FAR,
-        members=[TELLER, OTHER_TELLER],
-        unready=[OTHER_TELLER],
+        cell=REMOTE_CELL,
+        members=[SENDER, OTHER_SENDER],
+        unready=[OTHER_SENDER],
         totals=Totals(
             quota_usage={ACCOUNT: used},
-            servers={SERVER: ServerTotals(work, work * 100)},
+            servers={SERVER: ServerTotals(in_flight, in_flight * 100)},
         ),
     )
 
 
-def test_a_cell_that_two_hosts_tell_of_counts_once() -> None:
-    """Two hosts tell the same sums of their cell by turns; their counts differ.
+def test_a_cell_that_two_hosts_report_on_counts_once() -> None:
+    """Two hosts alternate in reporting the sums of their cell; their counts differ.
 
-    Counted twice, an account would get half of its quota.
+    If the usage were counted twice, an account would get half of its quota.
     """
-    listener = Listener()
-    told = [(TELLER, 1, 100), (OTHER_TELLER, 2, 70), (TELLER, 3, 130)]
-    told += [(OTHER_TELLER, 4, 105), (TELLER, 5, 135)]
-    for round_number, (teller, number, used) in enumerate(told):
-        report = make_cell_report(teller, number, used, work=3)
-        listener.sharing.apply_report(report, 1.0 + round_number / 5)
-    assert listener.used == [30, 5]
-    assert listener.sharing.find_summary(1.9).server_totals == {
+    recorder = UsageRecorder()
+    reports = [(SENDER, 1, 100), (OTHER_SENDER, 2, 70), (SENDER, 3, 130)]
+    reports += [(OTHER_SENDER, 4, 105), (SENDER, 5, 135)]
+    for round_number, (sender, number, used) in enumerate(reports):
+        report = make_cell_report(sender, number, used, in_flight=3)
+        recorder.sharing.apply_report(report, 1.0 + round_number / 5)
+    assert recorder.used == [30, 5]
+    assert recorder.sharing.find_summary(1.9).server_totals == {
         SERVER: ServerTotals(3, 300)
     }
 
 
-def test_the_second_teller_goes_on_when_the_first_one_dies() -> None:
-    listener = Listener()
+def test_reports_of_the_second_sender_suffice_when_the_first_dies() -> None:
+    recorder = UsageRecorder()
     for number in (1, 2, 3, 4):
-        listener.sharing.apply_report(
-            make_cell_report(TELLER, number, 10 * number), 1.0
+        recorder.sharing.apply_report(
+            make_cell_report(SENDER, number, 10 * number), 1.0
         )
-        listener.sharing.apply_report(
-            make_cell_report(OTHER_TELLER, number, 10 * number), 1.0
+        recorder.sharing.apply_report(
+            make_cell_report(OTHER_SENDER, number, 10 * number), 1.0
         )
-    assert sum(listener.used) == 30
-    listener.sharing.apply_report(make_cell_report(OTHER_TELLER, 5, 55), 1.4)
-    assert sum(listener.used) == 45
-    listener.sharing.apply_report(make_cell_report(TELLER, 1, 3, boot=2), 1.5)
-    listener.sharing.apply_report(make_cell_report(TELLER, 2, 8, boot=2), 1.6)
-    assert sum(listener.used) == 50
+    assert sum(recorder.used) == 30
+    recorder.sharing.apply_report(make_cell_report(OTHER_SENDER, 5, 55), 1.4)
+    assert sum(recorder.used) == 45
+    recorder.sharing.apply_report(make_cell_report(SENDER, 1, 3, boot=2), 1.5)
+    recorder.sharing.apply_report(make_cell_report(SENDER, 2, 8, boot=2), 1.6)
+    assert sum(recorder.used) == 50
 
 
-def test_use_of_a_silent_cell_is_not_taken_out_twice() -> None:
-    """A failure domain was cut off for ten seconds and is heard again.
+def test_usage_of_a_silent_cell_is_not_deducted_twice() -> None:
+    """A failure domain was partitioned for ten seconds and is live again.
 
-    Its hosts kept to the share that was left to them; taken out of the others'
-    buckets at once, every account would be refused there.
+    Its hosts used no more than the share reserved for them. If this usage were deducted
+    from the buckets of the other hosts, these would refuse every account.
     """
-    listener = Listener()
-    listener.sharing.apply_report(make_cell_report(TELLER, 1, 10), 1.0)
-    listener.sharing.apply_report(make_cell_report(TELLER, 60, 9000), 11.0)
-    listener.sharing.apply_report(make_cell_report(TELLER, 61, 9030), 11.2)
-    assert listener.used == [30]
+    recorder = UsageRecorder()
+    recorder.sharing.apply_report(make_cell_report(SENDER, 1, 10), 1.0)
+    recorder.sharing.apply_report(make_cell_report(SENDER, 60, 9000), 11.0)
+    recorder.sharing.apply_report(make_cell_report(SENDER, 61, 9030), 11.2)
+    assert recorder.used == [30]
 
 
-def test_members_of_a_cell_that_is_heard_are_not_silent() -> None:
-    listener = Listener()
-    assert listener.sharing.is_silent(OTHER_TELLER, 1.0)
-    listener.sharing.apply_report(make_cell_report(TELLER, 1, 10), 1.0)
-    assert not listener.sharing.is_silent(OTHER_TELLER, 1.1)
-    assert listener.sharing.find_summary(1.1).unready_hosts == {OTHER_TELLER}
-    assert listener.sharing.is_silent(OTHER_TELLER, 3.0)
+def test_members_of_a_live_cell_are_not_silent() -> None:
+    recorder = UsageRecorder()
+    assert recorder.sharing.is_silent(OTHER_SENDER, 1.0)
+    recorder.sharing.apply_report(make_cell_report(SENDER, 1, 10), 1.0)
+    assert not recorder.sharing.is_silent(OTHER_SENDER, 1.1)
+    assert recorder.sharing.find_summary(1.1).unready_hosts == {OTHER_SENDER}
+    assert recorder.sharing.is_silent(OTHER_SENDER, 3.0)
 
 
-def test_usage_that_several_hosts_tell_counts_once() -> None:
-    """A host dies; two hosts of its cell tell the holder of the duties what it counted.
+def test_usage_that_several_hosts_report_counts_once() -> None:
+    """A host dies; two peers of its cell report its usage to the holder of the duties.
 
-    One of them missed its last word. The sum is what an account is billed by.
+    One of them missed its last report. Accounts are billed by the sum.
     """
-    listener = Listener()
-    gone = HostId("host-7")
-    for teller, count in ((TELLER, 5), (OTHER_TELLER, 4)):
-        own = HostUsage(teller, 1, {7: {ACCOUNT: 10}})
-        lost = HostUsage(gone, 3, {7: {ACCOUNT: count}})
-        listener.sharing.usage.apply_report(
-            UsageReport(teller, 1, 1, 7, [own, lost]), (OWN, 1)
+    recorder = UsageRecorder()
+    departed = HostId("host-7")
+    for sender, count in ((SENDER, 5), (OTHER_SENDER, 4)):
+        sender_usage = HostUsage(sender, 1, {7: {ACCOUNT: 10}})
+        departed_usage = HostUsage(departed, 3, {7: {ACCOUNT: count}})
+        recorder.sharing.usage.apply_report(
+            UsageReport(sender, 1, 1, 7, [sender_usage, departed_usage]), (LOCAL, 1)
         )
-        listener.sharing.usage.apply_report(
-            UsageReport(teller, 1, 1, 7, [own, lost]), (OWN, 1)
+        recorder.sharing.usage.apply_report(
+            UsageReport(sender, 1, 1, 7, [sender_usage, departed_usage]), (LOCAL, 1)
         )
-    assert listener.sharing.usage.sum(7, {ACCOUNT: 2}) == {ACCOUNT: 27}
+    assert recorder.sharing.usage.sum(7, {ACCOUNT: 2}) == {ACCOUNT: 27}
 
 
-def test_usage_of_starts_that_are_gone_is_told_for_them() -> None:
-    listener = Listener()
-    listener.sharing.apply_report(make_report(4, 0, boot=1), 1.0)
-    listener.sharing.apply_report(make_report(1, 0, boot=2), 2.0)
-    told = listener.sharing.usage.list_departed({(PEER, 2)})
-    assert told == [HostUsage(PEER, 1, {7: {ACCOUNT: 4}})]
+def test_usage_of_departed_incarnations_is_reported() -> None:
+    recorder = UsageRecorder()
+    recorder.sharing.apply_report(make_report(4, 0, boot=1), 1.0)
+    recorder.sharing.apply_report(make_report(1, 0, boot=2), 2.0)
+    departed = recorder.sharing.usage.list_departed({(PEER, 2)})
+    assert departed == [HostUsage(PEER, 1, {7: {ACCOUNT: 4}})]
 
 
-def test_the_latest_holder_stands() -> None:
-    """Word of the holder before comes late, from a host that was cut off."""
-    listener = Listener()
-    listener.sharing.record_holder((9, TELLER))
-    listener.sharing.record_holder((5, OTHER_TELLER))
-    assert listener.sharing.holder == (9, TELLER)
+def test_the_latest_holder_is_kept() -> None:
+    """A host that was partitioned reports an earlier holder."""
+    recorder = UsageRecorder()
+    recorder.sharing.record_holder((9, SENDER))
+    recorder.sharing.record_holder((5, OTHER_SENDER))
+    assert recorder.sharing.holder == (9, SENDER)
 
 
-def test_a_cell_sums_its_own_hosts() -> None:
-    listener = Listener()
-    listener.sharing.apply_report(make_report(1, 10, work=2), 1.0)
-    own = Totals(quota_usage={ACCOUNT: 5}, servers={SERVER: ServerTotals(1, 100)})
-    told = listener.sharing.sum_cell_totals(own, 1.1)
-    assert told.quota_usage == {ACCOUNT: 15}
-    assert told.servers == {SERVER: ServerTotals(3, 300)}
+def test_cell_totals_include_the_local_host() -> None:
+    recorder = UsageRecorder()
+    recorder.sharing.apply_report(make_report(1, 10, in_flight=2), 1.0)
+    local = Totals(quota_usage={ACCOUNT: 5}, servers={SERVER: ServerTotals(1, 100)})
+    totals = recorder.sharing.sum_cell_totals(local, 1.1)
+    assert totals.quota_usage == {ACCOUNT: 15}
+    assert totals.servers == {SERVER: ServerTotals(3, 300)}
 
 
-def test_a_confirmation_is_dated_by_what_it_answers() -> None:
-    """A host is frozen for nine seconds with a peer's report in its socket.
+def test_a_confirmation_is_dated_by_the_report_it_answers() -> None:
+    """A host is suspended for nine seconds with a peer's report in its socket buffer.
 
-    The report says that the configuration was confirmed half a second before. Dated by
-    its reading, a key that was taken away meanwhile would work again.
+    The report says that the configuration was confirmed half a second before. Dated
+    by its arrival, it would make a key that was revoked meanwhile work again.
     """
-    echoes = SentReportTimes(OWN, boot=5)
-    echoes.record_sent(8, at=99.0)
-    echoes.record_sent(9, at=100.0)
+    sent_times = SentReportTimes(LOCAL, boot=5)
+    sent_times.record_sent(8, at=99.0)
+    sent_times.record_sent(9, at=100.0)
     report = msgspec.structs.replace(make_report(1, 0), confirmed_age=0.5)
-    answered = msgspec.structs.replace(report, last_received={OWN: (5, 9)})
-    assert echoes.find_confirmation_time(answered) == 99.5
-    assert echoes.find_confirmation_time(report) is None
-    earlier_start = msgspec.structs.replace(report, last_received={OWN: (4, 9)})
-    assert echoes.find_confirmation_time(earlier_start) is None
+    answered = msgspec.structs.replace(report, last_received={LOCAL: (5, 9)})
+    assert sent_times.find_confirmation_time(answered) == 99.5
+    assert sent_times.find_confirmation_time(report) is None
+    earlier_incarnation = msgspec.structs.replace(report, last_received={LOCAL: (4, 9)})
+    assert sent_times.find_confirmation_time(earlier_incarnation) is None
 
 
-def test_a_peer_with_an_older_version_confirms_too_a_newer_one_does_not() -> None:
+def test_a_peer_confirms_with_an_older_version_but_not_with_a_newer_one() -> None:
     state = ConfigurationState(trusted_for=4.0)
     state.apply(make_configuration(7))
     state.confirm_by_peer(8, 50.0)
@@ -251,11 +252,11 @@
     assert state.confirmed_at == 50.0
 
 
-def test_words_of_a_large_fleet_get_through() -> None:
-    """Datagrams beyond 4 KB get lost where links split them.
+def test_reports_of_a_large_fleet_fit_into_datagrams() -> None:
+    """Datagrams above 4 KB get lost on links that fragment them.
 
-    With one table more, and all that hosts which are gone had counted in one message,
-    the others' words were missing just when many hosts came and went.
+    With one more table in each report, and the usage of all departed hosts in one
+    message, the reports of other hosts got lost whenever many hosts came and went.
     """
     accounts = {ClientAccount(f"account-{n:03}"): 10**7 + n for n in range(16)}
     servers = {
@@ -264,9 +265,9 @@
     }
     totals = Totals(quota_usage=accounts, quota_demand=accounts, servers=servers)
     members = [HostId(f"edge-somewhere-{n}") for n in range(12)]
-    report = CellReport(OWN, 10**15, 1000, FAR, members, [], totals)
+    report = CellReport(LOCAL, 10**15, 1000, REMOTE_CELL, members, [], totals)
     assert len(msgspec.msgpack.encode(report)) < 3_600
     counts = {at: dict.fromkeys(accounts, 100) for at in range(4)}
-    own = HostUsage(OWN, 10**15, counts)
-    usage = UsageReport(OWN, 10**15, 1000, 10**9, [own])
+    local_usage = HostUsage(LOCAL, 10**15, counts)
+    usage = UsageReport(LOCAL, 10**15, 1000, 10**9, [local_usage])
     assert len(msgspec.msgpack.encode(usage)) < 3_600
--- a/dewridge/tests/gateway/telling_tests.py
+++ b/dewridge/tests/gateway/telling_tests.py
@@ -1,4 +1,4 @@
-"""What a gateway tells: log lines within bounds, counters, dumps, and stories."""
+"""Tests of a gateway's log lines, counters, dumps, and explanations of requests."""
 
 import json
 import os
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def lines(tmp_path: Path) -> Iterator[Path]:
-    """Send the log to a file as a gateway does to standard output."""
+    """Write the log to a file in the way a gateway writes it to standard output."""
     path = tmp_path / "log"
     descriptor = os.open(path, os.O_CREAT | os.O_WRONLY)
     handler = log.add(LineWriter(descriptor).write, format="{message}")
@@ -36,12 +36,14 @@
 
 
 def read_events(path: Path, event: str) -> list[dict[str, object]]:
-    """Return the fields of all lines that tell of an event."""
-    told = [json.loads(line) for line in path.read_text().splitlines()]
-    return [fields for fields in told if fields["event"] == event]
+    """Return the fields of all log lines of an event."""
+    entries = [json.loads(line) for line in path.read_text().splitlines()]
+    return [fields for fields in entries if fields["event"] == event]
 
 
-async def test_each_request_is_told_with_what_decided_it(lines: Path) -> None:
+async def test_each_request_is_logged_with_the_reason_of_its_outcome(
+    lines: Path,
+) -> None:
     async def refuse(exchange: ServerExchange) -> None:
         await exchange.answer(b"", 503, b"X-Not-Executed: 1\r\n")
 
@@ -49,16 +51,16 @@
         await world.add_server("s-1", refuse)
         await world.ask("/read/a", request_id="refused")
         await world.ask("/read/a", request_id="denied", key="wrong")
-    told = {str(fields["id"]): fields for fields in read_events(lines, "request")}
-    assert told["refused"]["code"] == "QUEUE_FULL"
-    assert told["refused"]["servers"] == "s-1,s-1,s-1"
-    assert told["refused"]["version"] == 1
-    assert told["denied"]["code"] == "UNAUTHENTICATED"
+    requests = {str(fields["id"]): fields for fields in read_events(lines, "request")}
+    assert requests["refused"]["code"] == "QUEUE_FULL"
+    assert requests["refused"]["servers"] == "s-1,s-1,s-1"
+    assert requests["refused"]["version"] == 1
+    assert requests["denied"]["code"] == "UNAUTHENTICATED"
     lost = read_events(lines, "attempt lost")
     assert {str(fields["loss"]) for fields in lost} == {"REJECTED"}
 
 
-async def test_a_quotas_refusal_tells_its_inputs(lines: Path) -> None:
+async def test_a_refusal_by_quota_logs_its_inputs(lines: Path) -> None:
     async with open_world(make_configuration(rate=20.0)) as world:
         await world.add_server("s-1", answer_plainly)
         for number in range(3):
@@ -68,7 +70,7 @@
     assert "1 hosts, 0 silent" in str(last["reason"])
 
 
-async def test_no_line_holds_a_key(lines: Path) -> None:
+async def test_no_log_line_contains_an_api_key(lines: Path) -> None:
     async with open_world() as world:
         await world.add_server("s-1", answer_plainly)
         await world.ask("/read/a")
@@ -79,55 +81,56 @@
     assert "wrong-and-secret" not in text
 
 
-def test_lines_stay_within_bounds_and_refusals_win(lines: Path) -> None:
-    """A burst brings thousands of requests a second, most of them served.
+def test_log_volume_is_bounded_and_refusals_have_priority(lines: Path) -> None:
+    """Thousands of requests arrive per second, and most of them are served.
 
-    Lines for all would take the processor from the requests; the refusals are what
-    somebody will look for.
+    Logging all of them would take processor time from the requests. The refusals are
+    logged, because operators look for those.
     """
     for number in range(5000):
         log.bind(id=f"ok-{number}", code="").info("request")
         if number % 10 == 0:
             log.bind(id=f"bad-{number}", code="QUEUE_FULL").info("request")
-    told = read_events(lines, "request")
-    refused = [fields for fields in told if fields["code"]]
-    assert len(told) - len(refused) < 1200
+    logged = read_events(lines, "request")
+    refused = [fields for fields in logged if fields["code"]]
+    assert len(logged) - len(refused) < 1200
     assert len(refused) == 500
-    assert sum(int(str(fields.get("lines_left_out", 0))) for fields in told) > 3000
+    assert sum(int(str(fields.get("lines_left_out", 0))) for fields in logged) > 3000
 
 
-def test_a_servers_own_failures_win_too(lines: Path) -> None:
-    """A service answers 500 in a burst of traffic, and the answers are passed on.
+def test_error_answers_of_servers_have_priority_too(lines: Path) -> None:
+    """A service answers some requests of a burst with 500, which are passed on.
 
-    They are what the callers complain about; as ordinary lines they would be lost.
+    Callers complain about these answers, and their log lines must not be dropped like
+    those of other requests.
     """
     for number in range(3000):
         log.bind(id=f"ok-{number}", code="", status=200).info("request")
         if number % 10 == 0:
             log.bind(id=f"bad-{number}", code="", status=500).info("request")
-    told = read_events(lines, "request")
-    assert sum(fields["status"] == 500 for fields in told) == 300
+    logged = read_events(lines, "request")
+    assert sum(fields["status"] == 500 for fields in logged) == 300
 
 
-def test_a_blocked_reader_holds_nothing_up() -> None:
-    """Nobody reads the process's standard output any more, and its pipe is full.
+def test_a_blocked_log_reader_does_not_block_logging() -> None:
+    """The pipe of a process's standard output is full, and nothing reads it.
 
-    A write that waits would stop every request on the host.
+    A blocking write would stop every request on the host.
     """
     reader, writer = os.pipe()
     handler = log.add(LineWriter(writer).write, format="{message}")
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number in range(3000):
         log.bind(id=str(number), code="X", pad="x" * 200).info("request")
-    taken = time.monotonic() - began
+    elapsed = time.monotonic() - started_at
     log.remove(handler)
     os.close(reader)
     os.close(writer)
-    assert taken < 3.0
+    assert elapsed < 3.0
     assert BACKLOG_BYTES < 1_000_000
 
 
-async def test_counters_and_a_dump_are_served() -> None:
+async def test_metrics_and_dump_are_served() -> None:
     async with open_world() as world:
         await world.add_server("s-1", answer_plainly)
         await world.ask("/read/a")
@@ -151,18 +154,18 @@
     assert dump["servers"][0]["id"] == "s-1"
 
 
-async def test_a_request_that_ends_servers_is_explained_and_let_through(
+async def test_a_crashing_request_is_explained_and_released_from_quarantine(
     lines: Path,
 ) -> None:
-    """Guards against servers that keep ending with no word on the request at fault."""
+    """Servers crash repeatedly, and the request at fault must be identified."""
     async with open_world(retry_slack=40) as world:
         servers: list[ScriptedServer] = []
 
-        async def end(exchange: ServerExchange) -> None:
-            next(one for one in servers if one.id == exchange.server).end()
+        async def crash(exchange: ServerExchange) -> None:
+            next(server for server in servers if server.id == exchange.server).end()
 
         for number in range(4):
-            servers.append(await world.add_server(f"s-{number}", end))
+            servers.append(await world.add_server(f"s-{number}", crash))
         for number in range(3):
             await world.ask("/read/a", request_id=f"r-{number}")
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -178,26 +181,26 @@
         metrics = (await world.ask("/metrics")).body.decode()
         path = f"/suspects/{suspect['digest']}"
         statuses = [(await world.ask(path, method="DELETE")).status for _ in range(2)]
-        held = world.state.suspects.list_held(trio.current_time())
-    story = "\n".join(explain_request(read_lines(lines.open()), "r-2"))
+        quarantined = world.state.suspects.list_held(trio.current_time())
+    explanation = "\n".join(explain_request(read_lines(lines.open()), "r-2"))
     assert suspect["account"] == "account-1"
     assert suspect["ends_counted"] == 3
     assert "dewridge_servers_ended_under_requests_total" in metrics
     assert "dewridge_requests_set_aside 1" in metrics
     assert statuses == [200, 404]
-    assert held == []
-    assert "request set aside" in story
-    assert "code=REQUEST_SET_ASIDE" in story
-    assert suspect["digest"] in story
+    assert quarantined == []
+    assert "request set aside" in explanation
+    assert "code=REQUEST_SET_ASIDE" in explanation
+    assert suspect["digest"] in explanation
 
 
 def make_line(at: float, host: str, event: str, **fields: object) -> str:
-    """Return a log line as a gateway writes it."""
+    """Return a log line in the format of a gateway."""
     return json.dumps({"time": at, "host": host, "event": event, **fields})
 
 
-def test_a_story_spans_hosts_and_attempts() -> None:
-    """A caller complains about one request that was tried at two hosts."""
+def test_an_explanation_spans_hosts_and_attempts() -> None:
+    """One request was attempted at two hosts."""
     lines = [
         "some other program's line",
         make_line(10.0, "host-1", "server left", server="s-1", reason="it drains"),
@@ -208,9 +211,9 @@
         make_line(11.2, "host-1", "request", id="r-2", status=200, ms=5),
         make_line(11.3, "host-3", "dependency", dependency="store", up=False),
     ]
-    story = explain_request(read_lines(lines), "r-1")
-    text = "\n".join(story)
-    assert [line[0] for line in story] == [" ", "*", "*", "*"]
+    explanation = explain_request(read_lines(lines), "r-1")
+    text = "\n".join(explanation)
+    assert [line[0] for line in explanation] == [" ", "*", "*", "*"]
     assert (
         text.index("server=s-1") < text.index("OUTCOME_UNKNOWN") < text.index("host-2")
     )
@@ -228,33 +231,35 @@
         await world.add_server("s-1", refuse)
         await world.add_server("s-2", refuse)
         await world.ask("/read/a", request_id="r-1")
-    story = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
-    assert story.count("loss=REJECTED") == 3
-    assert "code=QUEUE_FULL" in story
+    explanation = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
+    assert explanation.count("loss=REJECTED") == 3
+    assert "code=QUEUE_FULL" in explanation
 
 
-async def test_a_failure_after_a_server_went_is_explained(lines: Path) -> None:
-    """A server goes while it runs a call that may not be repeated."""
+async def test_a_failure_after_a_server_left_is_explained(lines: Path) -> None:
+    """A server ends while it runs a request that may not be repeated."""
 
-    async def go(exchange: ServerExchange) -> None:
+    async def reset(exchange: ServerExchange) -> None:
         exchange.reset()
 
     async with open_world() as world:
-        server = await world.add_server("s-1", go)
+        server = await world.add_server("s-1", reset)
         await world.ask("/write/a", method="POST", body=b"x", request_id="r-1")
         world.state.servers.drop(server.id, trio.current_time(), "its record is gone")
-    story = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
-    assert "loss=CUT_OFF" in story
-    assert "code=OUTCOME_UNKNOWN" in story
-    assert "its record is gone" in story
+    explanation = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
+    assert "loss=CUT_OFF" in explanation
+    assert "code=OUTCOME_UNKNOWN" in explanation
+    assert "its record is gone" in explanation
 
 
-async def test_a_refusal_around_an_outage_is_explained_by_its_age(lines: Path) -> None:
-    """A host can't reach the store and refuses keys that it can't judge any more."""
+async def test_a_refusal_during_an_outage_is_explained_by_staleness(
+    lines: Path,
+) -> None:
+    """A host can't reach the store and refuses API keys that it can't verify."""
     async with open_world() as world:
         world.state.configuration.confirmed_at -= 5.0
         await world.ask("/read/a", request_id="r-1")
-    story = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
-    assert "code=CONFIGURATION_STALE" in story
-    assert "the store is out of reach" in story
-    assert "age=5." in story
+    explanation = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
+    assert "code=CONFIGURATION_STALE" in explanation
+    assert "the store is out of reach" in explanation
+    assert "age=5." in explanation
--- a/dewridge/tests/gateway/usagetelling_tests.py
+++ b/dewridge/tests/gateway/usagetelling_tests.py
@@ -1,4 +1,4 @@
-"""Which counts of usage are told again, and what goes out first."""
+"""Tests of resending usage counts, and of the priority of urgent datagrams."""
 
 import pytest
 import trio
@@ -11,18 +11,18 @@
 from dewridge.policy.pacing import Pace
 from dewridge.tests.gateway.weaklinks import use_weak_links
 
-OWN = HostId("host-1")
-FIRST, SECOND = (5, HostId("host-2")), (9, HostId("host-3"))
+LOCAL = HostId("host-1")
+FIRST_HOLDER, SECOND_HOLDER = (5, HostId("host-2")), (9, HostId("host-3"))
 ACCOUNT = ClientAccount("account-1")
 
 
 def make_usage(count: int, window: int = 7) -> HostUsage:
-    """Return counts of one window."""
-    return HostUsage(OWN, 1, {window: {ACCOUNT: count}})
+    """Return the local usage of one window."""
+    return HostUsage(LOCAL, 1, {window: {ACCOUNT: count}})
 
 
-def test_what_is_confirmed_is_not_told_again() -> None:
-    outbox = UsageOutbox(FIRST)
+def test_confirmed_usage_is_not_sent_again() -> None:
+    outbox = UsageOutbox(FIRST_HOLDER)
     number = outbox.record_sent(outbox.select_unconfirmed(make_usage(3)))
     assert outbox.select_unconfirmed(make_usage(3)).usage_counts == {7: {ACCOUNT: 3}}
     outbox.apply_confirmation(number)
@@ -30,42 +30,42 @@
     assert outbox.select_unconfirmed(make_usage(4)).usage_counts == {7: {ACCOUNT: 4}}
 
 
-def test_a_late_confirmation_does_not_cover_what_came_after() -> None:
-    """Counts grow between a word and its confirmation, and the next word is lost."""
-    outbox = UsageOutbox(FIRST)
+def test_a_late_confirmation_does_not_cover_later_counts() -> None:
+    """Counts grow before a report is confirmed, and the next report is lost."""
+    outbox = UsageOutbox(FIRST_HOLDER)
     first = outbox.record_sent(outbox.select_unconfirmed(make_usage(3)))
     outbox.record_sent(outbox.select_unconfirmed(make_usage(8)))
     outbox.apply_confirmation(first)
     assert outbox.select_unconfirmed(make_usage(8)).usage_counts == {7: {ACCOUNT: 8}}
 
 
-def test_another_holder_is_told_all() -> None:
-    """The holder dies; what it confirmed died with it."""
-    outbox = UsageOutbox(FIRST)
+def test_a_new_holder_receives_all_usage() -> None:
+    """The holder dies, and the counts that it confirmed are lost with it."""
+    outbox = UsageOutbox(FIRST_HOLDER)
     number = outbox.record_sent(outbox.select_unconfirmed(make_usage(3)))
     outbox.apply_confirmation(number)
-    outbox.set_holder(SECOND)
+    outbox.set_holder(SECOND_HOLDER)
     assert outbox.select_unconfirmed(make_usage(3)).usage_counts == {7: {ACCOUNT: 3}}
     outbox.apply_confirmation(number)
     assert outbox.select_unconfirmed(make_usage(3)).usage_counts == {7: {ACCOUNT: 3}}
 
 
-async def test_urgent_words_overtake_a_round(
+async def test_urgent_datagrams_overtake_a_round(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A server is reclaimed while a round of reports waits for a weak link.
+    """A server is reclaimed while a round of reports is queued for a weak link.
 
-    Behind the round the news would take half a second, and the streams on that server
-    have one to move.
+    Sent after the round, the message about it would take half a second, and the streams
+    on that server have one second to move.
     """
     network = use_weak_links(monkeypatch, rate=100_000.0, queue=32_768)
     sender, receiver = PacedSocket("a", 1, Pace(25_000.0)), PacedSocket("b", 1, Pace(1))
-    heard: list[bytes] = []
+    received: list[bytes] = []
 
     async def listen() -> None:
         while True:
             data, _ = await receiver.receive()
-            heard.append(data[:1])
+            received.append(data[:1])
 
     async with trio.open_nursery() as nursery:
         await sender.bind()
@@ -79,5 +79,5 @@
         sender.enqueue(("b", 1), b"l", Urgency.AT_ONCE)
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
-    assert heard.index(b"l") < heard.index(b"u") < 5
-    assert heard.count(b"r") == 8
+    assert received.index(b"l") < received.index(b"u") < 5
+    assert received.count(b"r") == 8
--- a/dewridge/tests/gateway/weaklinks.py
+++ b/dewridge/tests/gateway/weaklinks.py
@@ -1,4 +1,4 @@
-"""Weak links: datagrams wait in a small queue, which drops what is too much."""
+"""Simulated links with a small queue, which drops the datagrams that do not fit."""
 
 import heapq
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 Address = tuple[str, int]
 
 DELAY = 0.001
-"""Seconds on the way between two hosts."""
+"""Seconds of latency between two hosts."""
 
 
 @dataclass
@@ -18,16 +18,17 @@
     """Carries the datagrams of all hosts, each over its own link.
 
     Attributes:
-        rate: bytes a second of each host's link.
-        queue: bytes that wait in front of it.
-        dropped: datagrams that found the queue full, by sender.
+        rate: bytes per second of each host's link.
+        queue: maximum bytes queued for each link.
+        dropped: number of datagrams dropped because the queue was full, by sender.
+        sockets: the bound sockets, by address.
     """
 
     rate: float
     queue: int
     dropped: dict[Address, int] = field(default_factory=dict)
     sockets: dict[Address, "WeakSocket"] = field(default_factory=dict)
-    _on_the_way: list[tuple[float, int, Address, bytes, Address]] = field(
+    _in_transit: list[tuple[float, int, Address, bytes, Address]] = field(
         default_factory=list
     )
     _free_at: dict[Address, float] = field(default_factory=dict)
@@ -35,7 +36,7 @@
     _sent: trio.Event = field(default_factory=trio.Event)
 
     def send(self, source: Address, target: Address, data: bytes) -> None:
-        """Put a datagram into the sender's queue, or drop it."""
+        """Queue a datagram for the sender's link, or drop it."""
         now = trio.current_time()
         free_at = max(now, self._free_at.get(source, now))
         if (free_at - now) * self.rate + len(data) > self.queue:
@@ -45,24 +46,24 @@
         self._number += 1
         arrives_at = self._free_at[source] + DELAY
         entry = (arrives_at, self._number, target, data, source)
-        heapq.heappush(self._on_the_way, entry)
+        heapq.heappush(self._in_transit, entry)
         self._sent.set()
 
     async def run(self) -> None:
-        """Deliver for ever."""
+        """Deliver datagrams forever."""
         while True:
-            if not self._on_the_way:
+            if not self._in_transit:
                 self._sent = trio.Event()
                 await self._sent.wait()
-            arrives_at = self._on_the_way[0][0]
+            arrives_at = self._in_transit[0][0]
             await trio.sleep_until(arrives_at)
-            _, _, target, data, source = heapq.heappop(self._on_the_way)
+            _, _, target, data, source = heapq.heappop(self._in_transit)
             if target in self.sockets:
                 self.sockets[target].arrived.send_nowait((data, source))
 
 
 class WeakSocket:
-    """The part of a datagram socket that gateways use."""
+    """The methods of a datagram socket that gateways use."""
 
     def __init__(self, network: WeakNetwork) -> None:
         self._network = network
@@ -72,12 +73,12 @@
         )
 
     async def bind(self, address: Address) -> None:
-        """Take an address."""
+        """Bind the socket to an address."""
         self._address = address
         self._network.sockets[address] = self
 
     def close(self) -> None:
-        """Give the address up."""
+        """Release the address."""
         self._network.sockets.pop(self._address, None)
 
     async def sendto(self, data: bytes, address: Address) -> None:
@@ -94,8 +95,8 @@
 def use_weak_links(
     monkeypatch: pytest.MonkeyPatch, rate: float, queue: int
 ) -> WeakNetwork:
-    """Let all sockets that are made from now on be on one network of weak links."""
+    """Make all sockets created from now on use one simulated network of weak links."""
     network = WeakNetwork(rate, queue)
-    make: Callable[..., WeakSocket] = lambda *_: WeakSocket(network)  # noqa: E731
-    monkeypatch.setattr(trio.socket, "socket", make)
+    make_socket: Callable[..., WeakSocket] = lambda *_: WeakSocket(network)  # noqa: E731
+    monkeypatch.setattr(trio.socket, "socket", make_socket)
     return network
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -1,4 +1,4 @@
-"""News between the hosts of a large fleet whose links are weak."""
+"""Tests of reports and usage sums in a large fleet whose links are weak."""
 
 import time
 from functools import partial
@@ -39,25 +39,26 @@
 HOSTS = 60
 DOMAINS = 3
 PORT = 7600
-LINK = 10 * 125_000.0
-"""Bytes a second of a link of 10 Mbit/s."""
-QUEUE = 32_768
-BEGAN = 1000.0
-"""Time of day at which the test's clock begins: the begin of a usage window."""
-WINDOW = int(BEGAN // 5.0)
+LINK_RATE = 10 * 125_000.0
+"""Bytes per second of a link of 10 Mbit/s."""
+QUEUE_BYTES = 32_768
+START_TIME = 1000.0
+"""Unix time at which the test's clock starts, which is the start of a usage window."""
+WINDOW = int(START_TIME // 5.0)
 ACCOUNTS = [ClientAccount(f"account-{n:02}") for n in range(16)]
 SERVERS = [BackendServerId(f"i-{n:08x}@{10**12 + n}") for n in range(60)]
-HOLDER = HostId("host-17")
-KNOWN_WITHIN = 0.5
-"""Seconds for news of a leaving server, of a notice of two: half of it is for moves,
-and the first host had it a quarter late."""
+HOLDER_ID = HostId("host-17")
+DEPARTURE_KNOWN_WITHIN = 0.5
+"""Seconds within which all hosts must know of a departing server. Of its notice of two
+seconds the moves of streams take half, and the first host may learn of it a quarter of
+the notice late."""
 
 SUSPECTS_KNOWN_WITHIN = 3.0
-"""Seconds after the third end by which hosts in touch must refuse its request."""
+"""Seconds after the third crash within which all live hosts must refuse the request."""
 
 
 class FleetHost:
-    """One host of a large fleet: what it knows, and how it tells."""
+    """One host of a large fleet: its state and its links to the other hosts."""
 
     def __init__(self, number: int) -> None:
         self.id = HostId(f"host-{number:02}")
@@ -66,9 +67,9 @@
         sharing = self.state.sharing
         server = make_record("s-1")
         self.state.servers.update(server, 0.0)
-        self.leaving = server.id
-        self.socket = PacedSocket(self.address, PORT, Pace(LINK_SHARE * LINK))
-        self.teller = UsageReporter(
+        self.departing_server = server.id
+        self.socket = PacedSocket(self.address, PORT, Pace(LINK_SHARE * LINK_RATE))
+        self.usage_reporter = UsageReporter(
             sharing,
             self.state.hosts,
             self.socket,
@@ -82,7 +83,7 @@
             FailureDomain(f"domain-{number % DOMAINS}"),
             self.state.make_report,
             SentReportTimes(self.id, self.state.boot),
-            self.teller,
+            self.usage_reporter,
             lambda version, at: None,
         )
         servers = self.state.servers
@@ -95,36 +96,36 @@
         self.state.on_suspects = partial(self.link.schedule_urgent_send, Recipients.ALL)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Run all that tells and hears."""
+        """Start the tasks that send and receive messages."""
         await self.socket.bind()
         for task in (
             self.link.receive,
             self.link.send,
-            self.teller.run,
+            self.usage_reporter.run,
             self.socket.run,
         ):
             nursery.start_soon(task)
 
-    def work(self) -> None:
-        """Have requests at all servers, and begin some of each account."""
-        for place, server in enumerate(SERVERS):
-            self.state.work.requests[server] = 1 + place % 3
-            self.state.work.tokens[server] = 4_000 + place
+    def simulate_load(self) -> None:
+        """Put requests at all servers, and count started requests of each account."""
+        for index, server in enumerate(SERVERS):
+            self.state.work.requests[server] = 1 + index % 3
+            self.state.work.tokens[server] = 4_000 + index
             health = self.state.find_health(server)
             for _ in range(3):
                 health.note_success(trio.current_time())
-        for place, account in enumerate(ACCOUNTS):
-            self.state.began[WINDOW][account] += 1 + place % 4
+        for index, account in enumerate(ACCOUNTS):
+            self.state.began[WINDOW][account] += 1 + index % 4
 
 
-def make_host_state(name: HostId, domain: FailureDomain) -> GatewayState:
+def make_host_state(host: HostId, domain: FailureDomain) -> GatewayState:
     """Return the state of one host of the fleet."""
     state = make_state(make_configuration())
-    state.host = name
-    state.sharing.local_host = name
+    state.host = host
+    state.sharing.local_host = host
     state.sharing.boot = state.boot
-    state.hosts._own = name
-    state.sharing.record_holder((5, HOLDER))
+    state.hosts._own = host
+    state.sharing.record_holder((5, HOLDER_ID))
     return state
 
 
@@ -148,18 +149,18 @@
 
 
 @pytest.fixture
-def links(monkeypatch: pytest.MonkeyPatch) -> WeakNetwork:
-    """Put all hosts on weak links, and their clocks on the test's."""
-    monkeypatch.setattr(time, "time", lambda: BEGAN + trio.current_time())
+def network(monkeypatch: pytest.MonkeyPatch) -> WeakNetwork:
+    """Connect all hosts by weak links, and make them use the test's clock."""
+    monkeypatch.setattr(time, "time", lambda: START_TIME + trio.current_time())
     monkeypatch.setattr(sharinglink, "read_boot_clock", trio.current_time)
-    return use_weak_links(monkeypatch, LINK, QUEUE)
+    return use_weak_links(monkeypatch, LINK_RATE, QUEUE_BYTES)
 
 
-class Holder(AlwaysHolder):
-    """The tenancy of the holder of the duties."""
+class AlwaysThisHolder(AlwaysHolder):
+    """Tenancy of the host `HOLDER_ID`, which always holds the duties."""
 
     def __init__(self) -> None:
-        self._given = Tenure(HOLDER, 5)
+        self._given = Tenure(HOLDER_ID, 5)
 
 
 async def report_one_window(
@@ -169,12 +170,16 @@
     holder: FleetHost | None = None,
     ends_at: float = 9.0,
 ) -> None:
-    """Let a fleet work through one usage window and report it."""
-    holder = holder or next(host for host in fleet if host.id == HOLDER)
+    """Run a fleet for one usage window and let the holder report it."""
+    holder = holder or next(host for host in fleet if host.id == HOLDER_ID)
     duty = UsageDuty(
-        holder.state, Holder(), MemoryStore(), cloud, holder.teller.request_usage
+        holder.state,
+        AlwaysThisHolder(),
+        MemoryStore(),
+        cloud,
+        holder.usage_reporter.request_usage,
     )
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(network.run)
         for host in fleet:
@@ -182,145 +187,152 @@
         for _ in range(9):
             await trio.sleep(0.5)
             for host in fleet:
-                host.work()
+                host.simulate_load()
         nursery.start_soon(duty.run)
-        await trio.sleep_until(began + ends_at)
+        await trio.sleep_until(started_at + ends_at)
         nursery.cancel_scope.cancel()
 
 
-def sum_truth(fleet: list[FleetHost]) -> dict[ClientAccount, int]:
-    """Return what all hosts together began in the window."""
+def sum_started(fleet: list[FleetHost]) -> dict[ClientAccount, int]:
+    """Return the requests that all hosts together started in the window, by account."""
     return {
         account: sum(host.state.began[WINDOW][account] for host in fleet)
         for account in ACCOUNTS
     }
 
 
-async def test_the_sums_of_usage_hold_every_host(
-    links: WeakNetwork, autojump_clock: trio.testing.MockClock
+async def test_usage_sums_include_every_host(
+    network: WeakNetwork, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Sixty hosts with links of 10 Mbit/s tell each other what they know.
+    """Sixty hosts exchange reports over links of 10 Mbit/s.
 
-    A round is some 17 datagrams of several kilobytes to as many hosts. Sent in one
-    burst it overflows the queue in front of the link, and what comes behind it, the
-    word on usage, is dropped each time. The sums then lacked 5 hosts after fifteen
-    seconds and 20 after thirty: accounts were billed for two thirds of their requests,
-    and nothing said whose were missing.
+    A round is about 17 datagrams of several kilobytes to as many hosts. Sent in one
+    burst, it overflows the queue of the link, and the usage report that follows it is
+    dropped every time. The sums then lacked 5 hosts after 15 seconds and 20 after 30:
+    accounts were billed for two thirds of their requests, and nothing showed whose
+    requests were missing.
     """
     fleet = make_fleet()
     cloud = RecordingCloud()
-    await report_one_window(links, fleet, cloud)
-    assert dict(cloud.reports) == {WINDOW: sum_truth(fleet)}
-    assert not links.dropped
+    await report_one_window(network, fleet, cloud)
+    assert dict(cloud.reports) == {WINDOW: sum_started(fleet)}
+    assert not network.dropped
 
 
-async def test_a_host_whose_words_were_lost_is_asked(
-    links: WeakNetwork, autojump_clock: trio.testing.MockClock
+async def test_a_host_whose_usage_reports_were_lost_is_asked(
+    network: WeakNetwork, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """All that a few hosts tell of their usage gets lost until its window is over.
+    """All usage reports of a few hosts get lost until the window has ended.
 
-    The first sum of a window stands. Its holder must ask them before it makes it: else
-    their requests are left out for good.
+    The first sum of a window is final. The holder must ask these hosts before it
+    computes the sum, or their requests are left out permanently.
     """
     fleet = make_fleet()
     cloud = RecordingCloud()
     for host in fleet[3:8]:
-        host.teller.run = trio.sleep_forever  # type: ignore[method-assign]
-    await report_one_window(links, fleet, cloud)
-    assert dict(cloud.reports) == {WINDOW: sum_truth(fleet)}
+        host.usage_reporter.run = trio.sleep_forever  # type: ignore[method-assign]
+    await report_one_window(network, fleet, cloud)
+    assert dict(cloud.reports) == {WINDOW: sum_started(fleet)}
 
 
-async def test_a_host_that_never_answers_does_not_hold_up_the_sum(
-    links: WeakNetwork, autojump_clock: trio.testing.MockClock
+async def test_a_host_that_never_answers_does_not_delay_the_sum(
+    network: WeakNetwork, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A host hangs while its registration lives on.
+    """A host hangs but stays registered.
 
-    The sum is due; it is made without that host, and in time.
+    The sum must be reported in time, without that host.
     """
     fleet = make_fleet()
     cloud = RecordingCloud()
     hung = fleet[4]
-    hung.teller.receive_request = lambda *_: None  # type: ignore[method-assign]
-    hung.teller.run = trio.sleep_forever  # type: ignore[method-assign]
-    hung.work = lambda: None  # type: ignore[method-assign]
-    await report_one_window(links, fleet, cloud, ends_at=12.0)
-    assert dict(cloud.reports) == {WINDOW: sum_truth(fleet)}
+    hung.usage_reporter.receive_request = lambda *_: None  # type: ignore[method-assign]
+    hung.usage_reporter.run = trio.sleep_forever  # type: ignore[method-assign]
+    hung.simulate_load = lambda: None  # type: ignore[method-assign]
+    await report_one_window(network, fleet, cloud, ends_at=12.0)
+    assert dict(cloud.reports) == {WINDOW: sum_started(fleet)}
 
 
-async def test_hosts_that_the_store_turns_away_are_in_the_sums(
-    links: WeakNetwork, autojump_clock: trio.testing.MockClock
+async def test_hosts_rejected_by_the_store_are_in_the_sums(
+    network: WeakNetwork, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """The store turns a third of the hosts away, the holder of the duties among them.
+    """The store rejects a third of the hosts, including the holder of the duties.
 
-    Their leases lapse; they work on, as callers keep their connections. If the others
-    left them out of their news, they would go on telling the holder before, and the
-    next one's sums would lack a third of all requests.
+    Their leases expire, but they continue to serve, because callers keep their
+    connections. If the other hosts no longer sent them reports, they would continue to
+    report usage to the previous holder, and the sums of the next one would lack a third
+    of all requests.
     """
     fleet = make_fleet()
     cloud = RecordingCloud()
-    number = next(n for n, host in enumerate(fleet) if host.id == HOLDER)
-    away = [host for place, host in enumerate(fleet) if place % 3 == number % 3]
-    served = [host for host in fleet if host not in away]
-    successor = served[0]
-
-    async def lapse() -> None:
+    holder_index = next(n for n, host in enumerate(fleet) if host.id == HOLDER_ID)
+    rejected = [
+        host for index, host in enumerate(fleet) if index % 3 == holder_index % 3
+    ]
+    accepted = [host for host in fleet if host not in rejected]
+    successor = accepted[0]
+
+    async def expire_leases() -> None:
         await trio.sleep(2.0)
-        for host in served:
-            for one in away:
-                host.state.hosts.update(Item(f"hosts/{one.id}/1", removed=True))
+        for host in accepted:
+            for expired in rejected:
+                host.state.hosts.update(Item(f"hosts/{expired.id}/1", removed=True))
         successor.state.sharing.record_holder((9, successor.id))
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(lapse)
-        await report_one_window(links, fleet, cloud, successor)
-    assert dict(cloud.reports) == {WINDOW: sum_truth(fleet)}
+        nursery.start_soon(expire_leases)
+        await report_one_window(network, fleet, cloud, successor)
+    assert dict(cloud.reports) == {WINDOW: sum_started(fleet)}
 
 
-async def test_a_leaving_server_is_known_to_all_at_once(
-    links: WeakNetwork, autojump_clock: trio.testing.MockClock
+async def test_a_departing_server_is_soon_known_to_all_hosts(
+    network: WeakNetwork, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """One host learns from the store, amid rounds of reports, that a server leaves.
+    """One host learns from the store, during rounds of reports, that a server leaves.
 
     Streams on that server must be moved within its notice of two seconds, of which the
-    moves take half. Told with the rounds, behind whole reports on weak links, the news
-    came too late for hosts of other cells.
+    moves take half. Sent with the periodic rounds, behind complete reports on weak
+    links, the departure arrived too late at hosts of other cells.
     """
     fleet = make_fleet()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(links.run)
+        nursery.start_soon(network.run)
         for host in fleet:
             await host.start(nursery)
-            host.work()
+            host.simulate_load()
         await trio.sleep(2.0)
         first = fleet[11]
-        first.state.servers.drop(first.leaving, trio.current_time(), "it drains", 2.0)
-        await trio.sleep(KNOWN_WITHIN)
-        unaware = [host.id for host in fleet if host.state.servers.find(host.leaving)]
+        first.state.servers.drop(
+            first.departing_server, trio.current_time(), "it drains", 2.0
+        )
+        await trio.sleep(DEPARTURE_KNOWN_WITHIN)
+        unaware = [
+            host.id for host in fleet if host.state.servers.find(host.departing_server)
+        ]
         nursery.cancel_scope.cancel()
     assert not unaware
 
 
-async def test_a_request_that_three_hosts_saw_end_servers_is_refused_by_all(
-    links: WeakNetwork, autojump_clock: trio.testing.MockClock
+async def test_a_request_that_crashed_servers_at_three_hosts_is_refused_by_all(
+    network: WeakNetwork, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a crashing request that is sent on at hosts that saw no end.
+    """A crashing request must be refused also by hosts at which no server crashed.
 
-    Each end takes others along, so that more requests are suspected than one datagram
-    holds.
+    Other requests in flight on the crashed servers are suspected too, so that there are
+    more suspects than fit into one datagram.
     """
     fleet = make_fleet()
-    cause = RequestDigest("cause")
+    crashing = RequestDigest("cause")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(links.run)
+        nursery.start_soon(network.run)
         for host in fleet:
             await host.start(nursery)
-            host.work()
+            host.simulate_load()
         await trio.sleep(2.0)
         for number in range(ENDS_BORNE):
             host = fleet[7 + 17 * number]
-            beside = [RequestDigest(f"beside-{number}-{n}") for n in range(30)]
-            for digest in [*beside, cause]:
-                note_seen_end(host, digest, SERVERS[number])
+            others = [RequestDigest(f"beside-{number}-{n}") for n in range(30)]
+            for digest in [*others, crashing]:
+                record_seen_crash(host, digest, SERVERS[number])
             host.state.on_suspects()
             await trio.sleep(2 * SAME_MOMENT)
         await trio.sleep(SUSPECTS_KNOWN_WITHIN - 2 * SAME_MOMENT)
@@ -328,19 +340,21 @@
         unaware = [
             host.id
             for host in fleet
-            if host.state.suspects.find_hold_left(cause, now) <= 0
+            if host.state.suspects.find_hold_left(crashing, now) <= 0
+        ]
+        wrongly_quarantined = [
+            len(host.state.suspects.list_held(now)) - 1 for host in fleet
         ]
-        wrongly = [len(host.state.suspects.list_held(now)) - 1 for host in fleet]
         nursery.cancel_scope.cancel()
     assert not unaware
-    assert not any(wrongly)
+    assert not any(wrongly_quarantined)
 
 
-def note_seen_end(
+def record_seen_crash(
     host: FleetHost, digest: RequestDigest, server: BackendServerId
 ) -> None:
-    """Let a host see a server end under a request that it had just sent."""
+    """Let a host see a server crash while it ran a request sent shortly before."""
     now = trio.current_time()
-    end = End(now, now - 0.1)
-    suspect = Suspect(digest, ACCOUNTS[0], ServiceName("engine"), {server: end})
+    crash = End(now, now - 0.1)
+    suspect = Suspect(digest, ACCOUNTS[0], ServiceName("engine"), {server: crash})
     take_suspects(host.state, [suspect])
