--- a/dewridge/gateway/datagrams.py
+++ b/dewridge/gateway/datagrams.py
@@ -20,8 +20,7 @@
     """Priority of a datagram; lower values are sent first."""
 
     AT_ONCE = 0
-    """Departing servers and suspect requests: streams on such a server have seconds to
-    move."""
+    """Departing servers, whose streams have seconds to move, and suspect requests."""
     MUST_ARRIVE = 1
     """Messages that are sent again until they are confirmed."""
     ROUND = 2
--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -200,13 +200,16 @@
         self._server_sums.replace(report.host, report.totals.servers)
         return True
 
-    # Growth during a host's silence is not applied. The silent host used no more than
-    # its share of each quota, which this host had reserved for it. Deducting that usage
-    # again would, after a partition of ten seconds, refuse an account for ten more at
-    # the host that was cut off.
     def _apply_growth(
         self, report: Report, previous: Report | None, now: float
     ) -> None:
+        """Apply the growth of a peer's totals since its previous report.
+
+        The growth during a silence of the peer is not applied. The silent peer used no
+        more than its share of each quota, which this host had reserved for it.
+        Deducting that usage again would, after a partition of ten seconds, refuse an
+        account for ten more at the host that was cut off.
+        """
         # Usage from before this process started is not in its quota buckets.
         if previous is None and report.age > now - self.started_at:
             return
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -39,7 +39,7 @@
 
 
 class UsageDuty:
-    """Sums the hosts' counts, fixes each sum in the store and reports it."""
+    """Sums the hosts' counts, persists each sum in the store and reports it."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._store = store
         self._cloud = cloud
         self._reported_windows: set[int] = set()
-        self._fixed_counts: dict[int, AccountCounts] = {}
+        self._persisted_counts: dict[int, AccountCounts] = {}
         self._term: Tenure | None = None
         self._term_seen_at = 0.0
 
@@ -92,9 +92,9 @@
         self._reported_windows = {
             window for window in self._reported_windows if window >= oldest
         }
-        self._fixed_counts = {
+        self._persisted_counts = {
             window: counts
-            for window, counts in self._fixed_counts.items()
+            for window, counts in self._persisted_counts.items()
             if window >= oldest
         }
         return [window for window in windows if window not in self._reported_windows]
@@ -132,7 +132,7 @@
         ]
 
     async def _report(self, term: Tenure, window: int) -> None:
-        counts = await self._fix_counts(window)
+        counts = await self._persist_counts(window)
         if counts is None or self._tenancy.find_tenure() != term:
             return
         outcome = await self._cloud.report_usage(term, window, counts)
@@ -146,15 +146,15 @@
             starts=len(self._state.sharing.usage.counts_by_window.get(window, {})) + 1,
         ).info("usage reported")
 
-    async def _fix_counts(self, window: int) -> AccountCounts | None:
-        """Return the counts of a window as every holder will report them.
+    async def _persist_counts(self, window: int) -> AccountCounts | None:
+        """Persist the counts of a window, and return them as every holder reports them.
 
         A report whose answer was lost may have been accepted, and the next holder may
         have received different last reports. The first sum written to the store is
         final, so that each holder reports the same counts.
         """
         key = f"{USAGE_PREFIX}{window}"
-        counts = self._find_fixed_counts(window, key) or self._sum_counts(window)
+        counts = self._find_persisted_counts(window, key) or self._sum_counts(window)
         if not counts:
             return None
         old = f"{USAGE_PREFIX}{window - RETAINED_WINDOWS}"
@@ -164,7 +164,7 @@
             drop=(old,) if old in self._state.hosts.items else (),
         )
         if isinstance(result, int):
-            self._fixed_counts[window] = counts
+            self._persisted_counts[window] = counts
             return counts
         if result.code not in {
             ResultCode.KEY_VALUE_CONFLICT,
@@ -176,14 +176,14 @@
             return None
         return msgspec.json.decode(item.value, type=AccountCounts)
 
-    def _find_fixed_counts(self, window: int, key: str) -> AccountCounts | None:
-        """Return the counts already fixed for a window, even if the store lost them.
+    def _find_persisted_counts(self, window: int, key: str) -> AccountCounts | None:
+        """Return the persisted counts of a window, even if the store lost them.
 
         They may have been reported; reporting different counts for the same window
         would be inconsistent.
         """
-        if window in self._fixed_counts:
-            return self._fixed_counts[window]
+        if window in self._persisted_counts:
+            return self._persisted_counts[window]
         item = self._state.hosts.lost_items.get(key)
         if item is None:
             return None
--- a/dewridge/tests/gateway/telling_tests.py
+++ b/dewridge/tests/gateway/telling_tests.py
@@ -237,7 +237,7 @@
 
 
 async def test_a_failure_after_a_server_left_is_explained(lines: Path) -> None:
-    """A server ends while it runs a request that may not be repeated."""
+    """A server crashes while it runs a request that may not be repeated."""
 
     async def reset(exchange: ServerExchange) -> None:
         exchange.reset()
