--- a/dewridge/gateway/departures.py
+++ b/dewridge/gateway/departures.py
@@ -5,12 +5,12 @@
 from dewridge.gateway.model import ServerRecord
 from dewridge.gateway.reports import (
     CellReport,
-    LeftReport,
-    News,
-    SuspectNews,
+    DepartureReport,
+    PeriodicReport,
     SuspectReport,
+    SuspectUpdate,
 )
-from dewridge.gateway.sharinglink import Audience, SharingLink
+from dewridge.gateway.sharinglink import Recipients, ReportLink
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import decode_suspect, merge_suspects
 from dewridge.gateway.watching import StoreWatcher
@@ -18,46 +18,46 @@
 
 
 def apply_peer_update(
-    state: GatewayState, watcher: StoreWatcher, link: SharingLink, update: News
+    state: GatewayState, watcher: StoreWatcher, link: ReportLink, update: PeriodicReport
 ) -> None:
     """Apply a peer's report on the configuration, servers and rollouts.
 
     What is new in a report from another cell is broadcast to the cell peers at once.
     """
     watcher.receive_version(update.version)
-    is_new = drop_reported_servers(state, update.host, update.left)
+    is_new = drop_reported_servers(state, update.host, update.departing_servers)
     is_new |= apply_reported_suspects(state, update.suspects)
     for progress in update.rollouts:
         state.rollouts.apply_progress(progress)
     if is_new and isinstance(update, CellReport):
-        link.tell_now(Audience.MATES)
+        link.schedule_urgent_send(Recipients.CELL_PEERS)
 
 
 def apply_left_report(
-    state: GatewayState, link: SharingLink, report: LeftReport
+    state: GatewayState, link: ReportLink, report: DepartureReport
 ) -> None:
     """Apply a report of leaving servers.
 
     A report from another cell is forwarded to the cell peers.
     """
-    is_new = drop_reported_servers(state, report.host, report.left)
-    if is_new and not report.is_for_mates:
-        link.tell_now(Audience.MATES)
+    is_new = drop_reported_servers(state, report.host, report.departing_servers)
+    if is_new and not report.is_cell_local:
+        link.schedule_urgent_send(Recipients.CELL_PEERS)
 
 
 def apply_suspect_report(
-    state: GatewayState, link: SharingLink, report: SuspectReport
+    state: GatewayState, link: ReportLink, report: SuspectReport
 ) -> None:
     """Apply a report of requests during which servers crashed.
 
     A report from another cell is forwarded to the cell peers.
     """
     is_new = apply_reported_suspects(state, report.suspects)
-    if is_new and not report.is_for_mates:
-        link.tell_now(Audience.MATES)
+    if is_new and not report.is_cell_local:
+        link.schedule_urgent_send(Recipients.CELL_PEERS)
 
 
-def apply_reported_suspects(state: GatewayState, suspects: list[SuspectNews]) -> bool:
+def apply_reported_suspects(state: GatewayState, suspects: list[SuspectUpdate]) -> bool:
     """Apply suspect requests that a peer reports; return whether any of it was new."""
     if not suspects:
         return False
@@ -78,7 +78,7 @@
 
 def handle_server_left(
     state: GatewayState,
-    link: SharingLink,
+    link: ReportLink,
     record: ServerRecord,
     stops_at: float,
     is_reported_by_peer: bool,
@@ -92,4 +92,4 @@
     """
     state.streams.schedule_moves(record.id, stops_at)
     if not is_reported_by_peer:
-        link.tell_now(Audience.ALL)
+        link.schedule_urgent_send(Recipients.ALL)
--- a/dewridge/gateway/duties.py
+++ b/dewridge/gateway/duties.py
@@ -11,7 +11,7 @@
 from dewridge.codes import ResultCode
 from dewridge.gateway.clock import read_boot_clock
 from dewridge.gateway.hosts import LEASE_TTL, SYSTEM_PREFIX, HostTable, Registration
-from dewridge.gateway.reports import Holder
+from dewridge.gateway.reports import DutyHolder
 from dewridge.ids import HostId
 from dewridge.platform.cloud import Tenure
 from dewridge.platform.store import Item, Store, Write
@@ -53,7 +53,7 @@
         table: HostTable,
         lease_ttl: float,
         is_candidate: Callable[[], bool] = lambda: True,
-        on_elected: Callable[[Holder], None] = lambda holder: None,
+        on_elected: Callable[[DutyHolder], None] = lambda holder: None,
     ) -> None:
         self._host = host
         self._holder_value = f"{host}/{boot}".encode()
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -62,7 +62,7 @@
     metrics.set_gauge("configuration_age_seconds", state.configuration.age)
     metrics.set_gauge("hosts", state.hosts.count())
     metrics.set_gauge("hosts_silent", len(state.list_silent_hosts()))
-    metrics.set_gauge("reports_heard", state.sharing.reports_heard)
+    metrics.set_gauge("reports_heard", state.sharing.reports_received)
     metrics.set_gauge("reports_missed", state.sharing.reports_missed)
     quarantined = len(state.suspects.list_quarantined(trio.current_time()))
     metrics.set_gauge("requests_suspected", len(state.suspects.list_all()))
--- a/dewridge/gateway/sharinglink.py
+++ b/dewridge/gateway/sharinglink.py
@@ -1,4 +1,4 @@
-"""The rounds in which hosts tell each other what they know."""
+"""Periodic rounds of reports between hosts, and urgent messages outside of them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,253 +10,269 @@
 
 from dewridge.gateway.clock import read_boot_clock
 from dewridge.gateway.datagrams import PacedSocket, PeerAddress, Urgency, read_address
-from dewridge.gateway.echoes import Echoes
+from dewridge.gateway.echoes import SentReportTimes
 from dewridge.gateway.hosts import HostEntry, HostTable
 from dewridge.gateway.reports import (
     CellReport,
-    LeftReport,
-    Message,
+    DepartureReport,
+    HostMessage,
     Report,
-    SuspectNews,
     SuspectReport,
+    SuspectUpdate,
     Totals,
-    UsageHeard,
-    UsageQuestion,
+    UsageConfirmation,
     UsageReport,
+    UsageRequest,
 )
 from dewridge.gateway.sharing import (
     CELL_REPORTS_PER_SECOND,
-    LEAST_PERIOD,
+    MIN_REPORT_PERIOD,
     REPORTS_PER_SECOND,
-    Sharing,
+    SharedReports,
 )
-from dewridge.gateway.usagetelling import UsageTeller
+from dewridge.gateway.usagetelling import UsageReporter
 from dewridge.ids import BackendServerId, FailureDomain, HostId
 from dewridge.policy.cells import CellName, assign_cells, find_cell, list_receivers
 
-GATHER_TIME = 0.02
-"""Seconds before urgent news goes out: a failure domain's servers leave within that."""
-SUSPECTS_IN_A_DATAGRAM = 16
-"""Some 1.5 KB: what a weak link's queue takes beside a round."""
-READERS = 1
-"""Hosts of each cell that follow the store for all; what one learns goes to all cells.
-When the store turns a third of the hosts away, the chance that it is the readers of all
-eight cells of 85 hosts is one in 6,000."""
+URGENT_GATHER_TIME = 0.02
+"""Seconds for which urgent updates are collected before they are sent: the servers of a
+failure domain leave within that time."""
+MAX_SUSPECTS_PER_DATAGRAM = 16
+"""About 1.5 KB, which fits into the queue of a weak link in addition to a round."""
+READERS_PER_CELL = 1
+"""Hosts of each cell that follow the store for the other hosts. What one of them learns
+is sent to all cells: when the store rejects a third of the hosts, the probability that
+these include the readers of all eight cells of 85 hosts is 1 in 6,000."""
 
 
-class Audience(Enum):
-    """Whom urgent news goes to."""
+class Recipients(Enum):
+    """Recipients of an urgent message."""
 
     ALL = "all of a round"
-    MATES = "the own cell"
+    CELL_PEERS = "the own cell"
 
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """Whom a round of messages goes to.
+    """Recipients of a round of reports.
 
     Attributes:
         cell: this host's cell.
-        mates: the other hosts of the cell.
-        receivers: hosts of other cells.
-        is_reader: whether this host follows the store for its cell.
-        readers: hosts of a large fleet that do.
+        cell_peers: the other hosts of the cell.
+        receivers: the hosts of other cells that this host reports to.
+        is_reader: whether this host follows the store on behalf of its cell.
+        reader_count: number of hosts that follow the store.
     """
 
     cell: CellName
-    mates: list[HostEntry]
+    cell_peers: list[HostEntry]
     receivers: list[HostEntry]
     is_reader: bool
-    readers: int = 1
+    reader_count: int = 1
 
     @property
-    def messages(self) -> int:
-        """How many messages it takes."""
-        return len(self.mates) + len(self.receivers)
+    def message_count(self) -> int:
+        """Number of messages in the round."""
+        return len(self.cell_peers) + len(self.receivers)
 
 
 def plan_round(
     entries: dict[HostId, HostEntry],
-    own: HostId,
-    own_domain: FailureDomain,
+    local_host: HostId,
+    local_domain: FailureDomain,
     number: int,
 ) -> Round:
-    """Return whom this host tells in a round.
+    """Return the recipients of a round of reports.
 
     Args:
-        entries: the hosts that news is shared with, by id.
-        own: this host; it may not be registered yet.
-        own_domain: where it is.
-        number: of the round.
+        entries: the hosts that exchange reports, by id.
+        local_host: this host; it may not be registered yet.
+        local_domain: failure domain of this host.
+        number: sequence number of the round.
     """
     domains = {host: entry.failure_domain for host, entry in entries.items()}
-    domains[own] = own_domain
+    domains[local_host] = local_domain
     cells = assign_cells(domains)
-    cell = find_cell(cells, own)
+    cell = find_cell(cells, local_host)
     assert cell is not None
-    mates = [host for host in cells[cell] if host != own]
-    receivers = list_receivers(cells, own, number)
+    cell_peers = [host for host in cells[cell] if host != local_host]
+    receivers = list_receivers(cells, local_host, number)
     return Round(
         cell=cell,
-        mates=[entries[host] for host in mates],
+        cell_peers=[entries[host] for host in cell_peers],
         receivers=[entries[host] for host in receivers],
-        is_reader=len(cells) == 1 or own in cells[cell][:READERS],
-        readers=1 if len(cells) == 1 else READERS * len(cells),
+        is_reader=len(cells) == 1 or local_host in cells[cell][:READERS_PER_CELL],
+        reader_count=1 if len(cells) == 1 else READERS_PER_CELL * len(cells),
     )
 
 
-class SharingLink:
-    """Sends this host's word and takes the others'."""
+class ReportLink:
+    """Sends the reports of this host and receives those of the others.
+
+    Attributes:
+        on_departures: called with each urgent message about departing servers.
+        list_departing: returns seconds until each departing server stops serving.
+        on_suspects: called with each urgent message about suspect requests.
+        list_suspects: returns the suspects not yet sent in an urgent message.
+    """
 
     def __init__(
         self,
         socket: PacedSocket,
-        sharing: Sharing,
-        table: HostTable,
-        own_domain: FailureDomain,
+        sharing: SharedReports,
+        host_table: HostTable,
+        local_domain: FailureDomain,
         make_report: Callable[[int], Report],
-        echoes: Echoes,
-        teller: UsageTeller,
+        sent_times: SentReportTimes,
+        usage_reporter: UsageReporter,
         on_confirmed: Callable[[int, float], None],
     ) -> None:
         self._socket = socket
         self._sharing = sharing
-        self._table = table
-        self._own_domain = own_domain
+        self._host_table = host_table
+        self._local_domain = local_domain
         self._make_report = make_report
-        self._echoes = echoes
-        self._teller = teller
+        self._sent_times = sent_times
+        self._usage_reporter = usage_reporter
         self._on_confirmed = on_confirmed
-        self.on_left: Callable[[LeftReport], None] = lambda report: None
-        self.list_left: Callable[[], dict[BackendServerId, float]] = dict
+        self.on_departures: Callable[[DepartureReport], None] = lambda report: None
+        self.list_departing: Callable[[], dict[BackendServerId, float]] = dict
         self.on_suspects: Callable[[SuspectReport], None] = lambda report: None
-        self.list_suspects: Callable[[], list[SuspectNews]] = list
+        self.list_suspects: Callable[[], list[SuspectUpdate]] = list
         self._encoder = msgspec.msgpack.Encoder()
         self._number = 0
-        self._urgent = trio.Event()
-        self._urgent_to: Audience | None = None
+        self._urgent_requested = trio.Event()
+        self._urgent_recipients: Recipients | None = None
 
     async def receive(self) -> None:
-        """Take over messages for ever."""
-        decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
+        """Receive and apply messages forever."""
+        decoder: msgspec.msgpack.Decoder[HostMessage] = msgspec.msgpack.Decoder(
+            HostMessage
+        )
         while True:
             data, sender = await self._socket.receive()
             try:
                 message = decoder.decode(data)
             except msgspec.DecodeError as error:
-                log.bind(reason=str(error)).warning("report can't be read")
+                log.bind(reason=str(error)).warning("datagram cannot be decoded")
                 continue
-            self._take(message, sender)
+            self._dispatch(message, sender)
 
-    def _take(self, message: Message, sender: PeerAddress) -> None:
+    def _dispatch(self, message: HostMessage, sender: PeerAddress) -> None:
         match message:
             case UsageReport():
-                self._teller.take_report(message, sender)
-            case UsageHeard():
-                self._teller.take_heard(message)
-            case UsageQuestion():
-                self._teller.take_question(message, sender)
-            case LeftReport():
-                self.on_left(message)
+                self._usage_reporter.receive_report(message, sender)
+            case UsageConfirmation():
+                self._usage_reporter.receive_confirmation(message)
+            case UsageRequest():
+                self._usage_reporter.receive_request(message, sender)
+            case DepartureReport():
+                self.on_departures(message)
             case SuspectReport():
                 self.on_suspects(message)
             case CellReport():
-                self._sharing.note(message, trio.current_time())
+                self._sharing.apply_report(message, trio.current_time())
             case Report():
-                self._take_report(message)
+                self._apply_report(message)
 
-    def _take_report(self, report: Report) -> None:
-        self._sharing.note(report, trio.current_time())
-        confirmed_at = self._echoes.find_confirmation(report)
+    def _apply_report(self, report: Report) -> None:
+        self._sharing.apply_report(report, trio.current_time())
+        confirmed_at = self._sent_times.find_confirmation_time(report)
         if confirmed_at is not None:
             self._on_confirmed(report.version, confirmed_at)
 
-    def tell_now(self, audience: Audience) -> None:
-        """Tell at once which servers leave, and under which requests servers ended.
+    def schedule_urgent_send(self, recipients: Recipients) -> None:
+        """Send departing servers and suspect requests before the next round.
 
-        A reclaimed server is gone a second after its notice. With the news of it in
-        the usual rounds its streams could not be moved in time; and a request that ends
-        servers comes again at other hosts within tenths.
+        A reclaimed server stops one second after its notice, so that its streams could
+        not be moved in time with the periodic rounds alone. A request that crashes
+        servers arrives again at other hosts within tenths of a second.
         """
-        if self._urgent_to is not Audience.ALL:
-            self._urgent_to = audience
-        self._urgent.set()
+        if self._urgent_recipients is not Recipients.ALL:
+            self._urgent_recipients = recipients
+        self._urgent_requested.set()
 
     async def send(self) -> None:
-        """Tell the others for ever."""
+        """Send rounds of reports and urgent messages forever."""
         while True:
             self._number += 1
-            self._tell_round(self._plan())
+            self._send_round(self._plan_round())
             next_at = trio.current_time() + self._sharing.period
             while trio.current_time() < next_at:
                 with trio.move_on_at(next_at):
-                    await self._urgent.wait()
-                    await trio.sleep(GATHER_TIME)
-                self._tell_urgent()
+                    await self._urgent_requested.wait()
+                    await trio.sleep(URGENT_GATHER_TIME)
+                self._send_urgent()
 
-    def _plan(self) -> Round:
-        members = self._table.list_members(self._sharing.list_heard())
+    def _plan_round(self) -> Round:
+        members = self._host_table.list_members(self._sharing.list_live_hosts())
         entries = {entry.id: entry for entry in members}
-        return plan_round(entries, self._sharing.own, self._own_domain, self._number)
+        return plan_round(
+            entries, self._sharing.local_host, self._local_domain, self._number
+        )
 
-    def _tell_round(self, plan: Round) -> None:
+    def _send_round(self, plan: Round) -> None:
         sharing = self._sharing
         sharing.has_cells = bool(plan.receivers)
         sharing.is_reader = plan.is_reader
-        sharing.readers = plan.readers
+        sharing.reader_count = plan.reader_count
         report = self._make_report(self._number)
         data = self._encoder.encode(report)
         cell_data = b""
         if plan.receivers:
-            totals = sharing.sum_cell(report.totals, trio.current_time())
+            totals = sharing.sum_cell_totals(report.totals, trio.current_time())
             cell_report = self._make_cell_report(plan.cell, report, totals)
             cell_data = self._encoder.encode(cell_report)
-        size = len(plan.mates) * len(data) + len(plan.receivers) * len(cell_data)
+        size = len(plan.cell_peers) * len(data) + len(plan.receivers) * len(cell_data)
         sharing.period = self._find_period(plan, size)
-        self._echoes.note_sent(self._number, read_boot_clock())
+        self._sent_times.record_sent(self._number, read_boot_clock())
         self._socket.begin_round()
-        self._post(plan.mates, data, Urgency.ROUND)
-        self._post(plan.receivers, cell_data, Urgency.ROUND)
+        self._enqueue(plan.cell_peers, data, Urgency.ROUND)
+        self._enqueue(plan.receivers, cell_data, Urgency.ROUND)
 
     def _find_period(self, plan: Round, size: int) -> float:
-        """Return the seconds until the next round: all of this one has gone by then."""
+        """Return the seconds until the next round, enough to send all of this one."""
         pace = CELL_REPORTS_PER_SECOND if plan.receivers else REPORTS_PER_SECOND
-        return max(LEAST_PERIOD, plan.messages / pace, size / self._socket.rate)
+        return max(
+            MIN_REPORT_PERIOD, plan.message_count / pace, size / self._socket.rate
+        )
 
-    def _tell_urgent(self) -> None:
-        audience, self._urgent_to = self._urgent_to, None
-        self._urgent = trio.Event()
-        if audience is None:
+    def _send_urgent(self) -> None:
+        recipients, self._urgent_recipients = self._urgent_recipients, None
+        self._urgent_requested = trio.Event()
+        if recipients is None:
             return
-        plan = self._plan()
-        left = self.list_left()
+        plan = self._plan_round()
+        departing = self.list_departing()
         suspects = self.list_suspects()
-        self._post_urgent(plan.mates, left, suspects, is_for_mates=True)
-        if audience is Audience.ALL:
-            self._post_urgent(plan.receivers, left, suspects, is_for_mates=False)
+        self._enqueue_urgent(plan.cell_peers, departing, suspects, is_cell_local=True)
+        if recipients is Recipients.ALL:
+            self._enqueue_urgent(
+                plan.receivers, departing, suspects, is_cell_local=False
+            )
 
-    def _post_urgent(
+    def _enqueue_urgent(
         self,
         peers: list[HostEntry],
-        left: dict[BackendServerId, float],
-        suspects: list[SuspectNews],
+        departing: dict[BackendServerId, float],
+        suspects: list[SuspectUpdate],
         *,
-        is_for_mates: bool,
+        is_cell_local: bool,
     ) -> None:
-        own = self._sharing.own
-        if left:
-            told = LeftReport(own, left, is_for_mates)
-            self._post(peers, self._encoder.encode(told), Urgency.AT_ONCE)
-        for begin in range(0, len(suspects), SUSPECTS_IN_A_DATAGRAM):
-            part = suspects[begin : begin + SUSPECTS_IN_A_DATAGRAM]
-            news = SuspectReport(own, part, is_for_mates)
-            self._post(peers, self._encoder.encode(news), Urgency.AT_ONCE)
+        local_host = self._sharing.local_host
+        if departing:
+            departures = DepartureReport(local_host, departing, is_cell_local)
+            self._enqueue(peers, self._encoder.encode(departures), Urgency.AT_ONCE)
+        for begin in range(0, len(suspects), MAX_SUSPECTS_PER_DATAGRAM):
+            part = suspects[begin : begin + MAX_SUSPECTS_PER_DATAGRAM]
+            suspect_report = SuspectReport(local_host, part, is_cell_local)
+            self._enqueue(peers, self._encoder.encode(suspect_report), Urgency.AT_ONCE)
 
     def _make_cell_report(
         self, cell: CellName, report: Report, totals: Totals
     ) -> CellReport:
         now = trio.current_time()
-        unready = self._sharing.list_unready_mates(now)
+        unready = self._sharing.list_unready_cell_peers(now)
         if not report.is_ready:
             unready.append(report.host)
         return CellReport(
@@ -264,18 +280,18 @@
             boot=report.boot,
             number=report.number,
             cell=cell,
-            members=self._sharing.list_heard_mates(now),
+            members=self._sharing.list_live_cell_members(now),
             unready=unready,
             totals=totals,
             version=report.version,
-            left=report.left,
+            departing_servers=report.departing_servers,
             holder=report.holder,
             suspects=report.suspects,
             rollouts=report.rollouts,
         )
 
-    def _post(self, peers: list[HostEntry], data: bytes, urgency: Urgency) -> None:
-        """Send to all; another begins each round, so that none is the last always."""
-        turn = self._number % max(1, len(peers))
-        for peer in [*peers[turn:], *peers[:turn]]:
-            self._socket.post(read_address(peer.peers), data, urgency)
+    def _enqueue(self, peers: list[HostEntry], data: bytes, urgency: Urgency) -> None:
+        """Send to all peers, rotating the first one so that none is always the last."""
+        first = self._number % max(1, len(peers))
+        for peer in [*peers[first:], *peers[:first]]:
+            self._socket.enqueue(read_address(peer.peers), data, urgency)
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -15,18 +15,18 @@
 from dewridge.gateway.model import ServerRecord
 from dewridge.gateway.pool import ConnectionPool
 from dewridge.gateway.reports import (
-    NOTHING,
     REPORTED_WINDOWS,
-    TENTHS,
+    TENTHS_PER_ATTEMPT,
+    ZERO_SERVER_TOTALS,
     Report,
     ServerTotals,
-    SuspectNews,
+    SuspectUpdate,
     Totals,
     UsageCounts,
 )
 from dewridge.gateway.rollouts import RolloutTable
 from dewridge.gateway.servers import ServerTable
-from dewridge.gateway.sharing import Sharing
+from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.streams import RunningStreams
 from dewridge.gateway.watching import StoreRole
 from dewridge.http1.calls import Caller
@@ -111,7 +111,7 @@
     configuration: ConfigurationState
     servers: ServerTable
     hosts: HostTable
-    sharing: Sharing
+    sharing: SharedReports
     ledger: QuotaLedger
     pool: ConnectionPool
     ingress: IngressState
@@ -139,7 +139,7 @@
     """Digests of the requests during which this host itself observed a server crash."""
     on_suspects_changed: Callable[[], None] = lambda: None
     """Called when the information on requests during which servers crashed changes."""
-    list_suspects: Callable[[int], list[SuspectNews]] = lambda number: []
+    list_suspects: Callable[[int], list[SuspectUpdate]] = lambda number: []
     """Returns the information on such requests for the report of a given number."""
     metrics: Metrics = field(default_factory=Metrics)
     dependencies: list[Caller] = field(default_factory=list)
@@ -187,9 +187,9 @@
 
     def count_in_flight(self, records: Iterable[ServerRecord]) -> int:
         """Return the number of requests of all hosts in flight at the given servers."""
-        remote = self.sharing.find_summary(trio.current_time()).servers
+        remote = self.sharing.find_summary(trio.current_time()).server_totals
         return sum(
-            remote.get(record.id, NOTHING).requests
+            remote.get(record.id, ZERO_SERVER_TOTALS).requests
             + self.work.requests.get(record.id, 0)
             for record in records
         )
@@ -220,11 +220,11 @@
             is_ready=self.is_ready,
             age=now - self.sharing.started_at,
             totals=self._make_totals(now),
-            began=self.list_usage(windows),
+            usage_counts=self.list_usage(windows),
             version=self.configuration.version,
-            left=self.servers.list_recently_left(now),
+            departing_servers=self.servers.list_recently_left(now),
             confirmed_age=self.configuration.age,
-            heard=self.sharing.list_heard_numbers(),
+            last_received=self.sharing.list_last_received(),
             holder=self.sharing.holder,
             suspects=self.list_suspects(number),
             rollouts=self.rollouts.list_progress(),
@@ -240,9 +240,9 @@
 
     def _make_totals(self, now: float) -> Totals:
         return Totals(
-            used=round_totals(self.ledger.usage_totals),
-            asked=round_totals(self.ledger.demand_totals),
-            demand=round_totals(self.local_demand),
+            quota_usage=round_totals(self.ledger.usage_totals),
+            quota_demand=round_totals(self.ledger.demand_totals),
+            token_demand=round_totals(self.local_demand),
             servers=self._list_server_totals(now),
             outcomes=dict(self.rollouts.outcomes),
         )
@@ -254,10 +254,10 @@
             totals = ServerTotals(
                 requests=self.work.requests.get(server, 0),
                 tokens=self.work.tokens.get(server, 0),
-                attempts=round(attempts * TENTHS),
-                failures=round(failures * TENTHS),
+                attempts=round(attempts * TENTHS_PER_ATTEMPT),
+                failures=round(failures * TENTHS_PER_ATTEMPT),
             )
-            if totals != NOTHING:
+            if totals != ZERO_SERVER_TOTALS:
                 reported[server] = totals
         return reported
 
@@ -265,9 +265,9 @@
         """Return this host's view of its peers, for quotas."""
         summary = self.sharing.find_summary(trio.current_time())
         peers = self.hosts.list_peers()
-        silent_count = sum(peer.id not in summary.heard for peer in peers)
+        silent_count = sum(peer.id not in summary.live_hosts for peer in peers)
         return FleetView(
-            hosts=len(peers) + 1, silent=silent_count, staleness=self.sharing.news_age
+            hosts=len(peers) + 1, silent=silent_count, staleness=self.sharing.staleness
         )
 
     def find_store_role(self) -> StoreRole:
@@ -278,11 +278,11 @@
 
     def count_live_peers(self) -> int:
         """Return the number of other live hosts."""
-        return len(self.sharing.list_heard())
+        return len(self.sharing.list_live_hosts())
 
     def list_silent_hosts(self) -> list[HostId]:
         """Return the other registered hosts that are silent."""
-        live = self.sharing.list_heard()
+        live = self.sharing.list_live_hosts()
         return [peer.id for peer in self.hosts.list_peers() if peer.id not in live]
 
     def drop_expired(self) -> None:
@@ -292,7 +292,7 @@
             known_window for known_window in self.usage_counts if known_window < window
         ]:
             del self.usage_counts[old_window]
-        self.sharing.forget_before(window, trio.current_time())
+        self.sharing.discard_before(window, trio.current_time())
         departed = [known for known in self.health if self.servers.find(known) is None]
         for server in departed:
             del self.health[server]
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -11,7 +11,7 @@
 
 from dewridge.codes import ResultCode
 from dewridge.gateway.jobs import Job
-from dewridge.gateway.reports import SuspectNews
+from dewridge.gateway.reports import SuspectUpdate
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest
 from dewridge.policy.suspects import End, Suspect
@@ -129,11 +129,11 @@
     ).warning("request set aside")
 
 
-def make_urgent_lister(state: GatewayState) -> Callable[[], list[SuspectNews]]:
+def make_urgent_lister(state: GatewayState) -> Callable[[], list[SuspectUpdate]]:
     """Return a function that lists the suspects updated since its last call."""
     listed_at = float("-inf")
 
-    def list_urgent() -> list[SuspectNews]:
+    def list_urgent() -> list[SuspectUpdate]:
         nonlocal listed_at
         now = trio.current_time()
         updated = _list_updated(state, listed_at)[:MAX_URGENT_SUSPECTS]
@@ -143,7 +143,7 @@
     return list_urgent
 
 
-def make_update_lister(state: GatewayState) -> Callable[[int], list[SuspectNews]]:
+def make_update_lister(state: GatewayState) -> Callable[[int], list[SuspectUpdate]]:
     """Return a function that lists the suspects for a report, given its number.
 
     These are recently updated and quarantined suspects. Long lists are divided over
@@ -152,7 +152,7 @@
     quarantined: list[Suspect] = []
     polled_at = float("-inf")
 
-    def list_updates(turn: int) -> list[SuspectNews]:
+    def list_updates(turn: int) -> list[SuspectUpdate]:
         nonlocal quarantined, polled_at
         if state.suspects.is_empty:
             return []
@@ -181,13 +181,13 @@
     return [*suspects[begin:], *suspects[:begin]][:SUSPECTS_PER_REPORT]
 
 
-def encode_suspect(suspect: Suspect, now: float) -> SuspectNews:
+def encode_suspect(suspect: Suspect, now: float) -> SuspectUpdate:
     """Return a suspect's wire form, with ages in place of this host's steady times."""
-    return SuspectNews(
+    return SuspectUpdate(
         digest=suspect.digest,
         account=suspect.account,
         service=suspect.service,
-        ends={
+        crashes={
             server: (round((now - end.at) * 1000), round((now - end.sent_at) * 1000))
             for server, end in suspect.crashes.items()
         },
@@ -195,7 +195,7 @@
     )
 
 
-def decode_suspect(update: SuspectNews, now: float) -> Suspect:
+def decode_suspect(update: SuspectUpdate, now: float) -> Suspect:
     """Return a suspect reported by another host, with steady times of this host."""
     return Suspect(
         update.digest,
@@ -203,7 +203,7 @@
         update.service,
         {
             server: End(now - crashed_ms / 1000, now - sent_ms / 1000)
-            for server, (crashed_ms, sent_ms) in update.ends.items()
+            for server, (crashed_ms, sent_ms) in update.crashes.items()
         },
         set(update.cleared),
     )
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -12,7 +12,7 @@
 from dewridge.gateway.jobs import Job
 from dewridge.gateway.losses import LossHandler
 from dewridge.gateway.model import AttemptKey, CallerRequest, ServerRecord, Sizes
-from dewridge.gateway.reports import SuspectNews
+from dewridge.gateway.reports import SuspectUpdate
 from dewridge.gateway.suspectkeeping import SUSPECTS_PREFIX, SuspectPersistence
 from dewridge.gateway.suspects import (
     clear_suspect,
@@ -254,7 +254,7 @@
         updates.append(encode_suspect(suspect, 12.5))
     for update in updates:
         received = msgspec.msgpack.decode(
-            msgspec.msgpack.encode(update), type=SuspectNews
+            msgspec.msgpack.encode(update), type=SuspectUpdate
         )
         ledger.merge(decode_suspect(received, 500.0), 500.0)
     assert ledger.find_quarantine_left(DIGEST, 500.0) > 0
