--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -22,7 +22,7 @@
 from dewridge.gateway.suspects import check_set_aside, note_answered
 from dewridge.gateway.weighing import Choice, choose_server, choose_target, is_shed
 from dewridge.http1.client import ConnectionBrokenError, Headers
-from dewridge.http1.headers import drop_hop_headers
+from dewridge.http1.headers import remove_hop_by_hop_headers
 from dewridge.platform.engines import stop_and_move
 from dewridge.platform.headers import Dispatch
 from dewridge.policy.losses import Loss
@@ -134,9 +134,9 @@
             time_left=job.deadline - now,
             account=job.account.name if job.account else None,
             priority=find_priority(job) if job.is_engine else None,
-            last_event=job.last_event,
-            memory=step.memory if step else None,
-            keeper=job.keeper,
+            last_event_id=job.last_event,
+            cache_copy=step.memory if step else None,
+            cache_holder=job.keeper,
         )
         answer: OpenAnswer | Lost = Lost(Loss.CUT_OFF, "silent")
         with trio.move_on_after(self._find_silence(job)):
@@ -345,6 +345,6 @@
     """Return a server's headers without those of its connection and framing."""
     return [
         (name, value)
-        for name, value in drop_hop_headers(headers)
+        for name, value in remove_hop_by_hop_headers(headers)
         if name != b"content-length"
     ]
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -44,7 +44,7 @@
 from dewridge.gateway.usage import UsageDuty
 from dewridge.gateway.usagetelling import UsageTeller
 from dewridge.gateway.watching import WATCH_WAIT, StoreWatcher
-from dewridge.http1.calls import Caller
+from dewridge.http1.calls import ServiceClient
 from dewridge.ids import FailureDomain, HostId
 from dewridge.metrics.registry import Metrics
 from dewridge.platform.cloud import Cloud
@@ -85,9 +85,13 @@
         services = settings.services
         metrics = Metrics()
         note_answer = partial(time_dependency, metrics)
-        store = Caller("store", services.store, services.store_timeout, note_answer)
-        watches = Caller("store watches", services.store, services.store_timeout)
-        cloud = Caller("cloud", services.cloud, services.cloud_timeout, note_answer)
+        store = ServiceClient(
+            "store", services.store, services.store_timeout, note_answer
+        )
+        watches = ServiceClient("store watches", services.store, services.store_timeout)
+        cloud = ServiceClient(
+            "cloud", services.cloud, services.cloud_timeout, note_answer
+        )
         count_call = partial(count_store_call, metrics)
         self._era = StoreEra()
         self._store = Store(store, count_call, self._era)
--- a/dewridge/gateway/directory.py
+++ b/dewridge/gateway/directory.py
@@ -8,7 +8,7 @@
 from dewridge.gateway.responder import Responder
 from dewridge.gateway.state import GatewayState
 from dewridge.platform.directory import (
-    ADDRESS_LIMIT,
+    MAX_ADDRESSES,
     READY_PATH,
     RESOLVE_PATH,
     encode_addresses,
@@ -84,4 +84,4 @@
         chosen = [*own, *others] if others else registered
         addresses = [entry.frontend for entry in chosen]
         self._state.rng.shuffle(addresses)
-        return addresses[:ADDRESS_LIMIT]
+        return addresses[:MAX_ADDRESSES]
--- a/dewridge/gateway/duties.py
+++ b/dewridge/gateway/duties.py
@@ -10,7 +10,7 @@
 from dewridge.gateway.hosts import LEASE_TTL, PREFIX, HostTable, Registration
 from dewridge.gateway.reports import Holder
 from dewridge.ids import HostId
-from dewridge.platform.cloud import Tenure
+from dewridge.platform.cloud import DutyTerm
 from dewridge.platform.store import Item, Store, Write
 
 HOLDER_KEY = PREFIX + "holder"
@@ -60,14 +60,14 @@
         self._lease = lease
         self._may_try = may_try
         self._on_taken = on_taken
-        self._tenure: Tenure | None = None
+        self._tenure: DutyTerm | None = None
         self._acts_from = float("inf")
         self._has_left = False
         self._restored_at = float("-inf")
         # A start of this host that ended just now may have acted right before.
         self._may_have_acted_at = read_boot_clock()
 
-    def find_tenure(self) -> Tenure | None:
+    def find_tenure(self) -> DutyTerm | None:
         """Return this host's tenure if it may act now.
 
         A host that was frozen wakes with all its beliefs. The lease's end is on the
@@ -135,7 +135,7 @@
 
     def _begin(self, revision: int) -> None:
         token = self._make_fencing_token(revision)
-        self._tenure = Tenure(self._host, token)
+        self._tenure = DutyTerm(self._host, token)
         now = read_boot_clock()
         self._acts_from = self._find_first_act(now)
         self._on_taken((token, self._host))
--- a/dewridge/gateway/forwarding.py
+++ b/dewridge/gateway/forwarding.py
@@ -10,10 +10,10 @@
 from dewridge.platform.headers import (
     Dispatch,
     has_signature,
-    is_another_server,
+    is_misdirected,
+    is_not_executed,
     make_dispatch_headers,
-    read_answered_request,
-    says_not_executed,
+    read_request_id,
 )
 from dewridge.policy.losses import NOT_RUN, Loss
 
@@ -107,7 +107,7 @@
     is_kept = False
     try:
         head = await _exchange(connection, request, dispatch)
-        lost = judge_head(head, request, is_reused=connection.exchanges > 1)
+        lost = judge_head(head, request, is_reused=connection.exchange_count > 1)
         if lost is not None:
             return lost
         is_kept = True
@@ -164,14 +164,14 @@
     request's answer is due. Passed on, a caller would get another caller's answer.
     An answer that names no request is believed only on a new connection.
     """
-    answered = read_answered_request(head)
+    answered = read_request_id(head)
     if answered is not None and answered != request.id:
         return Lost(Loss.MISMATCHED, f"names {answered[:40]}")
     if answered is None and is_reused:
         return Lost(Loss.MISMATCHED, "names no request")
-    if is_another_server(head):
+    if is_misdirected(head):
         return Lost(Loss.OTHER_SERVER, status=head.status)
-    if says_not_executed(head):
+    if is_not_executed(head):
         return Lost(Loss.REJECTED, status=head.status)
     if 200 <= head.status < 300:
         return _judge_success(head, is_named=answered is not None)
@@ -181,7 +181,7 @@
 def _judge_success(head: ResponseHead, *, is_named: bool) -> Lost | None:
     if not (is_named and has_signature(head)):
         return Lost(Loss.MALFORMED, "a success without its marks")
-    if head.find(b"content-encoding") is not None:
+    if head.find_header(b"content-encoding") is not None:
         return Lost(Loss.MALFORMED, "an encoded body")
     return None
 
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -323,7 +323,7 @@
         """Read all registrations for ever."""
         may_lag = False
         while True:
-            listing = await self._store.list_items(PREFIX, may_lag=may_lag)
+            listing = await self._store.list_items(PREFIX, allow_stale=may_lag)
             if isinstance(listing, Listing):
                 self._table.replace(listing)
             is_restored = False
--- a/dewridge/gateway/ingress.py
+++ b/dewridge/gateway/ingress.py
@@ -13,7 +13,7 @@
 from dewridge.gateway.responder import CallerGoneError, Responder
 from dewridge.http1.headers import find_framing_fault
 from dewridge.http1.sockets import has_input
-from dewridge.platform.headers import read_marks
+from dewridge.platform.headers import parse_request_headers
 from dewridge.sentinels import Failure
 
 Serve = Callable[[CallerRequest, Responder], Awaitable[None]]
@@ -271,13 +271,15 @@
     body: bytes,
     arrived_at: float,
 ) -> CallerRequest | Failure:
-    marks = read_marks(headers)
+    marks = parse_request_headers(headers)
     if isinstance(marks, str):
         return Failure(ResultCode.MALFORMED_REQUEST, marks)
     if not head.target.startswith(b"/"):
         return Failure(ResultCode.MALFORMED_REQUEST, "the target is no path")
     host = next((value for name, value in headers if name == b"host"), b"")
-    patience = LONGEST_PATIENCE if marks.patience is None else marks.patience
+    patience = (
+        LONGEST_PATIENCE if marks.caller_timeout is None else marks.caller_timeout
+    )
     return CallerRequest(
         id=AttemptKey(marks.id),
         method=head.method,
@@ -287,7 +289,7 @@
         body=body,
         key=AccountKey(marks.key),
         sizes=marks.sizes,
-        last_event=marks.last_event,
+        last_event=marks.last_event_id,
         arrived_at=arrived_at,
         deadline=arrived_at + patience,
     )
--- a/dewridge/gateway/jobs.py
+++ b/dewridge/gateway/jobs.py
@@ -6,7 +6,7 @@
 from dewridge.gateway.digests import make_digest
 from dewridge.gateway.model import Account, CallerRequest, Route, ServerRecord
 from dewridge.ids import BackendServerId, RequestDigest, ServiceName
-from dewridge.platform.engines import MemoryCopy
+from dewridge.platform.engines import CacheCopy
 
 PRIORITY_STEP = 3
 """Weight of the account's priority before the route's in the engines' scale of ten."""
@@ -17,7 +17,7 @@
     """A server that goes on with a stopped run, and the memory it goes on from."""
 
     server: ServerRecord
-    memory: MemoryCopy
+    memory: CacheCopy
 
 
 @dataclass
--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -70,7 +70,7 @@
         health = self._state.find_health(server.id)
         health.full_until = now + LOOK_FOR
         try:
-            look.reach = await self._state.pool.look(server)
+            look.reach = await self._state.pool.probe(server)
         finally:
             health.full_until = float("-inf")
             look.done.set()
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -6,8 +6,8 @@
 import trio
 
 from dewridge.gateway.model import ServerRecord
-from dewridge.http1.client import ClientConnection, NotConnected, open_connection
-from dewridge.http1.reach import look
+from dewridge.http1.client import ClientConnection, ConnectFailure, open_connection
+from dewridge.http1.reach import probe_server
 from dewridge.ids import BackendServerId, ServiceName
 from dewridge.policy.idletime import IdleTime
 from dewridge.policy.losses import Reach
@@ -63,12 +63,12 @@
         """Open a connection; None if the server does not accept one in time."""
         self.opened += 1
         connection = await open_connection(server.address, CONNECT_TIMEOUT)
-        return None if isinstance(connection, NotConnected) else connection
+        return None if isinstance(connection, ConnectFailure) else connection
 
-    async def look(self, server: ServerRecord) -> Reach:
+    async def probe(self, server: ServerRecord) -> Reach:
         """Return whether a server accepts connections."""
         self.opened += 1
-        return await look(server.address)
+        return await probe_server(server.address)
 
     def put_back(self, server: ServerRecord, connection: ClientConnection) -> None:
         """Keep a connection that ended an exchange cleanly."""
@@ -102,13 +102,13 @@
                 del self._idle[server]
 
     def _find_limit(self, kept: Kept, *, must_arrive: bool) -> float:
-        announced = kept.connection.keep_alive
+        announced = kept.connection.keep_alive_timeout
         times = self._times[kept.service]
         return times.find_limit(announced, must_arrive=must_arrive)
 
     def _look(self, kept: Kept, age: float) -> bool:
         """Return whether a connection is open, and learn how long they stay so."""
-        is_open = kept.connection.is_quiet()
+        is_open = kept.connection.is_open_and_idle()
         if is_open:
             self._times[kept.service].note_open(age)
         else:
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -29,7 +29,7 @@
 from dewridge.gateway.sharing import Sharing
 from dewridge.gateway.streams import RunningStreams
 from dewridge.gateway.watching import Part
-from dewridge.http1.calls import Caller
+from dewridge.http1.calls import ServiceClient
 from dewridge.ids import (
     BackendServerId,
     ClientAccount,
@@ -141,7 +141,7 @@
     list_suspects: Callable[[int], list[SuspectNews]] = lambda turn: []
     """Returns what a report tells of them."""
     metrics: Metrics = field(default_factory=Metrics)
-    dependencies: list[Caller] = field(default_factory=list)
+    dependencies: list[ServiceClient] = field(default_factory=list)
     describe_duties: Callable[[], dict[str, object]] = dict
     is_ready: bool = False
     leaves_at: float = float("inf")
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -12,7 +12,7 @@
 from dewridge.gateway.hosts import PREFIX, HostEntry
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import ClientAccount
-from dewridge.platform.cloud import CallOutcome, Cloud, Tenure
+from dewridge.platform.cloud import CallOutcome, Cloud, DutyTerm
 from dewridge.platform.store import Item, Store, Write
 from dewridge.sentinels import Failure
 
@@ -50,7 +50,7 @@
         self._cloud = cloud
         self._done: set[int] = set()
         self._fixed_counts: dict[int, Counts] = {}
-        self._tenure: Tenure | None = None
+        self._tenure: DutyTerm | None = None
         self._held_since = 0.0
 
     async def run(self) -> None:
@@ -63,7 +63,7 @@
                         await self._report(tenure, window)
             await trio.sleep(LOOK_PERIOD)
 
-    def _has_settled(self, tenure: Tenure) -> bool:
+    def _has_settled(self, tenure: DutyTerm) -> bool:
         """Whether the other hosts have had the time to tell a new holder their counts.
 
         The first sum of a window stands. Made at once, it lacked what other hosts told
@@ -121,7 +121,7 @@
             if sharing.usage.is_incomplete((host.id, host.boot), window)
         ]
 
-    async def _report(self, tenure: Tenure, window: int) -> None:
+    async def _report(self, tenure: DutyTerm, window: int) -> None:
         counts = await self._fix_counts(window)
         if counts is None or self._tenancy.find_tenure() != tenure:
             return
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -268,7 +268,7 @@
         pause = FIRST_RETRY
         may_lag = False
         while True:
-            listing = await self._store.list_items(SERVERS_PREFIX, may_lag=may_lag)
+            listing = await self._store.list_items(SERVERS_PREFIX, allow_stale=may_lag)
             if isinstance(listing, Failure):
                 self._servers.note_outage(trio.current_time())
                 await self._pause(pause)
--- a/dewridge/http1/calls.py
+++ b/dewridge/http1/calls.py
@@ -10,9 +10,9 @@
 
 from dewridge.http1.client import (
     ClientConnection,
+    ConnectFailure,
     ConnectionBrokenError,
     Headers,
-    NotConnected,
     open_connection,
 )
 
@@ -47,7 +47,7 @@
         return next((value for key, value in self.headers if key == name), None)
 
 
-class Caller:
+class ServiceClient:
     """Calls one service at one address."""
 
     def __init__(
@@ -109,7 +109,7 @@
         connection = self._take_idle()
         if connection is None:
             opened = await open_connection(self._address, self._timeout * CONNECT_SHARE)
-            if isinstance(opened, NotConnected):
+            if isinstance(opened, ConnectFailure):
                 return Trouble.NOT_SENT
             connection = opened
         is_reusable = False
@@ -140,10 +140,10 @@
         while self._idle:
             connection = self._idle.pop()
             limit = IDLE_LIMIT
-            if connection.keep_alive is not None:
-                limit = min(limit, connection.keep_alive * 0.5)
+            if connection.keep_alive_timeout is not None:
+                limit = min(limit, connection.keep_alive_timeout * 0.5)
             age = trio.current_time() - connection.idle_since
-            if age < limit and connection.is_quiet():
+            if age < limit and connection.is_open_and_idle():
                 return connection
             connection.close()
         return None
--- a/dewridge/http1/client.py
+++ b/dewridge/http1/client.py
@@ -31,7 +31,7 @@
     status: int
     headers: Headers
 
-    def find(self, name: bytes) -> bytes | None:
+    def find_header(self, name: bytes) -> bytes | None:
         """Return the first value of a header; None if it is not there."""
         for key, value in self.headers:
             if key == name:
@@ -58,9 +58,9 @@
         self._stream = stream
         self._name = name
         self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT)
-        self.exchanges = 0
+        self.exchange_count = 0
         self.idle_since = 0.0
-        self.keep_alive: float | None = None
+        self.keep_alive_timeout: float | None = None
         self._is_body_sent = True
         self.is_close_delimited = False
 
@@ -72,7 +72,7 @@
         Raises:
             ConnectionBrokenError: the connection ended first; part may have arrived.
         """
-        self.exchanges += 1
+        self.exchange_count += 1
         self._is_body_sent = False
         head = h11.Request(method=method, target=target, headers=headers)
         data = self._state.send(head) or b""
@@ -100,9 +100,9 @@
 
     def _read_head(self, event: h11.Response) -> ResponseHead:
         head = ResponseHead(event.status_code, list(event.headers))
-        self.keep_alive = read_keep_alive(head.find(b"keep-alive"))
-        length = head.find(b"content-length")
-        coding = head.find(b"transfer-encoding")
+        self.keep_alive_timeout = read_keep_alive(head.find_header(b"keep-alive"))
+        length = head.find_header(b"content-length")
+        coding = head.find_header(b"transfer-encoding")
         self.is_close_delimited = length is None and coding is None
         return head
 
@@ -148,7 +148,7 @@
         self.idle_since = now
         return True
 
-    def is_quiet(self) -> bool:
+    def is_open_and_idle(self) -> bool:
         """Whether the connection is open with nothing to read.
 
         A server that closed it, or that sent bytes nobody asked for, shows here.
@@ -173,7 +173,7 @@
     return None
 
 
-class NotConnected(Enum):
+class ConnectFailure(Enum):
     """Why there is no connection."""
 
     REFUSED = "refused"
@@ -185,14 +185,14 @@
 
 
 NOT_CONNECTED = {
-    errno.ECONNREFUSED: NotConnected.REFUSED,
-    errno.ECONNRESET: NotConnected.RESET,
+    errno.ECONNREFUSED: ConnectFailure.REFUSED,
+    errno.ECONNRESET: ConnectFailure.RESET,
 }
 
 
 async def open_connection(
     address: str, timeout: float
-) -> ClientConnection | NotConnected:
+) -> ClientConnection | ConnectFailure:
     """Connect to `a.b.c.d:port` within so many seconds."""
     host, _, port = address.rpartition(":")
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -205,7 +205,7 @@
             await sock.connect((host, int(port)))
         except OSError as error:
             sock.close()
-            return NOT_CONNECTED.get(error.errno or 0, NotConnected.SILENT)
+            return NOT_CONNECTED.get(error.errno or 0, ConnectFailure.SILENT)
         return ClientConnection(trio.SocketStream(sock), address)
     sock.close()
-    return NotConnected.SILENT
+    return ConnectFailure.SILENT
--- a/dewridge/http1/headers.py
+++ b/dewridge/http1/headers.py
@@ -18,7 +18,7 @@
 )
 
 
-def drop_hop_headers(headers: Headers) -> Headers:
+def remove_hop_by_hop_headers(headers: Headers) -> Headers:
     """Return the headers without those that concern one connection only."""
     dropped = set(HOP_HEADERS)
     for name, value in headers:
--- a/dewridge/http1/reach.py
+++ b/dewridge/http1/reach.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from dewridge.http1.client import NotConnected, open_connection
+from dewridge.http1.client import ConnectFailure, open_connection
 from dewridge.policy.losses import Reach
 
 LOOK_TIMEOUT = 0.1
@@ -12,7 +12,7 @@
 MOST_LOOKS = 3
 
 
-async def look(address: str) -> Reach:
+async def probe_server(address: str) -> Reach:
     """Return what becomes of new connections to `a.b.c.d:port`; they are closed again.
 
     A process that ends closes its port some moments after its connections: one that is
@@ -21,13 +21,13 @@
     """
     for _ in range(MOST_LOOKS):
         connection = await open_connection(address, LOOK_TIMEOUT)
-        if connection is NotConnected.REFUSED:
+        if connection is ConnectFailure.REFUSED:
             return Reach.REFUSED
-        if connection is NotConnected.SILENT:
+        if connection is ConnectFailure.SILENT:
             return Reach.SILENT
         await trio.sleep(SETTLE_TIME)
-        if not isinstance(connection, NotConnected):
-            is_open = connection.is_quiet()
+        if not isinstance(connection, ConnectFailure):
+            is_open = connection.is_open_and_idle()
             connection.close()
             if is_open:
                 return Reach.ACCEPTED
--- a/dewridge/platform/cloud.py
+++ b/dewridge/platform/cloud.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewridge.http1.calls import Answer, Caller
+from dewridge.http1.calls import Answer, ServiceClient
 from dewridge.ids import ClientAccount, FailureDomain, HostId, ServiceName
 from dewridge.platform import names
 
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tenure:
+class DutyTerm:
     """One holder's time with the duties.
 
     Attributes:
@@ -49,17 +49,17 @@
 class Cloud:
     """Makes the calls."""
 
-    def __init__(self, caller: Caller) -> None:
+    def __init__(self, caller: ServiceClient) -> None:
         self._caller = caller
 
     async def report_usage(
-        self, tenure: Tenure, window: int, counts: dict[ClientAccount, int]
+        self, tenure: DutyTerm, window: int, counts: dict[ClientAccount, int]
     ) -> CallOutcome:
         """Report how many requests of each account began in a window."""
         body = msgspec.json.encode({"window_id": window, "counts": counts})
         return await self._call(tenure, "/usage", body)
 
-    async def order_servers(self, tenure: Tenure, order: Order) -> CallOutcome:
+    async def order_servers(self, tenure: DutyTerm, order: Order) -> CallOutcome:
         """Order a number of servers."""
         fields: dict[str, str | int | bool] = {
             "service": order.service,
@@ -70,7 +70,7 @@
             fields["spot"] = True
         return await self._call(tenure, "/scale", msgspec.json.encode(fields))
 
-    async def _call(self, tenure: Tenure, path: str, body: bytes) -> CallOutcome:
+    async def _call(self, tenure: DutyTerm, path: str, body: bytes) -> CallOutcome:
         headers = [
             (names.HOLDER.encode(), tenure.host.encode()),
             (names.FENCE.encode(), str(tenure.fencing_token).encode()),
--- a/dewridge/platform/directory.py
+++ b/dewridge/platform/directory.py
@@ -6,7 +6,7 @@
 
 READY_PATH = names.READY_PATH
 RESOLVE_PATH = names.RESOLVE_PATH
-ADDRESS_LIMIT = 64
+MAX_ADDRESSES = 64
 """Addresses that callers take from one answer."""
 
 
--- a/dewridge/platform/engines.py
+++ b/dewridge/platform/engines.py
@@ -6,7 +6,7 @@
 
 from dewridge.codes import ResultCode
 from dewridge.gateway.model import AttemptKey
-from dewridge.http1.calls import Answer, Caller
+from dewridge.http1.calls import Answer, ServiceClient
 from dewridge.sentinels import Failure
 
 MOVE_TIMEOUT = 0.6
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemoryCopy:
+class CacheCopy:
     """The memory of a stopped run; good for one request.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 async def stop_and_move(
     source: str, request: AttemptKey, target: str
-) -> MemoryCopy | Failure:
+) -> CacheCopy | Failure:
     """Stop a run and copy its memory to another engine.
 
     Args:
@@ -45,7 +45,7 @@
         target: `a.b.c.d:port` of the engine that is to go on.
     """
     body = msgspec.json.encode({"id": request, "target": target, "last": True})
-    caller = Caller(f"engine {source}", source, MOVE_TIMEOUT)
+    caller = ServiceClient(f"engine {source}", source, MOVE_TIMEOUT)
     answer = await caller.call("POST", "/-/kv-move", body=body)
     caller.drop_idle()
     if not isinstance(answer, Answer):
@@ -57,4 +57,4 @@
     is_stopped = answer.status in {STATUS_MOVED, STATUS_NO_ROOM} and moved.handle != ""
     if not is_stopped:
         return Failure(ResultCode.MOVE_FAILED, f"status {answer.status}")
-    return MemoryCopy(source, str(moved.handle), answer.status == STATUS_MOVED)
+    return CacheCopy(source, str(moved.handle), answer.status == STATUS_MOVED)
--- a/dewridge/platform/headers.py
+++ b/dewridge/platform/headers.py
@@ -4,10 +4,10 @@
 
 from dewridge.gateway.model import CallerRequest, PromptPart, Sizes
 from dewridge.http1.client import Headers, ResponseHead
-from dewridge.http1.headers import drop_hop_headers
+from dewridge.http1.headers import remove_hop_by_hop_headers
 from dewridge.ids import ClientAccount, ServerName
 from dewridge.platform import names
-from dewridge.platform.engines import MemoryCopy
+from dewridge.platform.engines import CacheCopy
 
 STATUS_MISDIRECTED = 421
 SINGLE = (names.REQUEST_ID, names.ACCOUNT_KEY, names.DEADLINE, b"host")
@@ -22,19 +22,19 @@
     Attributes:
         id: the caller's name for this sending; empty if missing.
         key: the account's key; empty without one.
-        patience: seconds that the caller waits; None if not said.
+        caller_timeout: seconds that the caller waits; None if not said.
         sizes: size of the work.
-        last_event: event after which to resume.
+        last_event_id: event after which to resume.
     """
 
     id: str
     key: str
-    patience: float | None
+    caller_timeout: float | None
     sizes: Sizes
-    last_event: int | None
+    last_event_id: int | None
 
 
-def read_marks(headers: Headers) -> RequestMarks | str:
+def parse_request_headers(headers: Headers) -> RequestMarks | str:
     """Read a caller's headers; a text says what is wrong with them."""
     found: dict[bytes, bytes] = {}
     for name, value in headers:
@@ -51,9 +51,9 @@
     return RequestMarks(
         id=found.get(names.REQUEST_ID, b"").decode("latin-1"),
         key=found.get(names.ACCOUNT_KEY, b"").decode("latin-1"),
-        patience=None if patience is None else patience / 1000,
+        caller_timeout=None if patience is None else patience / 1000,
         sizes=sizes,
-        last_event=None if last_event is None else int(last_event),
+        last_event_id=None if last_event is None else int(last_event),
     )
 
 
@@ -96,19 +96,19 @@
         time_left: seconds until the server may stop.
         account: whose request it is; None on an anonymous route.
         priority: urgency from 0 to 9, 0 first; None for the server's own default.
-        last_event: event after which to go on; None for a whole answer.
-        memory: memory of the stopped run to go on from; None for a new run.
-        keeper: `a.b.c.d:port` of an engine to copy the shared part of the prompt from,
-            as far as it keeps it; None to read it.
+        last_event_id: event after which to go on; None for a whole answer.
+        cache_copy: memory of the stopped run to go on from; None for a new run.
+        cache_holder: `a.b.c.d:port` of an engine to copy the shared part of the
+            prompt from, as far as it keeps it; None to read it.
     """
 
     server: ServerName
     time_left: float
     account: ClientAccount | None
     priority: int | None
-    last_event: int | None
-    memory: MemoryCopy | None = None
-    keeper: str | None = None
+    last_event_id: int | None
+    cache_copy: CacheCopy | None = None
+    cache_holder: str | None = None
 
 
 def make_dispatch_headers(request: CallerRequest, dispatch: Dispatch) -> Headers:
@@ -116,7 +116,7 @@
     left_out = names.SET_BY_GATEWAY | {names.LAST_EVENT, b"content-length"}
     headers = [
         (name, value)
-        for name, value in drop_hop_headers(list(request.headers))
+        for name, value in remove_hop_by_hop_headers(list(request.headers))
         if name not in left_out
     ]
     headers.append((names.EXPECTED_SERVER, dispatch.server.encode()))
@@ -126,36 +126,36 @@
         headers.append((names.ACCOUNT, dispatch.account.encode()))
     if dispatch.priority is not None:
         headers.append((names.PRIORITY, str(dispatch.priority).encode()))
-    if dispatch.last_event is not None:
-        headers.append((names.LAST_EVENT, str(dispatch.last_event).encode()))
-    if dispatch.memory is not None:
-        value = f"{dispatch.memory.source}/{dispatch.memory.handle}"
+    if dispatch.last_event_id is not None:
+        headers.append((names.LAST_EVENT, str(dispatch.last_event_id).encode()))
+    if dispatch.cache_copy is not None:
+        value = f"{dispatch.cache_copy.source}/{dispatch.cache_copy.handle}"
         headers.append((names.MEMORY_COPY, value.encode()))
-    if dispatch.keeper is not None:
-        headers.append((names.CACHE_SOURCE, dispatch.keeper.encode()))
+    if dispatch.cache_holder is not None:
+        headers.append((names.CACHE_SOURCE, dispatch.cache_holder.encode()))
     if request.body or request.method in {b"POST", b"PUT", b"PATCH"}:
         headers.append((b"content-length", str(len(request.body)).encode()))
     return headers
 
 
-def read_answered_request(head: ResponseHead) -> str | None:
+def read_request_id(head: ResponseHead) -> str | None:
     """Return the request that an answer says it belongs to; None if it doesn't."""
-    value = head.find(names.REQUEST_ID)
+    value = head.find_header(names.REQUEST_ID)
     return None if value is None else value.decode("latin-1")
 
 
 def has_signature(head: ResponseHead) -> bool:
     """Whether a backend server signed this answer as its own."""
-    return head.find(names.SIGNATURE) is not None
+    return head.find_header(names.SIGNATURE) is not None
 
 
-def says_not_executed(head: ResponseHead) -> bool:
+def is_not_executed(head: ResponseHead) -> bool:
     """Whether a backend server says that it did not run the request."""
     return head.status == STATUS_MISDIRECTED or (
-        head.find(names.NOT_EXECUTED) is not None
+        head.find_header(names.NOT_EXECUTED) is not None
     )
 
 
-def is_another_server(head: ResponseHead) -> bool:
+def is_misdirected(head: ResponseHead) -> bool:
     """Whether another server, or another start of it, has the address now."""
     return head.status == STATUS_MISDIRECTED
--- a/dewridge/platform/store.py
+++ b/dewridge/platform/store.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from dewridge.codes import ResultCode
-from dewridge.http1.calls import Answer, Caller, Trouble
+from dewridge.http1.calls import Answer, ServiceClient, Trouble
 from dewridge.platform.eras import StoreEra
 from dewridge.platform.names import STORE_ERA
 from dewridge.sentinels import Failure
@@ -112,7 +112,7 @@
 
     def __init__(
         self,
-        caller: Caller,
+        caller: ServiceClient,
         on_call: Callable[[str, str], None] = lambda *_: None,
         era: StoreEra | None = None,
     ) -> None:
@@ -147,25 +147,25 @@
         return _decode(answer, Item)
 
     async def list_items(
-        self, prefix: str, *, may_lag: bool = False
+        self, prefix: str, *, allow_stale: bool = False
     ) -> Listing | Failure:
         """Read all keys under a prefix, page by page.
 
         Args:
             prefix: what the keys begin with.
-            may_lag: whether what is seconds old will do; costs a tenth of a call.
+            allow_stale: whether what is seconds old will do; costs a tenth of a call.
         """
         items: list[Item] = []
         revision = None
         after = ""
         while True:
             fields = {"path_prefix": prefix}
-            if may_lag:
+            if allow_stale:
                 fields["stale_ok"] = "1"
             if after:
                 fields["after"] = after
             path = "/-/kv-range?" + urlencode(fields)
-            self._on_call("lagging list" if may_lag else "list", prefix)
+            self._on_call("lagging list" if allow_stale else "list", prefix)
             page = _decode(await self._call("GET", path), _Page)
             if isinstance(page, Failure):
                 return page
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -10,7 +10,7 @@
 from dewridge.codes import Outcome, ResultCode
 from dewridge.configuration.model import Configuration
 from dewridge.fleet.model import Dispatch
-from dewridge.http1.reach import look
+from dewridge.http1.reach import probe_server
 from dewridge.ids import (
     ClientAccount,
     Generation,
@@ -97,7 +97,7 @@
         seed: int = 0,
         make_scheduler: MakeScheduler = Scheduler,
         orders: EngineOrders | None = None,
-        look: Callable[[str], Awaitable[Reach]] = look,
+        probe_server: Callable[[str], Awaitable[Reach]] = probe_server,
     ) -> None:
         self._shared = shared = Shared(
             settings=settings,
@@ -108,7 +108,7 @@
             table=RecordTable(membership.me.host),
             jobs=Jobs(metrics),
         )
-        suspects = SuspectRequests(shared, rumors, look)
+        suspects = SuspectRequests(shared, rumors, probe_server)
         self._usage = UsageLedger()
         self._replicator = Replicator(shared)
         self._scheduling = Scheduling(
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -377,7 +377,7 @@
     async with open_world(retry_slack=100) as world:
         servers = await add_crashing_servers(world)
         looked = trio.Event()
-        look = world.state.pool.look
+        look = world.state.pool.probe
         looks = 0
 
         async def look_slowly(server: ServerRecord) -> Reach:
@@ -388,7 +388,7 @@
                 await trio.sleep_forever()
             return await look(server)
 
-        world.state.pool.look = look_slowly  # type: ignore[method-assign]
+        world.state.pool.probe = look_slowly  # type: ignore[method-assign]
         notes = LossNotes(world.state)
         record = world.state.servers.list_all()[0]
         next(one for one in servers if one.id == record.id).end()
--- a/dewridge/tests/gateway/duties_tests.py
+++ b/dewridge/tests/gateway/duties_tests.py
@@ -11,7 +11,7 @@
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
 from dewridge.gateway.usage import UsageDuty
 from dewridge.ids import ClientAccount, FailureDomain, HostId
-from dewridge.platform.cloud import CallOutcome, Cloud, Tenure
+from dewridge.platform.cloud import CallOutcome, Cloud, DutyTerm
 from dewridge.tests.gateway.memorystore import MemoryStore, StoreData
 from dewridge.tests.gateway.world import ACCOUNT, make_configuration, make_state
 
@@ -237,7 +237,7 @@
         self._fails = fails
 
     async def report_usage(
-        self, tenure: Tenure, window: int, counts: dict[ClientAccount, int]
+        self, tenure: DutyTerm, window: int, counts: dict[ClientAccount, int]
     ) -> CallOutcome:
         """Keep a report."""
         self.reports.append((window, counts))
@@ -250,9 +250,9 @@
     """A tenancy that a test gives to a host outright."""
 
     def __init__(self) -> None:
-        self._given = Tenure(HostId("host-1"), 1)
+        self._given = DutyTerm(HostId("host-1"), 1)
 
-    def find_tenure(self) -> Tenure | None:
+    def find_tenure(self) -> DutyTerm | None:
         """Return the tenure."""
         return self._given
 
--- a/dewridge/tests/gateway/ingress_tests.py
+++ b/dewridge/tests/gateway/ingress_tests.py
@@ -9,8 +9,8 @@
 from dewridge.gateway.clock import read_boot_clock
 from dewridge.gateway.events import EventSplitter
 from dewridge.gateway.model import Limits
-from dewridge.http1.headers import drop_hop_headers, find_framing_fault
-from dewridge.platform.headers import read_marks
+from dewridge.http1.headers import find_framing_fault, remove_hop_by_hop_headers
+from dewridge.platform.headers import parse_request_headers
 from dewridge.tests.gateway.world import (
     KEY,
     answer_plainly,
@@ -178,10 +178,10 @@
 @given(st.lists(st.tuples(st.binary(max_size=20), st.binary(max_size=60)), max_size=8))
 def test_any_headers_are_read_or_refused(headers: list[tuple[bytes, bytes]]) -> None:
     named = [(name.lower(), value) for name, value in headers]
-    marks = read_marks(named)
+    marks = parse_request_headers(named)
     assert isinstance(marks, str) or marks.sizes.tokens >= 0
     find_framing_fault(named)
-    drop_hop_headers(named)
+    remove_hop_by_hop_headers(named)
 
 
 @given(
@@ -189,8 +189,12 @@
     st.text(alphabet="0123456789abcdef:,- ", max_size=30),
 )
 def test_any_sizes_are_read_or_refused(name: bytes, value: str) -> None:
-    marks = read_marks([(name, value.encode())])
-    assert isinstance(marks, str) or marks.patience is None or marks.patience >= 0
+    marks = parse_request_headers([(name, value.encode())])
+    assert (
+        isinstance(marks, str)
+        or marks.caller_timeout is None
+        or marks.caller_timeout >= 0
+    )
 
 
 @settings(max_examples=60)
--- a/dewridge/tests/gateway/memorystore.py
+++ b/dewridge/tests/gateway/memorystore.py
@@ -120,7 +120,7 @@
         return self.data.items.get(key) if await self._enter() else DOWN
 
     async def list_items(
-        self, prefix: str, *, may_lag: bool = False
+        self, prefix: str, *, allow_stale: bool = False
     ) -> Listing | Failure:
         """Read all keys under a prefix."""
         if not await self._enter():
--- a/dewridge/tests/gateway/scaling_tests.py
+++ b/dewridge/tests/gateway/scaling_tests.py
@@ -9,7 +9,7 @@
 from dewridge.gateway.model import Scaling, ServerRecord
 from dewridge.gateway.scaling import NEEDED_KEY, ScalingDuty
 from dewridge.ids import BackendServerId, FailureDomain, ServerName
-from dewridge.platform.cloud import CallOutcome, Cloud, Order, Tenure
+from dewridge.platform.cloud import CallOutcome, Cloud, DutyTerm, Order
 from dewridge.tests.gateway.duties_tests import AlwaysHolder
 from dewridge.tests.gateway.memorystore import MemoryStore
 from dewridge.tests.gateway.world import ENGINE, make_configuration, make_state
@@ -26,7 +26,7 @@
         self.wanted: dict[tuple[FailureDomain, bool], int] = {}
         self.is_dry = False
 
-    async def order_servers(self, tenure: Tenure, order: Order) -> CallOutcome:
+    async def order_servers(self, tenure: DutyTerm, order: Order) -> CallOutcome:
         """Keep an order."""
         place = order.failure_domain, order.is_reclaimable
         grows = order.count > self.wanted.get(place, 0)
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -26,7 +26,7 @@
     RequestDigest,
     ServiceName,
 )
-from dewridge.platform.cloud import Tenure
+from dewridge.platform.cloud import DutyTerm
 from dewridge.platform.store import Item
 from dewridge.policy.pacing import LINK_SHARE, Pace
 from dewridge.policy.suspects import ENDS_BORNE, SAME_MOMENT, End, Suspect
@@ -159,7 +159,7 @@
     """The tenancy of the holder of the duties."""
 
     def __init__(self) -> None:
-        self._given = Tenure(HOLDER, 5)
+        self._given = DutyTerm(HOLDER, 5)
 
 
 async def report_one_window(
--- a/dewridge/tests/http1/reach_tests.py
+++ b/dewridge/tests/http1/reach_tests.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from dewridge.http1.reach import look
+from dewridge.http1.reach import probe_server
 from dewridge.policy.losses import Reach
 from dewridge.tests.gateway.world import reset
 
@@ -23,7 +23,7 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(accept_one_and_end)
-        reach = await look(address)
+        reach = await probe_server(address)
     assert reach is Reach.REFUSED
 
 
@@ -36,7 +36,7 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(trio.serve_listeners, reset_all, listeners)
-        reach = await look(address)
+        reach = await probe_server(address)
         nursery.cancel_scope.cancel()
     assert reach is Reach.ACCEPTED
 
@@ -45,7 +45,7 @@
     listeners, address = await open_port()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(trio.serve_listeners, _wait, listeners)
-        reach = await look(address)
+        reach = await probe_server(address)
         nursery.cancel_scope.cancel()
     assert reach is Reach.ACCEPTED
 
--- a/dewridge/tests/platform/store_tests.py
+++ b/dewridge/tests/platform/store_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from dewridge.codes import ResultCode
-from dewridge.http1.calls import Caller
+from dewridge.http1.calls import ServiceClient
 from dewridge.platform.configuration import decode_configuration
 from dewridge.platform.servers import decode_server
 from dewridge.platform.store import Item, Lease, Listing, Store, Write
@@ -42,7 +42,7 @@
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(trio.serve_listeners, handle, listeners)
         port = listeners[0].socket.getsockname()[1]
-        yield Store(Caller("store", f"127.0.0.1:{port}", 0.3))
+        yield Store(ServiceClient("store", f"127.0.0.1:{port}", 0.3))
         nursery.cancel_scope.cancel()
 
 
@@ -122,7 +122,7 @@
 
 
 async def test_a_write_that_never_left_is_not_unknown() -> None:
-    store = Store(Caller("store", "127.0.0.1:1", 0.3))
+    store = Store(ServiceClient("store", "127.0.0.1:1", 0.3))
     result = await store.change(writes=(Write("k", b"v"),))
     assert isinstance(result, Failure)
     assert result.code is ResultCode.KEY_VALUE_DOWN
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -508,7 +508,7 @@
             metrics=node.metrics,
             clock=read_clock,
             seed=1,
-            look=self.look,
+            probe_server=self.look,
         )
         self.nursery.start_soon(self._run, node)
         self.tell(member)
