--- a/dewridge/http1/calls.py
+++ b/dewridge/http1/calls.py
@@ -1,4 +1,4 @@
-"""Short calls to one service over a few kept connections."""
+"""A client for short calls to one HTTP service, with a small pool of connections."""
 
 from collections import deque
 from collections.abc import Callable
@@ -16,27 +16,28 @@
     open_connection,
 )
 
-IDLE_LIMIT = 4.0
-"""Seconds that a connection is kept idle: shorter than servers commonly keep one."""
-IDLE_CONNECTIONS = 3
-"""Idle connections kept: two polls and the renewal of a lease run side by side."""
-CONNECT_SHARE = 0.5
-"""Share of a call's time for connecting, so that a second address of the service's
-machine or a second try still fits."""
+MAX_IDLE_SECONDS = 4.0
+"""Seconds for which an idle connection is reused: servers commonly keep theirs open
+for longer."""
+MAX_IDLE_CONNECTIONS = 3
+"""Idle connections retained: two polls and a lease renewal run concurrently."""
+CONNECT_TIMEOUT_SHARE = 0.5
+"""Share of the call timeout allowed for connecting. The rest leaves time for a second
+address of the service or a second attempt."""
 
 
-class Trouble(Enum):
-    """Why a call has no answer."""
+class CallFailure(Enum):
+    """Why a call has no response."""
 
     NOT_SENT = "not sent"
-    """It provably never left."""
+    """The request was certainly not sent."""
     LOST = "lost"
-    """It may have been carried out."""
+    """The request may have been carried out."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """An answer of any status."""
+class Response:
+    """A complete response of any status."""
 
     status: int
     body: bytes
@@ -55,19 +56,19 @@
         name: str,
         address: str,
         timeout: float,
-        on_answer: Callable[[str, float], None] | None = None,
+        on_response: Callable[[str, float], None] | None = None,
     ) -> None:
-        """Prepare calls.
+        """Create a client; it connects with the first call.
 
         Args:
             name: of the service, for logs and metrics.
             address: `a.b.c.d:port`.
-            timeout: seconds for one call, without the service's own waiting.
-            on_answer: told the service's name and the seconds of each answered call
-                that the service did not hold itself.
+            timeout: seconds for one call, on top of its long-poll time.
+            on_response: called with the service's name and the duration in seconds of
+                each answered call that is not a long poll.
         """
         self.name = name
-        self._on_answer = on_answer
+        self._on_response = on_response
         self._address = address
         self._timeout = timeout
         self._idle: deque[ClientConnection] = deque()
@@ -83,63 +84,73 @@
         body: bytes = b"",
         headers: Headers | None = None,
         wait: float = 0.0,
-    ) -> Answer | Trouble:
-        """Make one call; `wait` is how long the service itself may hold it."""
+    ) -> Response | CallFailure:
+        """Make one call.
+
+        Args:
+            method: HTTP method.
+            path: path and query.
+            body: JSON body; empty for none.
+            headers: additional headers.
+            wait: seconds for which the service may delay its response (long poll).
+        """
         self.calls += 1
-        result: Answer | Trouble = Trouble.LOST
+        result: Response | CallFailure = CallFailure.LOST
         progress = _Progress()
-        began = trio.current_time()
+        started_at = trio.current_time()
         with trio.move_on_after(self._timeout + wait):
-            result = await self._try(method, path, body, headers or [], progress)
-        if result is Trouble.LOST and not progress.is_sent:
-            result = Trouble.NOT_SENT
-        self._note(result)
-        if isinstance(result, Answer) and self._on_answer is not None and not wait:
-            self._on_answer(self.name, trio.current_time() - began)
+            result = await self._exchange(method, path, body, headers or [], progress)
+        if result is CallFailure.LOST and not progress.is_sent:
+            result = CallFailure.NOT_SENT
+        self._record_result(result)
+        if isinstance(result, Response) and self._on_response is not None and not wait:
+            self._on_response(self.name, trio.current_time() - started_at)
         return result
 
-    async def _try(
+    async def _exchange(
         self,
         method: str,
         path: str,
         body: bytes,
         headers: Headers,
         progress: "_Progress",
-    ) -> Answer | Trouble:
-        connection = self._take_idle()
+    ) -> Response | CallFailure:
+        connection = self._acquire_idle()
         if connection is None:
-            opened = await open_connection(self._address, self._timeout * CONNECT_SHARE)
+            opened = await open_connection(
+                self._address, self._timeout * CONNECT_TIMEOUT_SHARE
+            )
             if isinstance(opened, ConnectFailure):
-                return Trouble.NOT_SENT
+                return CallFailure.NOT_SENT
             connection = opened
         is_reusable = False
         try:
             progress.is_sent = True
             await connection.send(
-                method.encode(), path.encode(), self._complete(headers, body), body
+                method.encode(), path.encode(), self._add_headers(headers, body), body
             )
-            answer = await _receive(connection)
+            response = await _receive(connection)
             is_reusable = connection.finish_exchange(trio.current_time())
-            return answer
+            return response
         except ConnectionBrokenError:
-            return Trouble.LOST
+            return CallFailure.LOST
         finally:
-            if is_reusable and len(self._idle) < IDLE_CONNECTIONS:
+            if is_reusable and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(connection)
             else:
                 connection.close()
 
-    def _complete(self, headers: Headers, body: bytes) -> Headers:
+    def _add_headers(self, headers: Headers, body: bytes) -> Headers:
         complete = [(b"host", self._address.encode()), *headers]
         if body:
             complete.append((b"content-type", b"application/json"))
             complete.append((b"content-length", str(len(body)).encode()))
         return complete
 
-    def _take_idle(self) -> ClientConnection | None:
+    def _acquire_idle(self) -> ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            limit = IDLE_LIMIT
+            limit = MAX_IDLE_SECONDS
             if connection.keep_alive_timeout is not None:
                 limit = min(limit, connection.keep_alive_timeout * 0.5)
             age = trio.current_time() - connection.idle_since
@@ -148,18 +159,18 @@
             connection.close()
         return None
 
-    def _note(self, result: Answer | Trouble) -> None:
-        is_up = isinstance(result, Answer) and result.status < 500
+    def _record_result(self, result: Response | CallFailure) -> None:
+        is_up = isinstance(result, Response) and result.status < 500
         if not is_up:
             self.failures += 1
-            self.drop_idle()
+            self.close_idle()
         if is_up != self.is_up:
             self.is_up = is_up
-            reason = result.value if isinstance(result, Trouble) else "status"
+            reason = result.value if isinstance(result, CallFailure) else "status"
             log.bind(dependency=self.name, up=is_up, reason=reason).info("dependency")
 
-    def drop_idle(self) -> None:
-        """Close the kept connections: they may share what broke the last one."""
+    def close_idle(self) -> None:
+        """Close the idle connections: what broke the last one may affect them too."""
         while self._idle:
             self._idle.pop().close()
 
@@ -169,9 +180,9 @@
     is_sent: bool = False
 
 
-async def _receive(connection: ClientConnection) -> Answer:
+async def _receive(connection: ClientConnection) -> Response:
     head = await connection.receive_head()
-    pieces = []
-    while (piece := await connection.receive_body()) is not None:
-        pieces.append(piece)
-    return Answer(head.status, b"".join(pieces), head.headers)
+    chunks = []
+    while (chunk := await connection.receive_body()) is not None:
+        chunks.append(chunk)
+    return Response(head.status, b"".join(chunks), head.headers)
--- a/dewridge/http1/client.py
+++ b/dewridge/http1/client.py
@@ -1,4 +1,4 @@
-"""One connection to a server, for one exchange after the other."""
+"""A client connection that carries one HTTP exchange after another."""
 
 import errno
 import socket
@@ -13,26 +13,26 @@
 Headers = list[tuple[bytes, bytes]]
 
 RECEIVE_BYTES = 16_384
-"""Bytes of one read: several events of a stream, or a whole plain answer."""
+"""Bytes of one read: several events of a stream, or a complete short response."""
 
-HEAD_LIMIT = 65_536
-"""Bytes of an answer's head; a server that sends more is out of order."""
+MAX_HEAD_BYTES = 65_536
+"""Bytes of a response's head; a larger one is treated as malformed."""
 
-UNANSWERED_SEND_MS = 2_000
-"""Milliseconds until the kernel gives up on bytes that are not acknowledged. On a
-path that went silent without a reset a write seems to succeed, and the connection
-would be kept for the kernel's quarter of an hour."""
+SEND_ACK_TIMEOUT_MS = 2_000
+"""Milliseconds until the kernel closes a connection with unacknowledged data. On a
+path that stopped responding without a reset, a write seems to succeed, and the
+connection would stay open for the kernel's default of a quarter of an hour."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of an answer; header names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: Headers
 
     def find_header(self, name: bytes) -> bytes | None:
-        """Return the first value of a header; None if it is not there."""
+        """Return the first value of a header; None if absent."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -40,10 +40,10 @@
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended, or what came on it is no answer.
+    """The connection ended, or the data received is not a valid response.
 
     Attributes:
-        is_framing_fault: whether bytes came that HTTP does not allow here.
+        is_framing_fault: whether data was received that HTTP does not allow here.
     """
 
     def __init__(self, reason: str, *, is_framing_fault: bool = False) -> None:
@@ -52,12 +52,14 @@
 
 
 class ClientConnection:
-    """A connection that its owner uses for one exchange at a time."""
+    """A connection for one exchange at a time; its owner decides when to reuse it."""
 
     def __init__(self, stream: trio.SocketStream, name: str) -> None:
         self._stream = stream
         self._name = name
-        self._state = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT)
+        self._state = h11.Connection(
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
+        )
         self.exchange_count = 0
         self.idle_since = 0.0
         self.keep_alive_timeout: float | None = None
@@ -70,7 +72,8 @@
         """Send a request.
 
         Raises:
-            ConnectionBrokenError: the connection ended first; part may have arrived.
+            ConnectionBrokenError: the connection ended before all was sent; part of
+                the request may have arrived.
         """
         self.exchange_count += 1
         self._is_body_sent = False
@@ -86,31 +89,33 @@
         self._is_body_sent = True
 
     async def receive_head(self) -> ResponseHead:
-        """Wait for an answer's head.
+        """Wait for the head of a response.
 
         Raises:
-            ConnectionBrokenError: none came.
+            ConnectionBrokenError: no valid head was received.
         """
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
-                return self._read_head(event)
+                return self._process_head(event)
             if not isinstance(event, h11.InformationalResponse):
                 raise ConnectionBrokenError("ended before an answer")
 
-    def _read_head(self, event: h11.Response) -> ResponseHead:
+    def _process_head(self, event: h11.Response) -> ResponseHead:
         head = ResponseHead(event.status_code, list(event.headers))
-        self.keep_alive_timeout = read_keep_alive(head.find_header(b"keep-alive"))
+        self.keep_alive_timeout = parse_keep_alive_timeout(
+            head.find_header(b"keep-alive")
+        )
         length = head.find_header(b"content-length")
         coding = head.find_header(b"transfer-encoding")
         self.is_close_delimited = length is None and coding is None
         return head
 
     async def receive_body(self) -> bytes | None:
-        """Wait for the next piece of the body; None after its end.
+        """Return the next chunk of the body; None after its end.
 
         Raises:
-            ConnectionBrokenError: the body was cut off.
+            ConnectionBrokenError: the body was interrupted.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
@@ -138,9 +143,11 @@
                 raise ConnectionBrokenError("bytes after the end") from error
 
     def finish_exchange(self, now: float) -> bool:
-        """Make ready for another exchange; False if this can't carry one."""
-        is_done = self._state.their_state is h11.DONE
-        if not (is_done and self._is_body_sent and self._state.our_state is h11.DONE):
+        """Prepare for the next exchange; False if the connection can't be reused."""
+        is_received = self._state.their_state is h11.DONE
+        if not (
+            is_received and self._is_body_sent and self._state.our_state is h11.DONE
+        ):
             return False
         if self._state.trailing_data != (b"", False):
             return False
@@ -149,42 +156,42 @@
         return True
 
     def is_open_and_idle(self) -> bool:
-        """Whether the connection is open with nothing to read.
+        """Whether the connection is open and has no unread input.
 
-        A server that closed it, or that sent bytes nobody asked for, shows here.
-        A request sent nonetheless would be lost, or answered with those bytes.
+        Input means that the server closed the connection or sent unsolicited data. A
+        request sent anyway would be lost, or answered with that data.
         """
         connection = self._stream.socket
         return connection.fileno() >= 0 and not has_input(connection)
 
     def close(self) -> None:
-        """Close at once; what was not sent is dropped."""
+        """Close at once; unsent data is discarded."""
         self._stream.socket.close()
 
 
-def read_keep_alive(value: bytes | None) -> float | None:
-    """Return the seconds that a `Keep-Alive` header promises; None without."""
+def parse_keep_alive_timeout(value: bytes | None) -> float | None:
+    """Return the timeout of a `Keep-Alive` header in seconds; None without one."""
     if value is None:
         return None
-    for part in value.split(b","):
-        name, _, number = part.strip().partition(b"=")
+    for parameter in value.split(b","):
+        name, _, number = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
             return float(number)
     return None
 
 
 class ConnectFailure(Enum):
-    """Why there is no connection."""
+    """Why a connection could not be opened."""
 
     REFUSED = "refused"
-    """The host answers that nothing listens there."""
+    """The host responds that nothing listens on the port."""
     RESET = "reset"
-    """It was open for a moment: the server has too many, or just closes its port."""
+    """The server reset it: it has too many connections, or is closing its port."""
     SILENT = "silent"
-    """No answer in time, or no way to the host."""
+    """No response in time, or no route to the host."""
 
 
-NOT_CONNECTED = {
+CONNECT_FAILURES = {
     errno.ECONNREFUSED: ConnectFailure.REFUSED,
     errno.ECONNRESET: ConnectFailure.RESET,
 }
@@ -193,19 +200,19 @@
 async def open_connection(
     address: str, timeout: float
 ) -> ClientConnection | ConnectFailure:
-    """Connect to `a.b.c.d:port` within so many seconds."""
+    """Connect to `a.b.c.d:port`; fail after `timeout` seconds."""
     host, _, port = address.rpartition(":")
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     with trio.move_on_after(timeout):
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNANSWERED_SEND_MS
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SEND_ACK_TIMEOUT_MS
             )
             await sock.connect((host, int(port)))
         except OSError as error:
             sock.close()
-            return NOT_CONNECTED.get(error.errno or 0, ConnectFailure.SILENT)
+            return CONNECT_FAILURES.get(error.errno or 0, ConnectFailure.SILENT)
         return ClientConnection(trio.SocketStream(sock), address)
     sock.close()
     return ConnectFailure.SILENT
--- a/dewridge/http1/headers.py
+++ b/dewridge/http1/headers.py
@@ -1,8 +1,8 @@
-"""Headers that concern one connection only, and bodies' framing."""
+"""Hop-by-hop headers and the framing of request bodies."""
 
 Headers = list[tuple[bytes, bytes]]
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -19,19 +19,19 @@
 
 
 def remove_hop_by_hop_headers(headers: Headers) -> Headers:
-    """Return the headers without those that concern one connection only."""
-    dropped = set(HOP_HEADERS)
+    """Return the headers without those that apply to a single connection only."""
+    removed = set(HOP_BY_HOP_HEADERS)
     for name, value in headers:
         if name == b"connection":
-            dropped |= {part.strip().lower() for part in value.split(b",")}
-    return [(name, value) for name, value in headers if name not in dropped]
+            removed |= {part.strip().lower() for part in value.split(b",")}
+    return [(name, value) for name, value in headers if name not in removed]
 
 
 def find_framing_fault(headers: Headers) -> str | None:
-    """Return what makes the end of a request's body ambiguous, if anything.
+    """Return why the end of a request's body is ambiguous; None if it is not.
 
-    Two readers that take different ends would disagree on where the next request
-    begins, and the rest of a body would run as a request of its own.
+    Two processes that assume different ends disagree on where the next request begins,
+    so that part of a body would be run as a request (request smuggling).
     """
     names = [name for name, _ in headers]
     if b"content-length" in names and b"transfer-encoding" in names:
--- a/dewridge/http1/reach.py
+++ b/dewridge/http1/reach.py
@@ -1,26 +1,26 @@
-"""Whether a server accepts connections, seen by trying some."""
+"""Tests whether a server accepts connections by opening some."""
 
 import trio
 
 from dewridge.http1.client import ConnectFailure, open_connection
 from dewridge.policy.losses import Reach
 
-LOOK_TIMEOUT = 0.1
-"""Seconds for a connection to open; the request that was lost waits meanwhile."""
+PROBE_TIMEOUT = 0.1
+"""Seconds for a connection to open; the interrupted request waits in the meantime."""
 SETTLE_TIME = 0.01
 """Seconds for which an accepted connection must stay open."""
-MOST_LOOKS = 3
+MAX_PROBES = 3
 
 
 async def probe_server(address: str) -> Reach:
-    """Return what becomes of new connections to `a.b.c.d:port`; they are closed again.
+    """Return what happens to new connections to `a.b.c.d:port`; closes them again.
 
-    A process that ends closes its port some moments after its connections: one that is
-    opened meanwhile is reset, as it is by a server that has too many. The next one
-    tells them apart.
+    A process that exits closes its listening port slightly later than its connections.
+    A connection opened in between is reset, just as it is by a server that has too many
+    connections. Another attempt distinguishes the two cases.
     """
-    for _ in range(MOST_LOOKS):
-        connection = await open_connection(address, LOOK_TIMEOUT)
+    for _ in range(MAX_PROBES):
+        connection = await open_connection(address, PROBE_TIMEOUT)
         if connection is ConnectFailure.REFUSED:
             return Reach.REFUSED
         if connection is ConnectFailure.SILENT:
--- a/dewridge/http1/sockets.py
+++ b/dewridge/http1/sockets.py
@@ -1,4 +1,4 @@
-"""What can be told of a connection without reading from it."""
+"""Queries of a socket's state that consume none of its input."""
 
 import socket
 
@@ -6,21 +6,22 @@
 
 
 def has_input(connection: trio.socket.SocketType) -> bool:
-    """Whether input, or the connection's end, waits in the kernel unread.
+    """Whether the kernel holds unread input, or the end of the connection.
 
-    Nothing runs meanwhile, so that a connection found without any can be closed, or
-    a request sent on it, before something comes. A closed connection has none.
+    The check is not a checkpoint: no other task runs during it, so that the caller can
+    close a connection found without input, or send a request on it, before any input
+    is processed. A closed connection has none.
     """
     if connection.fileno() < 0:
         return False
     # trio's own `recv` would wait; the file descriptor is non-blocking.
-    copy = socket.socket(fileno=connection.fileno())
+    duplicate = socket.socket(fileno=connection.fileno())
     try:
-        copy.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
     except OSError:
         return True
     finally:
-        copy.detach()
+        duplicate.detach()
     return True
--- a/dewridge/platform/__init__.py
+++ b/dewridge/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and nothing that decides."""
+"""Adapter to the operator's platform: its names, formats and calls, no policy."""
--- a/dewridge/platform/cloud.py
+++ b/dewridge/platform/cloud.py
@@ -1,11 +1,11 @@
-"""Calls of the cloud API that one holder at a time may make."""
+"""Calls of the cloud API, which only the current duty holder may make."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 import msgspec
 
-from dewridge.http1.calls import Answer, ServiceClient
+from dewridge.http1.calls import Response, ServiceClient
 from dewridge.ids import ClientAccount, FailureDomain, HostId, ServiceName
 from dewridge.platform import names
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyTerm:
-    """One holder's time with the duties.
+    """The term of one duty holder.
 
     Attributes:
         host: the holder.
-        fencing_token: grows with each holder, so that a late call of an earlier
-            one can be told by its lower number.
+        fencing_token: increases with each term, so that a late call of an earlier
+            holder is recognised by its lower token.
     """
 
     host: HostId
@@ -27,18 +27,18 @@
 
 
 class CallOutcome(Enum):
-    """What became of a call."""
+    """The outcome of a call."""
 
     ACCEPTED = "accepted"
     NONE_AVAILABLE = "none available"
-    """No such server is to be had in that failure domain now."""
+    """No such server is available in that failure domain at present."""
     FAILED = "failed"
-    """Refused or unanswered; it may have been carried out."""
+    """Rejected or unanswered; it may have been carried out."""
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Servers wanted of one service, failure domain and kind."""
+    """The number of servers wanted of one service, failure domain and kind."""
 
     service: ServiceName
     failure_domain: FailureDomain
@@ -47,20 +47,20 @@
 
 
 class Cloud:
-    """Makes the calls."""
+    """Client of the cloud API."""
 
-    def __init__(self, caller: ServiceClient) -> None:
-        self._caller = caller
+    def __init__(self, client: ServiceClient) -> None:
+        self._client = client
 
     async def report_usage(
-        self, tenure: DutyTerm, window: int, counts: dict[ClientAccount, int]
+        self, term: DutyTerm, window: int, counts: dict[ClientAccount, int]
     ) -> CallOutcome:
-        """Report how many requests of each account began in a window."""
+        """Report how many requests of each account began in a usage window."""
         body = msgspec.json.encode({"window_id": window, "counts": counts})
-        return await self._call(tenure, "/usage", body)
+        return await self._call(term, "/usage", body)
 
-    async def order_servers(self, tenure: DutyTerm, order: Order) -> CallOutcome:
-        """Order a number of servers."""
+    async def order_servers(self, term: DutyTerm, order: Order) -> CallOutcome:
+        """Set the number of servers wanted."""
         fields: dict[str, str | int | bool] = {
             "service": order.service,
             "zone": order.failure_domain,
@@ -68,16 +68,16 @@
         }
         if order.is_reclaimable:
             fields["spot"] = True
-        return await self._call(tenure, "/scale", msgspec.json.encode(fields))
+        return await self._call(term, "/scale", msgspec.json.encode(fields))
 
-    async def _call(self, tenure: DutyTerm, path: str, body: bytes) -> CallOutcome:
+    async def _call(self, term: DutyTerm, path: str, body: bytes) -> CallOutcome:
         headers = [
-            (names.HOLDER.encode(), tenure.host.encode()),
-            (names.FENCE.encode(), str(tenure.fencing_token).encode()),
+            (names.DUTY_HOLDER.encode(), term.host.encode()),
+            (names.FENCING_TOKEN.encode(), str(term.fencing_token).encode()),
         ]
-        answer = await self._caller.call("POST", path, body=body, headers=headers)
-        if not isinstance(answer, Answer):
+        response = await self._client.call("POST", path, body=body, headers=headers)
+        if not isinstance(response, Response):
             return CallOutcome.FAILED
-        if answer.status == STATUS_UNAVAILABLE:
+        if response.status == STATUS_UNAVAILABLE:
             return CallOutcome.NONE_AVAILABLE
-        return CallOutcome.ACCEPTED if answer.status == 200 else CallOutcome.FAILED
+        return CallOutcome.ACCEPTED if response.status == 200 else CallOutcome.FAILED
--- a/dewridge/platform/configuration.py
+++ b/dewridge/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as it lies in the store."""
+"""Decoding of the operator's configuration document from the store."""
 
 from collections import defaultdict
 
@@ -21,7 +21,7 @@
 from dewridge.ids import ClientAccount, FailureDomain, ServiceName
 from dewridge.sentinels import Failure
 
-KINDS = {
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -29,7 +29,7 @@
 TOKENS_UNIT = "tokens"
 
 
-class _Split(msgspec.Struct, frozen=True):
+class _TrafficShare(msgspec.Struct, frozen=True):
     service: str
     weight: float = 1.0
 
@@ -45,7 +45,7 @@
     max_attempts: int = 1
     priority: int = 0
     service: str = ""
-    traffic_split: list[_Split] = []
+    traffic_split: list[_TrafficShare] = []
     anonymous: bool = False
     session_affinity: bool = False
     stream_resume: bool = False
@@ -99,10 +99,10 @@
 
 
 def decode_configuration(value: bytes) -> Configuration | Failure:
-    """Decode the operator's document."""
+    """Decode and convert the document; a `Failure` if it is malformed."""
     try:
         document = msgspec.json.decode(value, type=_Document)
-        routes = tuple(_read_route(route) for route in document.routes)
+        routes = tuple(_make_route(route) for route in document.routes)
     except (msgspec.DecodeError, KeyError) as error:
         return Failure(ResultCode.PLATFORM_MALFORMED, f"configuration: {error}")
     limits = document.limits
@@ -110,10 +110,10 @@
         version=document.version,
         routes=routes,
         services={
-            ServiceName(service.name): _read_service(service)
+            ServiceName(service.name): _make_service(service)
             for service in document.services
         },
-        accounts=_read_accounts(document.tenants or []),
+        accounts=_make_accounts(document.tenants or []),
         limits=Limits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -121,11 +121,11 @@
             limits.idle_timeout_ms / 1000,
         ),
         has_accounts=document.tenants is not None,
-        by_hostname=_order_routes(routes),
+        by_hostname=_group_routes(routes),
     )
 
 
-def _read_route(route: _Route) -> Route:
+def _make_route(route: _Route) -> Route:
     if route.traffic_split:
         shares = tuple(
             Share(ServiceName(part.service), part.weight)
@@ -137,7 +137,7 @@
         name=RouteName(route.name),
         hostname=route.hostname.lower(),
         path_prefix=route.path_prefix,
-        kind=KINDS[route.route_type],
+        kind=ROUTE_KINDS[route.route_type],
         timeout=route.timeout_ms / 1000,
         target=route.target_latency_ms / 1000,
         gap_target=route.gap_target_ms / 1000,
@@ -150,7 +150,7 @@
     )
 
 
-def _read_service(service: _Service) -> Service:
+def _make_service(service: _Service) -> Service:
     engine = scaling = None
     if service.engine is not None:
         engine = Engine(
@@ -160,22 +160,24 @@
             service.engine.moves,
         )
     if service.scaling is not None:
-        scaling = _read_scaling(service.scaling)
+        scaling = _make_scaling(service.scaling)
     name = ServiceName(service.name)
     return Service(name, service.max_connections, engine, scaling)
 
 
-def _read_scaling(scaling: _Scaling) -> Scaling:
+def _make_scaling(scaling: _Scaling) -> Scaling:
     return Scaling(
         least=scaling.min,
         most=scaling.max,
         boot_time=scaling.boot_time_s,
         reclaimable_price=scaling.spot_price,
-        prices={FailureDomain(z): price for z, price in scaling.zone_prices.items()},
+        prices={
+            FailureDomain(zone): price for zone, price in scaling.zone_prices.items()
+        },
     )
 
 
-def _read_accounts(tenants: list[_Tenant]) -> dict[AccountKey, Account]:
+def _make_accounts(tenants: list[_Tenant]) -> dict[AccountKey, Account]:
     accounts = {}
     for tenant in tenants:
         account = Account(
@@ -191,7 +193,7 @@
     return accounts
 
 
-def _order_routes(routes: tuple[Route, ...]) -> dict[str, tuple[Route, ...]]:
+def _group_routes(routes: tuple[Route, ...]) -> dict[str, tuple[Route, ...]]:
     grouped: dict[str, list[Route]] = defaultdict(list)
     for route in routes:
         grouped[route.hostname].append(route)
--- a/dewridge/platform/directory.py
+++ b/dewridge/platform/directory.py
@@ -1,4 +1,4 @@
-"""The calls by which callers find addresses and the platform asks for readiness."""
+"""Paths and bodies of address lookup by callers and of the readiness check."""
 
 import msgspec
 
@@ -7,9 +7,9 @@
 READY_PATH = names.READY_PATH
 RESOLVE_PATH = names.RESOLVE_PATH
 MAX_ADDRESSES = 64
-"""Addresses that callers take from one answer."""
+"""Addresses of one response that callers use."""
 
 
 def encode_addresses(addresses: list[str], ttl: float) -> bytes:
-    """Return the body that tells callers which addresses to use for `ttl` seconds."""
+    """Return the response body with the addresses to use for `ttl` seconds."""
     return msgspec.json.encode({"addresses": addresses, "ttl_s": ttl})
--- a/dewridge/platform/engines.py
+++ b/dewridge/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls of model engines beside requests: moving the memory of a running stream."""
+"""Control calls to model engines: moving the KV cache of a running stream."""
 
 from dataclasses import dataclass
 
@@ -6,27 +6,28 @@
 
 from dewridge.codes import ResultCode
 from dewridge.gateway.model import AttemptKey
-from dewridge.http1.calls import Answer, ServiceClient
+from dewridge.http1.calls import Response, ServiceClient
 from dewridge.sentinels import Failure
 
 MOVE_TIMEOUT = 0.6
-"""Seconds for a move: longer than its server still lives makes no sense."""
+"""Seconds for a move: a leaving server is removed before a longer one completes."""
 STATUS_MOVED = 200
-STATUS_NO_ROOM = 503
+STATUS_TARGET_FULL = 503
 
 
-class _Moved(msgspec.Struct, frozen=True):
+class _MoveReply(msgspec.Struct, frozen=True):
     handle: str | int = ""
 
 
 @dataclass(frozen=True, slots=True)
 class CacheCopy:
-    """The memory of a stopped run; good for one request.
+    """The KV cache of a stopped run, which a single request may continue from.
 
     Attributes:
         source: `a.b.c.d:port` of the engine that ran it.
-        handle: the engine's name for it.
-        is_at_target: whether the target has it; else the source keeps it.
+        handle: identifier of the cache at that engine.
+        is_at_target: whether the target holds the copy; if not, the source retains
+            the cache.
     """
 
     source: str
@@ -35,26 +36,28 @@
 
 
 async def stop_and_move(
-    source: str, request: AttemptKey, target: str
+    source: str, attempt: AttemptKey, target: str
 ) -> CacheCopy | Failure:
-    """Stop a run and copy its memory to another engine.
+    """Stop a run and copy its KV cache to another engine.
 
     Args:
         source: `a.b.c.d:port` of the engine that runs it.
-        request: the caller's name for the sending that runs.
-        target: `a.b.c.d:port` of the engine that is to go on.
+        attempt: the caller's id of the attempt that is running.
+        target: `a.b.c.d:port` of the engine that is to continue the run.
     """
-    body = msgspec.json.encode({"id": request, "target": target, "last": True})
-    caller = ServiceClient(f"engine {source}", source, MOVE_TIMEOUT)
-    answer = await caller.call("POST", "/-/kv-move", body=body)
-    caller.drop_idle()
-    if not isinstance(answer, Answer):
-        return Failure(ResultCode.MOVE_FAILED, answer.value)
+    body = msgspec.json.encode({"id": attempt, "target": target, "last": True})
+    client = ServiceClient(f"engine {source}", source, MOVE_TIMEOUT)
+    response = await client.call("POST", "/-/kv-move", body=body)
+    client.close_idle()
+    if not isinstance(response, Response):
+        return Failure(ResultCode.MOVE_FAILED, response.value)
     try:
-        moved = msgspec.json.decode(answer.body or b"{}", type=_Moved)
+        moved = msgspec.json.decode(response.body or b"{}", type=_MoveReply)
     except msgspec.DecodeError as error:
         return Failure(ResultCode.MOVE_FAILED, f"malformed answer: {error}")
-    is_stopped = answer.status in {STATUS_MOVED, STATUS_NO_ROOM} and moved.handle != ""
+    is_stopped = (
+        response.status in {STATUS_MOVED, STATUS_TARGET_FULL} and moved.handle != ""
+    )
     if not is_stopped:
-        return Failure(ResultCode.MOVE_FAILED, f"status {answer.status}")
-    return CacheCopy(source, str(moved.handle), answer.status == STATUS_MOVED)
+        return Failure(ResultCode.MOVE_FAILED, f"status {response.status}")
+    return CacheCopy(source, str(moved.handle), response.status == STATUS_MOVED)
--- a/dewridge/platform/headers.py
+++ b/dewridge/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers: read from callers, written to backend servers."""
+"""The platform's headers: parsed from callers, set for backend servers."""
 
 from dataclasses import dataclass
 
@@ -10,21 +10,21 @@
 from dewridge.platform.engines import CacheCopy
 
 STATUS_MISDIRECTED = 421
-SINGLE = (names.REQUEST_ID, names.ACCOUNT_KEY, names.DEADLINE, b"host")
-"""Headers that a request may carry once. Two processes that pick different ones of
-two values would disagree on whose request it is."""
+SINGLE_VALUE_HEADERS = (names.REQUEST_ID, names.ACCOUNT_KEY, names.DEADLINE, b"host")
+"""Headers that a request may carry only once. Given two values, two processes could
+use different ones and disagree on whose request it is."""
 
 
 @dataclass(frozen=True, slots=True)
-class RequestMarks:
-    """What the headers of a caller's request say.
+class RequestHeaders:
+    """The platform's headers of a caller's request.
 
     Attributes:
-        id: the caller's name for this sending; empty if missing.
-        key: the account's key; empty without one.
-        caller_timeout: seconds that the caller waits; None if not said.
-        sizes: size of the work.
-        last_event_id: event after which to resume.
+        id: the caller's id of this attempt; empty if missing.
+        key: API key of the account; empty without one.
+        caller_timeout: seconds for which the caller waits; None if not given.
+        sizes: size of the prompt and of the output.
+        last_event_id: event after which to resume; None for a new stream.
     """
 
     id: str
@@ -34,30 +34,30 @@
     last_event_id: int | None
 
 
-def parse_request_headers(headers: Headers) -> RequestMarks | str:
-    """Read a caller's headers; a text says what is wrong with them."""
-    found: dict[bytes, bytes] = {}
+def parse_request_headers(headers: Headers) -> RequestHeaders | str:
+    """Parse a caller's headers; returns a description of the fault if invalid."""
+    values: dict[bytes, bytes] = {}
     for name, value in headers:
-        if name in SINGLE and name in found:
+        if name in SINGLE_VALUE_HEADERS and name in values:
             return f"header {name.decode()} is there twice"
-        found[name] = value
-    patience = _read_number(found.get(names.DEADLINE))
-    if names.DEADLINE in found and (patience is None or patience < 0):
+        values[name] = value
+    timeout_ms = _parse_number(values.get(names.DEADLINE))
+    if names.DEADLINE in values and (timeout_ms is None or timeout_ms < 0):
         return "the deadline is not a number of milliseconds"
-    sizes = _read_sizes(found)
+    sizes = _parse_sizes(values)
     if isinstance(sizes, str):
         return sizes
-    last_event = _read_number(found.get(names.LAST_EVENT))
-    return RequestMarks(
-        id=found.get(names.REQUEST_ID, b"").decode("latin-1"),
-        key=found.get(names.ACCOUNT_KEY, b"").decode("latin-1"),
-        caller_timeout=None if patience is None else patience / 1000,
+    last_event_id = _parse_number(values.get(names.LAST_EVENT))
+    return RequestHeaders(
+        id=values.get(names.REQUEST_ID, b"").decode("latin-1"),
+        key=values.get(names.ACCOUNT_KEY, b"").decode("latin-1"),
+        caller_timeout=None if timeout_ms is None else timeout_ms / 1000,
         sizes=sizes,
-        last_event_id=None if last_event is None else int(last_event),
+        last_event_id=None if last_event_id is None else int(last_event_id),
     )
 
 
-def _read_number(value: bytes | None) -> float | None:
+def _parse_number(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -66,19 +66,19 @@
         return None
 
 
-def _read_sizes(found: dict[bytes, bytes]) -> Sizes | str:
+def _parse_sizes(values: dict[bytes, bytes]) -> Sizes | str:
     prompt = output = 0
-    if names.TOKENS in found:
-        first, _, second = found[names.TOKENS].partition(b",")
+    if names.TOKENS in values:
+        first, _, second = values[names.TOKENS].partition(b",")
         if not (first.strip().isdigit() and second.strip().isdigit()):
             return "the token count is not two whole numbers"
         prompt, output = int(first), int(second)
-    parts = _read_parts(found.get(names.PREFIX, b""))
-    model = found.get(names.MODEL, b"").decode("latin-1")
+    parts = _parse_parts(values.get(names.PREFIX, b""))
+    model = values.get(names.MODEL, b"").decode("latin-1")
     return Sizes(prompt, output, parts, model)
 
 
-def _read_parts(value: bytes) -> tuple[PromptPart, ...]:
+def _parse_parts(value: bytes) -> tuple[PromptPart, ...]:
     parts = []
     for entry in value.decode("latin-1").split(","):
         name, _, tokens = entry.strip().partition(":")
@@ -89,17 +89,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """What the gateway says to a backend server about one request.
+    """What the gateway adds to a request that it sends to a backend server.
 
     Attributes:
-        server: name of the server that may run it; another one refuses.
-        time_left: seconds until the server may stop.
-        account: whose request it is; None on an anonymous route.
-        priority: urgency from 0 to 9, 0 first; None for the server's own default.
-        last_event_id: event after which to go on; None for a whole answer.
-        cache_copy: memory of the stopped run to go on from; None for a new run.
-        cache_holder: `a.b.c.d:port` of an engine to copy the shared part of the
-            prompt from, as far as it keeps it; None to read it.
+        server: name of the server that may run it; any other server rejects it.
+        time_left: seconds after which the server may stop.
+        account: account of the request; None on an anonymous route.
+        priority: from 0 (most urgent) to 9; None for the server's default.
+        last_event_id: event after which to continue; None for a complete response.
+        cache_copy: KV cache of the stopped run to continue from; None for a new run.
+        cache_holder: `a.b.c.d:port` of an engine from which to copy the KV cache of
+            the prompt's shared prefix, if it still has it; None to process the prefix.
     """
 
     server: ServerName
@@ -112,16 +112,16 @@
 
 
 def make_dispatch_headers(request: CallerRequest, dispatch: Dispatch) -> Headers:
-    """Return the headers with which a request goes to a backend server."""
-    left_out = names.SET_BY_GATEWAY | {names.LAST_EVENT, b"content-length"}
+    """Return the headers of a request to a backend server."""
+    removed = names.SET_BY_GATEWAY | {names.LAST_EVENT, b"content-length"}
     headers = [
         (name, value)
         for name, value in remove_hop_by_hop_headers(list(request.headers))
-        if name not in left_out
+        if name not in removed
     ]
     headers.append((names.EXPECTED_SERVER, dispatch.server.encode()))
-    left = max(1, round(dispatch.time_left * 1000))
-    headers.append((names.DEADLINE, str(left).encode()))
+    time_left_ms = max(1, round(dispatch.time_left * 1000))
+    headers.append((names.DEADLINE, str(time_left_ms).encode()))
     if dispatch.account is not None:
         headers.append((names.ACCOUNT, dispatch.account.encode()))
     if dispatch.priority is not None:
@@ -139,23 +139,23 @@
 
 
 def read_request_id(head: ResponseHead) -> str | None:
-    """Return the request that an answer says it belongs to; None if it doesn't."""
+    """Return the id of the request that a response names; None if it names none."""
     value = head.find_header(names.REQUEST_ID)
     return None if value is None else value.decode("latin-1")
 
 
 def has_signature(head: ResponseHead) -> bool:
-    """Whether a backend server signed this answer as its own."""
+    """Whether the response carries the signature header of a backend server."""
     return head.find_header(names.SIGNATURE) is not None
 
 
 def is_not_executed(head: ResponseHead) -> bool:
-    """Whether a backend server says that it did not run the request."""
+    """Whether the response states that the server did not run the request."""
     return head.status == STATUS_MISDIRECTED or (
         head.find_header(names.NOT_EXECUTED) is not None
     )
 
 
 def is_misdirected(head: ResponseHead) -> bool:
-    """Whether another server, or another start of it, has the address now."""
+    """Whether another server, or a new process of it, now has the address."""
     return head.status == STATUS_MISDIRECTED
--- a/dewridge/platform/names.py
+++ b/dewridge/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform puts on the wire."""
+"""Header names, store keys and paths that the platform defines."""
 
 from enum import Enum
 
@@ -19,8 +19,8 @@
 CACHE_SOURCE = b"kv-fetch"
 MEMORY_BACKUP = b"x-kv-backup"
 STORE_ERA = b"store-era"
-HOLDER = "X-Duty-Holder"
-FENCE = "X-Fencing-Token"
+DUTY_HOLDER = "X-Duty-Holder"
+FENCING_TOKEN = "X-Fencing-Token"
 
 SET_BY_GATEWAY = frozenset(
     {
@@ -37,9 +37,9 @@
         CACHE_SOURCE,
     }
 )
-"""Headers that only the gateway may send to a backend server. Passed on as a
-caller sent them they would let it act as another account, reserve an engine's
-memory or read another request's."""
+"""Headers that only the gateway may send to a backend server. If they were forwarded
+from a caller, it could act as another account, reserve an engine's KV cache or read the
+cache of another request."""
 
 OPERATOR_PREFIX = "op/"
 CONFIGURATION_KEY = OPERATOR_PREFIX + "config"
@@ -54,7 +54,7 @@
 DUTY_SCALING = "autoscale"
 
 
-class Status(Enum):
+class ServerStatus(Enum):
     """States of a backend server in its record."""
 
     READY = "ready"
--- a/dewridge/platform/rollouts.py
+++ b/dewridge/platform/rollouts.py
@@ -12,12 +12,12 @@
 from dewridge.platform.store import Item, Write
 from dewridge.sentinels import Failure
 
-LONGEST_DURATION = 86_400.0
-"""Seconds; one day."""
+MAX_ROLLOUT_SECONDS = 86_400.0
+"""One day."""
 
 
 class RolloutStatus(Enum):
-    """State of an order, as reported to the operator."""
+    """State of a rollout, as reported to the operator."""
 
     IN_PROGRESS = "in_progress"
     COMPLETED = "completed"
@@ -39,18 +39,18 @@
 
 
 def decode_rollout(item: Item) -> RolloutOrder | Failure:
-    """Decode and validate an order."""
+    """Decode and validate a rollout order; a `Failure` if it is invalid."""
     try:
         order = msgspec.json.decode(item.value, type=_Order)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        return _refuse(item, str(error))
+        return _make_failure(item, str(error))
     if item.key != ROLLOUTS_PREFIX + order.service:
-        return _refuse(item, f"service {order.service!r} does not match the key")
+        return _make_failure(item, f"service {order.service!r} does not match the key")
     if not order.target:
-        return _refuse(item, "target version is empty")
+        return _make_failure(item, "target version is empty")
     duration = order.duration_s
-    if not (math.isfinite(duration) and 0 < duration <= LONGEST_DURATION):
-        return _refuse(item, f"duration_s {duration} is out of range")
+    if not (math.isfinite(duration) and 0 < duration <= MAX_ROLLOUT_SECONDS):
+        return _make_failure(item, f"duration_s {duration} is out of range")
     return RolloutOrder(
         ServiceName(order.service),
         ServerVersion(order.target),
@@ -59,13 +59,13 @@
     )
 
 
-def _refuse(item: Item, reason: str) -> Failure:
+def _make_failure(item: Item, reason: str) -> Failure:
     return Failure(ResultCode.PLATFORM_MALFORMED, f"{item.key!r}: {reason}")
 
 
 def make_status_write(
     service: ServiceName, target: ServerVersion, status: RolloutStatus
 ) -> Write:
-    """Return the write that reports the status of an order to the operator."""
+    """Return the write that reports the status of a rollout to the operator."""
     value = msgspec.json.encode(_Status(service, target, status))
     return Write(ROLLOUT_STATUS_PREFIX + service, value)
--- a/dewridge/platform/servers.py
+++ b/dewridge/platform/servers.py
@@ -1,4 +1,4 @@
-"""The records that backend servers keep in the store."""
+"""Decoding and validation of the records that backend servers write to the store."""
 
 import ipaddress
 
@@ -7,22 +7,23 @@
 from dewridge.codes import ResultCode
 from dewridge.gateway.model import ServerRecord, ServerVersion
 from dewridge.ids import FailureDomain, ServerName, ServiceName, make_server_id
-from dewridge.platform.names import SERVERS_PREFIX, Status
+from dewridge.platform.names import SERVERS_PREFIX, ServerStatus
 from dewridge.platform.store import Item
 from dewridge.sentinels import Failure
 
-MOST_SLOTS = 100_000
-"""Requests at once that a record may claim: far beyond what one server runs, and small
-enough that a senseless figure does not draw all requests to one address."""
-LONGEST_NOTICE_MS = 86_400_000.0
-"""A day: a server that leaves later is not leaving in any sense that matters here."""
-LAST_PORT = 65_535
+MAX_SLOTS = 100_000
+"""Concurrent requests that a record may claim: far more than one server runs, and few
+enough that an absurd value does not attract all requests to one address."""
+MAX_LEAVE_NOTICE_MS = 86_400_000.0
+"""One day. A departure announced further ahead is meaningless here, and its record is
+rejected."""
+MAX_PORT = 65_535
 
 
 class _Record(msgspec.Struct, frozen=True):
     service: str
     address: str
-    state: Status
+    state: ServerStatus
     slots: int
     zone: str = ""
     spot: bool = False
@@ -30,29 +31,29 @@
     cold_remaining_ms: float = 0.0
     version: str = ""
     born: int | None = None
-    """Start of the server in milliseconds since 1970, though it reads like a year."""
+    """Start time of the server in milliseconds since the Unix epoch (not a year)."""
 
 
-def read_server_name(key: str) -> ServerName:
-    """Return the name of the server that a key of the store belongs to."""
+def parse_server_name(key: str) -> ServerName:
+    """Return the name of the server whose record has this key in the store."""
     return ServerName(key.removeprefix(SERVERS_PREFIX))
 
 
 def decode_server(item: Item) -> ServerRecord | Failure:
-    """Decode a server's record; a `Failure` names no server to use.
+    """Decode and validate a server's record; a `Failure` if it is not usable.
 
-    Other programs may write there too. One record of theirs that ended the reading of
-    the list, or that later broke a request sent by it, would take all servers along:
-    whatever is used of a record is checked here.
+    Other programs may write records there too. Every field that is used is validated
+    here, since a single invalid record must neither abort the reading of the list,
+    which would make all servers unavailable, nor break requests sent later.
     """
     try:
         record = msgspec.json.decode(item.value, type=_Record)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        return _refuse(item, str(error))
-    name = read_server_name(item.key)
+        return _make_failure(item, str(error))
+    name = parse_server_name(item.key)
     fault = _find_fault(name, record)
     if fault is not None:
-        return _refuse(item, fault)
+        return _make_failure(item, fault)
     leaves_ms = record.leaves_ms
     return ServerRecord(
         id=make_server_id(name, record.born),
@@ -61,7 +62,7 @@
         address=record.address,
         failure_domain=FailureDomain(record.zone),
         slots=record.slots,
-        is_draining=record.state is Status.DRAINING,
+        is_draining=record.state is ServerStatus.DRAINING,
         is_reclaimable=record.spot,
         leaves_in=None if leaves_ms is None else max(0.0, leaves_ms / 1000),
         is_cold=record.cold_remaining_ms > 0,
@@ -70,34 +71,34 @@
     )
 
 
-def _refuse(item: Item, reason: str) -> Failure:
+def _make_failure(item: Item, reason: str) -> Failure:
     return Failure(ResultCode.PLATFORM_MALFORMED, f"{item.key!r}: {reason}")
 
 
 def _find_fault(name: ServerName, record: _Record) -> str | None:
-    # The name goes into a header: a line break or a space would end it early.
+    # The name is sent in a header: a line break or a space would truncate it.
     if not (name.isascii() and name.isprintable()) or " " in name or not name:
         return "the name can't be sent in a header"
     if not is_address(record.address):
         return "the address is not a.b.c.d:port"
-    if not 0 < record.slots <= MOST_SLOTS:
+    if not 0 < record.slots <= MAX_SLOTS:
         return f"{record.slots} slots"
     if record.born is not None and record.born <= 0:
         return f"started at {record.born}"
-    if record.leaves_ms is not None and record.leaves_ms > LONGEST_NOTICE_MS:
+    if record.leaves_ms is not None and record.leaves_ms > MAX_LEAVE_NOTICE_MS:
         return f"leaves in {record.leaves_ms} ms"
     return None
 
 
 def is_address(text: str) -> bool:
-    """Whether a text is `a.b.c.d:port` of one host."""
-    number, _, port = text.rpartition(":")
-    if not (port.isascii() and port.isdigit()) or len(port) > len(str(LAST_PORT)):
+    """Whether a text is `a.b.c.d:port` with the address of a single host."""
+    host, _, port = text.rpartition(":")
+    if not (port.isascii() and port.isdigit()) or len(port) > len(str(MAX_PORT)):
         return False
-    if not 0 < int(port) <= LAST_PORT:
+    if not 0 < int(port) <= MAX_PORT:
         return False
     try:
-        place = ipaddress.IPv4Address(number)
+        address = ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return not (place.is_unspecified or place.is_multicast)
+    return not (address.is_unspecified or address.is_multicast)
--- a/dewridge/platform/store.py
+++ b/dewridge/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store and the decoding of what it answers."""
+"""Client of the platform's key-value store."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 import msgspec
 
 from dewridge.codes import ResultCode
-from dewridge.http1.calls import Answer, ServiceClient, Trouble
+from dewridge.http1.calls import CallFailure, Response, ServiceClient
 from dewridge.platform.eras import StoreEra
 from dewridge.platform.names import STORE_ERA
 from dewridge.sentinels import Failure
 
-Shape = TypeVar("Shape")
+Body = TypeVar("Body")
 
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
@@ -22,16 +22,16 @@
 
 
 class Item(msgspec.Struct, frozen=True, rename={"created_revision": "created"}):
-    """A key with its value, or the mark of its removal in a watch.
+    """A key with its value, or the event of its removal in a watch.
 
     Attributes:
         key: the key.
-        value: its bytes; empty in the mark of a removal.
+        value: its bytes; empty in a removal event.
         revision: the store's revision at the last change of the key.
-        created_revision: the store's revision when the key was created; the wire's
-            name reads like a time.
-        lease: the lease that the key goes with; 0 for none.
-        removed: whether this tells of a removal.
+        created_revision: the store's revision when the key was created; on the wire
+            it is called `created`, although it is not a time.
+        lease: the lease with which the key expires; 0 for none.
+        removed: whether this is a removal event.
     """
 
     key: str
@@ -52,27 +52,27 @@
     revision: int = 0
 
 
-class _News(msgspec.Struct, frozen=True, rename={"revision": "current_rev"}):
+class _WatchReply(msgspec.Struct, frozen=True, rename={"revision": "current_rev"}):
     events: list[Item] = []
     revision: int = 0
 
 
-class _Changed(msgspec.Struct, frozen=True):
+class _TransactionReply(msgspec.Struct, frozen=True):
     revision: int
 
 
-class _Granted(msgspec.Struct, frozen=True):
+class _LeaseReply(msgspec.Struct, frozen=True):
     ttl_ms: int
     lease: int = 0
 
 
-class _Expectation(msgspec.Struct, frozen=True):
+class _ExpectedRevision(msgspec.Struct, frozen=True):
     key: str
     revision: int
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A key to write; `lease` 0 keeps it for good."""
+    """A key to write; with `lease` 0 it does not expire."""
 
     key: str
     value: bytes
@@ -82,17 +82,17 @@
 class _Transaction(
     msgspec.Struct, frozen=True, rename={"expected": "expected_revision"}
 ):
-    expected: list[_Expectation]
+    expected: list[_ExpectedRevision]
     writes: list[Write]
     drop: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """Items under a prefix; `revision` is where a watch goes on from.
+    """Items under a prefix, and the `revision` from which a watch continues.
 
-    With several pages it is the first page's: a watch from there tells again of
-    what changed while the others were read.
+    With several pages it is that of the first page: a watch from there also returns
+    the changes made while the other pages were read.
     """
 
     items: tuple[Item, ...]
@@ -101,50 +101,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease with the time to live that the store gave it, in seconds."""
+    """A lease with the time to live granted by the store, in seconds."""
 
     id: int
     ttl: float
 
 
 class Store:
-    """Calls the store; each method returns a `Failure` in place of raising."""
+    """Client of the store; its methods return a `Failure` instead of raising."""
 
     def __init__(
         self,
-        caller: ServiceClient,
+        client: ServiceClient,
         on_call: Callable[[str, str], None] = lambda *_: None,
         era: StoreEra | None = None,
     ) -> None:
-        """Make the client.
+        """Create a client.
 
         Args:
-            caller: makes the calls.
-            on_call: told the kind of each call and the keys that it is about.
+            client: the HTTP client of the store.
+            on_call: called before a call with its kind and the key prefix, which is
+                empty for transactions and lease renewals.
             era: the era of the store, shared by all clients of the same store.
         """
         self._on_call = on_call
-        self._caller = caller
+        self._client = client
         self.era = era or StoreEra()
 
     async def _call(
         self, method: str, path: str, *, body: bytes = b"", wait: float = 0.0
-    ) -> Answer | Trouble:
-        answer = await self._caller.call(method, path, body=body, wait=wait)
-        if isinstance(answer, Answer) and not self.era.accept(
-            answer.find_header(STORE_ERA)
+    ) -> Response | CallFailure:
+        response = await self._client.call(method, path, body=body, wait=wait)
+        if isinstance(response, Response) and not self.era.accept(
+            response.find_header(STORE_ERA)
         ):
-            return Trouble.LOST
-        return answer
+            return CallFailure.LOST
+        return response
 
     async def read(self, key: str) -> Item | Failure | None:
-        """Read a key as it is now; None if it is not there."""
+        """Return the current item of a key; None if the key does not exist."""
         path = "/-/kv-key?" + urlencode({"key": key})
         self._on_call("read", key.rpartition("/")[0])
-        answer = await self._call("GET", path)
-        if isinstance(answer, Answer) and answer.status == STATUS_NOT_FOUND:
+        response = await self._call("GET", path)
+        if isinstance(response, Response) and response.status == STATUS_NOT_FOUND:
             return None
-        return _decode(answer, Item)
+        return _decode(response, Item)
 
     async def list_items(
         self, prefix: str, *, allow_stale: bool = False
@@ -152,8 +153,9 @@
         """Read all keys under a prefix, page by page.
 
         Args:
-            prefix: what the keys begin with.
-            allow_stale: whether what is seconds old will do; costs a tenth of a call.
+            prefix: common prefix of the keys.
+            allow_stale: whether a result some seconds old is acceptable; such a
+                call costs a tenth of a consistent one.
         """
         items: list[Item] = []
         revision = None
@@ -176,11 +178,11 @@
             after = page.items[-1].key
 
     async def watch(self, prefix: str, after: int, wait: float) -> Listing | Failure:
-        """Wait up to `wait` seconds for changes past a revision.
+        """Wait up to `wait` seconds for changes after a revision.
 
         Returns:
-            The changes, none after a quiet wait; a `Failure` with the code
-            `KEY_VALUE_COMPACTED` if that history is gone.
+            The changes, none if the wait timed out; a `Failure` with the code
+            `KEY_VALUE_COMPACTED` if the store no longer has that history.
         """
         fields = {
             "path_prefix": prefix,
@@ -189,13 +191,13 @@
         }
         path = "/-/kv-watch?" + urlencode(fields)
         self._on_call("watch", prefix)
-        answer = await self._call("GET", path, wait=wait)
-        if isinstance(answer, Answer) and answer.status == STATUS_COMPACTED:
+        response = await self._call("GET", path, wait=wait)
+        if isinstance(response, Response) and response.status == STATUS_COMPACTED:
             return Failure(ResultCode.KEY_VALUE_COMPACTED, "the history is gone")
-        news = _decode(answer, _News)
-        if isinstance(news, Failure):
-            return news
-        return Listing(tuple(news.events), news.revision)
+        reply = _decode(response, _WatchReply)
+        if isinstance(reply, Failure):
+            return reply
+        return Listing(tuple(reply.events), reply.revision)
 
     async def change(
         self,
@@ -204,58 +206,69 @@
         writes: tuple[Write, ...] = (),
         drop: tuple[str, ...] = (),
     ) -> int | Failure:
-        """Write and drop keys if all have the revisions expected (0: absent).
+        """Write and remove keys in one transaction.
+
+        Args:
+            expected: revisions that keys must have (0: the key must not exist);
+                otherwise nothing is changed.
+            writes: keys to write.
+            drop: keys to remove.
 
         Returns:
-            The store's revision of the change. A `Failure` with the code
-            `KEY_VALUE_UNKNOWN` may have been carried out, even seconds later.
+            The store's revision of the change; a `Failure` otherwise. With the code
+            `KEY_VALUE_UNKNOWN` the change may be carried out, even seconds later.
         """
-        rows = [_Expectation(key, rev) for key, rev in (expected or {}).items()]
-        body = msgspec.json.encode(_Transaction(rows, list(writes), list(drop)))
+        expectations = [
+            _ExpectedRevision(key, revision)
+            for key, revision in (expected or {}).items()
+        ]
+        body = msgspec.json.encode(_Transaction(expectations, list(writes), list(drop)))
         self._on_call("change", "")
-        answer = await self._call("POST", "/-/kv-txn", body=body)
-        if isinstance(answer, Answer):
-            if answer.status == STATUS_CONFLICT:
+        response = await self._call("POST", "/-/kv-txn", body=body)
+        if isinstance(response, Response):
+            if response.status == STATUS_CONFLICT:
                 return Failure(ResultCode.KEY_VALUE_CONFLICT, "a key has moved on")
-            if answer.status == STATUS_NOT_FOUND:
+            if response.status == STATUS_NOT_FOUND:
                 return Failure(ResultCode.KEY_VALUE_LEASE_ENDED, "the lease has ended")
-        changed = _decode(answer, _Changed, is_write=True)
+        changed = _decode(response, _TransactionReply, is_write=True)
         return changed if isinstance(changed, Failure) else changed.revision
 
     async def grant_lease(self, ttl: float) -> Lease | Failure:
-        """Ask for a lease of `ttl` seconds."""
+        """Request a lease of `ttl` seconds."""
         body = msgspec.json.encode({"ttl_ms": round(ttl * 1000)})
-        granted = _decode(await self._call("POST", "/-/kv-lease", body=body), _Granted)
+        granted = _decode(
+            await self._call("POST", "/-/kv-lease", body=body), _LeaseReply
+        )
         if isinstance(granted, Failure):
             return granted
         return Lease(granted.lease, granted.ttl_ms / 1000)
 
     async def renew_lease(self, lease: int) -> Lease | Failure:
-        """Renew a lease; `KEY_VALUE_LEASE_ENDED` if it has ended."""
+        """Renew a lease; a `Failure` `KEY_VALUE_LEASE_ENDED` if it has ended."""
         self._on_call("renewal", "")
-        answer = await self._call("POST", f"/-/kv-keep/{lease}", body=b"{}")
-        if isinstance(answer, Answer) and answer.status == STATUS_NOT_FOUND:
+        response = await self._call("POST", f"/-/kv-keep/{lease}", body=b"{}")
+        if isinstance(response, Response) and response.status == STATUS_NOT_FOUND:
             return Failure(ResultCode.KEY_VALUE_LEASE_ENDED, "the lease has ended")
-        granted = _decode(answer, _Granted)
+        granted = _decode(response, _LeaseReply)
         if isinstance(granted, Failure):
             return granted
         return Lease(lease, granted.ttl_ms / 1000)
 
     async def end_lease(self, lease: int) -> Failure | None:
-        """End a lease at once, with its keys."""
-        answer = await self._call("DELETE", f"/-/kv-lease-end/{lease}")
-        if isinstance(answer, Answer) and answer.status == STATUS_OK:
+        """End a lease at once and remove its keys."""
+        response = await self._call("DELETE", f"/-/kv-lease-end/{lease}")
+        if isinstance(response, Response) and response.status == STATUS_OK:
             return None
-        return _refuse(answer, is_write=True)
+        return _make_failure(response, is_write=True)
 
 
 def _decode(
-    answer: Answer | Trouble, shape: type[Shape], *, is_write: bool = False
-) -> Shape | Failure:
-    if isinstance(answer, Trouble) or answer.status != STATUS_OK:
-        return _refuse(answer, is_write=is_write)
+    response: Response | CallFailure, body_type: type[Body], *, is_write: bool = False
+) -> Body | Failure:
+    if isinstance(response, CallFailure) or response.status != STATUS_OK:
+        return _make_failure(response, is_write=is_write)
     try:
-        return msgspec.json.decode(answer.body, type=shape)
+        return msgspec.json.decode(response.body, type=body_type)
     except msgspec.DecodeError as error:
         code = (
             ResultCode.KEY_VALUE_UNKNOWN if is_write else ResultCode.PLATFORM_MALFORMED
@@ -263,12 +276,12 @@
         return Failure(code, f"malformed answer: {error}")
 
 
-def _refuse(answer: Answer | Trouble, *, is_write: bool) -> Failure:
-    # A write whose answer was lost may still be carried out: told apart from one
-    # that never left, since the two leave different work to the caller.
-    if answer is Trouble.NOT_SENT:
+def _make_failure(response: Response | CallFailure, *, is_write: bool) -> Failure:
+    # A write whose response was lost may still be carried out; one that was not sent
+    # can't be. The caller has to handle the two cases differently.
+    if response is CallFailure.NOT_SENT:
         return Failure(ResultCode.KEY_VALUE_DOWN, "could not connect")
-    if isinstance(answer, Trouble):
+    if isinstance(response, CallFailure):
         code = ResultCode.KEY_VALUE_UNKNOWN if is_write else ResultCode.KEY_VALUE_DOWN
         return Failure(code, "no answer")
-    return Failure(ResultCode.KEY_VALUE_DOWN, f"status {answer.status}")
+    return Failure(ResultCode.KEY_VALUE_DOWN, f"status {response.status}")
--- a/dewridge/tests/http1/reach_tests.py
+++ b/dewridge/tests/http1/reach_tests.py
@@ -1,4 +1,4 @@
-"""What a look at a server tells."""
+"""Tests of probing whether a server accepts connections."""
 
 import trio
 
@@ -8,27 +8,30 @@
 
 
 async def open_port() -> tuple[list[trio.SocketListener], str]:
-    """Listen on a port of this machine."""
+    """Listen on a free local port; return the listeners and the address."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     return listeners, f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
 
 
-async def test_a_port_that_closes_some_moments_late_counts_as_closed() -> None:
-    """Guards against taking a process that is just ending for one that lives."""
+async def test_port_closed_shortly_after_its_connections_is_refused() -> None:
+    """A process that is exiting must not be treated as running.
+
+    It resets its connections first and closes its listening port a moment later.
+    """
     listeners, address = await open_port()
 
-    async def accept_one_and_end() -> None:
+    async def reset_one_and_close() -> None:
         reset(await listeners[0].accept())
         await listeners[0].aclose()
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(accept_one_and_end)
+        nursery.start_soon(reset_one_and_close)
         reach = await probe_server(address)
     assert reach is Reach.REFUSED
 
 
-async def test_a_server_that_resets_connections_beyond_its_bound_lives() -> None:
-    """Guards against blaming requests for a server that has too many connections."""
+async def test_server_that_resets_excess_connections_is_accepting() -> None:
+    """A server with too many connections must not make a request a crash suspect."""
     listeners, address = await open_port()
 
     async def reset_all(stream: trio.SocketStream) -> None:
@@ -41,14 +44,14 @@
     assert reach is Reach.ACCEPTED
 
 
-async def test_a_server_that_waits_for_requests_lives() -> None:
+async def test_server_that_waits_for_requests_is_accepting() -> None:
     listeners, address = await open_port()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(trio.serve_listeners, _wait, listeners)
+        nursery.start_soon(trio.serve_listeners, _hold_open, listeners)
         reach = await probe_server(address)
         nursery.cancel_scope.cancel()
     assert reach is Reach.ACCEPTED
 
 
-async def _wait(stream: trio.SocketStream) -> None:
+async def _hold_open(stream: trio.SocketStream) -> None:
     await trio.sleep_forever()
--- a/dewridge/tests/platform/names_tests.py
+++ b/dewridge/tests/platform/names_tests.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its own folder only."""
+"""Checks that names defined by the platform are used in `dewridge.platform` only."""
 
 import re
 from pathlib import Path
@@ -7,7 +7,7 @@
 from dewridge.platform import names
 
 ROOT = Path(dewridge.__file__).parent
-FOLDER = ROOT / "platform"
+PLATFORM_FOLDER = ROOT / "platform"
 FIELDS = (
     "api_keys",
     "cold_remaining_ms",
@@ -34,30 +34,30 @@
     "op/config",
     "/-/",
 )
-"""Fields, keys and paths that only the platform uses."""
+"""Fields, keys and paths that are specific to the platform."""
 
 
 def list_sources() -> list[Path]:
-    """Return the product's sources but for tests and the folder itself."""
+    """Return the source files outside the tests and `dewridge.platform`."""
     return [
         path
         for path in ROOT.rglob("*.py")
-        if FOLDER not in path.parents and ROOT / "tests" not in path.parents
+        if PLATFORM_FOLDER not in path.parents and ROOT / "tests" not in path.parents
     ]
 
 
 def list_names() -> list[str]:
-    """Return the platform's headers and fields."""
-    headers = [
+    """Return the platform's header names, keys, paths and fields in lower case."""
+    constants = [
         value.decode() if isinstance(value, bytes) else value.lower()
         for name, value in vars(names).items()
         if name.isupper() and isinstance(value, bytes | str)
     ]
-    common = {"last-event-id", "usage"}
-    return [name for name in headers if name not in common] + list(FIELDS)
+    generic = {"last-event-id", "usage"}
+    return [name for name in constants if name not in generic] + list(FIELDS)
 
 
-def test_no_name_of_the_platform_stands_outside_its_folder() -> None:
+def test_platform_names_are_used_in_their_package_only() -> None:
     found = []
     for path in list_sources():
         text = path.read_text().lower()
--- a/dewridge/tests/platform/servers_tests.py
+++ b/dewridge/tests/platform/servers_tests.py
@@ -1,4 +1,4 @@
-"""Records of servers in the store, of other writers too."""
+"""Tests of decoding server records, including records written by other programs."""
 
 import json
 from typing import Any
@@ -16,7 +16,7 @@
 from dewridge.sentinels import Failure
 from dewridge.tests.gateway.state_tests import Watching, list_names, write_server
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "service": "plain",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -40,22 +40,22 @@
 def decode(
     fields: dict[str, Any] | bytes, key: str = "servers/i-1"
 ) -> ServerRecord | Failure:
-    """Decode a record as the store holds it."""
+    """Decode a record in its stored form."""
     value = fields if isinstance(fields, bytes) else json.dumps(fields).encode()
     return decode_server(Item(key, value))
 
 
-def test_a_start_is_told_by_name_and_time() -> None:
-    record = decode(GOOD)
+def test_server_process_is_identified_by_name_and_start_time() -> None:
+    record = decode(VALID)
     assert isinstance(record, ServerRecord)
     assert (record.name, record.born) == ("i-1", 1_700_000_000_000)
-    again = decode(GOOD | {"born": 1_700_000_000_001})
-    assert isinstance(again, ServerRecord)
-    assert (again.name, again.id) != (record.name, record.id)
+    restarted = decode(VALID | {"born": 1_700_000_000_001})
+    assert isinstance(restarted, ServerRecord)
+    assert (restarted.name, restarted.id) != (record.name, record.id)
 
 
-def test_a_record_without_the_time_of_its_start_is_used() -> None:
-    record = decode({name: GOOD[name] for name in GOOD if name != "born"})
+def test_record_without_start_time_is_accepted() -> None:
+    record = decode({name: VALID[name] for name in VALID if name != "born"})
     assert isinstance(record, ServerRecord)
     assert (record.id, record.name) == ("i-1", "i-1")
 
@@ -85,33 +85,33 @@
         {"spot": 1},
     ],
 )
-def test_a_record_with_a_senseless_field_names_no_server(
+def test_record_with_invalid_field_is_rejected(
     fields: dict[str, Any],
 ) -> None:
-    assert isinstance(decode(GOOD | fields), Failure)
+    assert isinstance(decode(VALID | fields), Failure)
 
 
 @pytest.mark.parametrize("missing", ["service", "address", "slots", "state"])
-def test_a_record_without_a_needed_field_names_no_server(missing: str) -> None:
-    fields = {name: value for name, value in GOOD.items() if name != missing}
+def test_record_without_required_field_is_rejected(missing: str) -> None:
+    fields = {name: value for name, value in VALID.items() if name != missing}
     assert isinstance(decode(fields), Failure)
 
 
 @pytest.mark.parametrize(
     "key", ["servers/", "servers/a b", "servers/a\r\nX: y", "servers/\u00e9"]
 )
-def test_a_name_that_would_break_a_header_names_no_server(key: str) -> None:
-    """Another program writes a record under a key with a line break in it.
+def test_name_that_is_invalid_in_a_header_is_rejected(key: str) -> None:
+    """Another program writes a record under a key that contains a line break.
 
-    Put into a request's header as it is, it would end the header there, and each
-    request to that server would fail with an error of this host's own.
+    Sent unchecked, the name would truncate the request header, and every request to
+    that server would fail with an internal error of this host.
     """
-    assert isinstance(decode(GOOD, key), Failure)
+    assert isinstance(decode(VALID, key), Failure)
 
 
-@given(st.dictionaries(st.sampled_from([*GOOD, "leaves_ms", "spot"]), JSON))
-def test_any_fields_give_a_usable_record_or_none(fields: dict[str, Any]) -> None:
-    record = decode(GOOD | fields)
+@given(st.dictionaries(st.sampled_from([*VALID, "leaves_ms", "spot"]), JSON))
+def test_any_fields_give_a_usable_record_or_a_failure(fields: dict[str, Any]) -> None:
+    record = decode(VALID | fields)
     if isinstance(record, Failure):
         return
     assert is_address(record.address)
@@ -121,20 +121,20 @@
 
 
 @given(st.binary(max_size=120), TEXT)
-def test_any_bytes_are_decoded_or_refused(value: bytes, key: str) -> None:
+def test_any_bytes_are_decoded_or_rejected(value: bytes, key: str) -> None:
     decode(value, "servers/" + key)
 
 
-def test_deep_nesting_is_refused() -> None:
+def test_deep_nesting_is_rejected() -> None:
     assert isinstance(decode(b'{"service":' + b"[" * 100_000), Failure)
 
 
-async def test_other_writers_records_leave_the_others_in_place(
+async def test_invalid_records_do_not_affect_other_servers(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Another program writes records that no server would write.
+    """Another program writes invalid records beside those of servers.
 
-    The servers beside them keep their work, and the log tells of each once and not at
+    The valid servers stay in use, and each invalid record is logged once instead of at
     each poll.
     """
     lines: list[str] = []
--- a/dewridge/tests/platform/store_tests.py
+++ b/dewridge/tests/platform/store_tests.py
@@ -1,4 +1,4 @@
-"""Calls of the store over a real connection, with the answers it may give or lose."""
+"""Tests of the store client over a real connection, including lost responses."""
 
 import json
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -15,14 +15,14 @@
 from dewridge.platform.store import Item, Lease, Listing, Store, Write
 from dewridge.sentinels import Failure
 
-Script = Callable[[bytes, trio.SocketStream], Awaitable[None]]
+Handler = Callable[[bytes, trio.SocketStream], Awaitable[None]]
 
 
 @asynccontextmanager
-async def open_store(script: Script) -> AsyncIterator[Store]:
-    """Run a server that answers each request by a script."""
+async def open_store(handler: Handler) -> AsyncIterator[Store]:
+    """Run a server that passes each request to a handler; return a client of it."""
 
-    async def handle(stream: trio.SocketStream) -> None:
+    async def serve(stream: trio.SocketStream) -> None:
         data = b""
         try:
             while chunk := await stream.receive_some(65536):
@@ -34,48 +34,48 @@
                         length = int(line.partition(b":")[2])
                 if found and len(rest) >= length:
                     data = rest[length:]
-                    await script(head + b"\n" + rest[:length], stream)
+                    await handler(head + b"\n" + rest[:length], stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(trio.serve_listeners, handle, listeners)
+        nursery.start_soon(trio.serve_listeners, serve, listeners)
         port = listeners[0].socket.getsockname()[1]
         yield Store(ServiceClient("store", f"127.0.0.1:{port}", 0.3))
         nursery.cancel_scope.cancel()
 
 
 async def reply(stream: trio.SocketStream, status: int, body: object) -> None:
-    """Send an answer with a JSON body."""
+    """Send a response with a JSON body."""
     data = json.dumps(body).encode()
     head = b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (status, len(data))
     await stream.send_all(head + data)
 
 
-def answer_with(status: int, body: object) -> Script:
-    """Return a script that gives one answer to everything."""
+def make_handler(status: int, body: object) -> Handler:
+    """Return a handler that sends the same response to every request."""
 
-    async def script(request: bytes, stream: trio.SocketStream) -> None:
+    async def handler(request: bytes, stream: trio.SocketStream) -> None:
         await reply(stream, status, body)
 
-    return script
+    return handler
 
 
 ITEM = {"key": "k", "value": "dg==", "revision": 4, "created": 3, "lease": 9}
 
 
-async def test_an_item_is_decoded_with_what_its_fields_hold() -> None:
-    async with open_store(answer_with(200, ITEM | {"current_rev": 8})) as store:
+async def test_item_is_decoded_with_all_fields() -> None:
+    async with open_store(make_handler(200, ITEM | {"current_rev": 8})) as store:
         assert await store.read("k") == Item("k", b"v", 4, 3, 9)
 
 
-async def test_a_missing_key_is_no_failure() -> None:
-    async with open_store(answer_with(404, {})) as store:
+async def test_missing_key_is_not_a_failure() -> None:
+    async with open_store(make_handler(404, {})) as store:
         assert await store.read("k") is None
 
 
-async def test_pages_are_read_to_the_end() -> None:
+async def test_all_pages_are_read() -> None:
     async def page(request: bytes, stream: trio.SocketStream) -> None:
         is_second = b"after=k" in request
         items = [ITEM | {"key": "m"}] if is_second else [ITEM]
@@ -88,31 +88,31 @@
     assert [item.key for item in listing.items] == ["k", "m"]
 
 
-async def test_a_dropped_history_is_told_apart() -> None:
-    async with open_store(answer_with(410, {})) as store:
-        news = await store.watch("", 3, 0.1)
-    assert isinstance(news, Failure)
-    assert news.code is ResultCode.KEY_VALUE_COMPACTED
+async def test_compacted_history_has_its_own_code() -> None:
+    async with open_store(make_handler(410, {})) as store:
+        changes = await store.watch("", 3, 0.1)
+    assert isinstance(changes, Failure)
+    assert changes.code is ResultCode.KEY_VALUE_COMPACTED
 
 
-async def test_removals_are_told_by_watches() -> None:
+async def test_watch_reports_removals() -> None:
     body = {"events": [{"key": "k", "revision": 5, "removed": True}], "current_rev": 5}
-    async with open_store(answer_with(200, body)) as store:
-        news = await store.watch("", 3, 0.1)
-    assert isinstance(news, Listing)
-    assert news.items[0].removed
+    async with open_store(make_handler(200, body)) as store:
+        changes = await store.watch("", 3, 0.1)
+    assert isinstance(changes, Listing)
+    assert changes.items[0].removed
 
 
-async def test_a_lost_answer_to_a_write_is_unknown() -> None:
-    """The store carries a write out and its answer is lost.
+async def test_write_without_response_has_unknown_outcome() -> None:
+    """The store carries out a write and its response is lost.
 
-    Taken for a failure, the write would be made again under other conditions.
+    If this counted as a failure, the write would be repeated under other conditions.
     """
 
-    async def lose(request: bytes, stream: trio.SocketStream) -> None:
+    async def never_reply(request: bytes, stream: trio.SocketStream) -> None:
         await trio.sleep_forever()
 
-    async with open_store(lose) as store:
+    async with open_store(never_reply) as store:
         result = await store.change(writes=(Write("k", b"v"),))
         read = await store.read("k")
     assert isinstance(result, Failure)
@@ -121,17 +121,17 @@
     assert read.code is ResultCode.KEY_VALUE_DOWN
 
 
-async def test_a_write_that_never_left_is_not_unknown() -> None:
+async def test_unsent_write_has_known_outcome() -> None:
     store = Store(ServiceClient("store", "127.0.0.1:1", 0.3))
     result = await store.change(writes=(Write("k", b"v"),))
     assert isinstance(result, Failure)
     assert result.code is ResultCode.KEY_VALUE_DOWN
 
 
-async def test_a_condition_that_failed_and_an_ended_lease_are_told_apart() -> None:
+async def test_conflict_and_ended_lease_have_different_codes() -> None:
     codes = []
     for status in (412, 404, 429, 503):
-        async with open_store(answer_with(status, {"items": []})) as store:
+        async with open_store(make_handler(status, {"items": []})) as store:
             result = await store.change(expected={"k": 1}, writes=(Write("k", b""),))
             assert isinstance(result, Failure)
             codes.append(result.code)
@@ -143,28 +143,28 @@
     ]
 
 
-async def test_leases_are_granted_in_seconds() -> None:
-    async with open_store(answer_with(200, {"lease": 7, "ttl_ms": 2500})) as store:
+async def test_lease_duration_is_converted_to_seconds() -> None:
+    async with open_store(make_handler(200, {"lease": 7, "ttl_ms": 2500})) as store:
         assert await store.grant_lease(2.5) == Lease(7, 2.5)
 
 
-async def test_a_connection_that_was_closed_meanwhile_is_not_used() -> None:
-    """The store closes a kept connection without a word.
+async def test_connection_closed_while_idle_is_not_reused() -> None:
+    """The store closes an idle connection without notice.
 
-    A call sent on it would be lost; for a write nobody would know its fate.
+    A call sent on it would be lost; a write would have an unknown outcome.
     """
 
-    async def answer_and_close(request: bytes, stream: trio.SocketStream) -> None:
+    async def reply_and_close(request: bytes, stream: trio.SocketStream) -> None:
         await reply(stream, 200, ITEM)
         await stream.aclose()
 
-    async with open_store(answer_and_close) as store:
+    async with open_store(reply_and_close) as store:
         for _ in range(4):
             assert isinstance(await store.read("k"), Item)
             await trio.sleep(0.02)
 
 
 @given(st.binary(max_size=200))
-def test_any_document_is_decoded_or_refused(value: bytes) -> None:
+def test_any_document_is_decoded_or_rejected(value: bytes) -> None:
     decode_configuration(value)
     decode_server(Item("servers/i-1", value))
