--- a/dewridge/http1/__init__.py
+++ b/dewridge/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over connections that the caller manages: h11 on trio streams."""
+"""HTTP/1.1 with h11 on trio streams; connections belong to the code that opens them."""
--- a/dewridge/platform/headers.py
+++ b/dewridge/platform/headers.py
@@ -130,7 +130,7 @@
         headers.append((names.LAST_EVENT, str(dispatch.last_event_id).encode()))
     if dispatch.cache_copy is not None:
         value = f"{dispatch.cache_copy.source}/{dispatch.cache_copy.handle}"
-        headers.append((names.MEMORY_COPY, value.encode()))
+        headers.append((names.CACHE_COPY, value.encode()))
     if dispatch.cache_holder is not None:
         headers.append((names.CACHE_SOURCE, dispatch.cache_holder.encode()))
     if request.body or request.method in {b"POST", b"PUT", b"PATCH"}:
@@ -157,5 +157,5 @@
 
 
 def is_misdirected(head: ResponseHead) -> bool:
-    """Whether another server, or a new process of it, now has the address."""
+    """Whether another server, or a new process of the same one, has the address."""
     return head.status == STATUS_MISDIRECTED
--- a/dewridge/platform/names.py
+++ b/dewridge/platform/names.py
@@ -15,9 +15,9 @@
 PREFIX = b"x-prefix-hash"
 PRIORITY = b"x-request-priority"
 LAST_EVENT = b"last-event-id"
-MEMORY_COPY = b"kv-from"
+CACHE_COPY = b"kv-from"
 CACHE_SOURCE = b"kv-fetch"
-MEMORY_BACKUP = b"x-kv-backup"
+CACHE_BACKUP = b"x-kv-backup"
 STORE_ERA = b"store-era"
 DUTY_HOLDER = "X-Duty-Holder"
 FENCING_TOKEN = "X-Fencing-Token"
@@ -29,8 +29,8 @@
         ACCOUNT,
         EXPECTED_SERVER,
         PRIORITY,
-        MEMORY_COPY,
-        MEMORY_BACKUP,
+        CACHE_COPY,
+        CACHE_BACKUP,
         b"x-hold",
         b"x-pin-ms",
         b"x-expect-version",
