--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -27,7 +27,7 @@
     is_load_shed,
 )
 from dewridge.http1.client import ConnectionBrokenError, Headers
-from dewridge.http1.headers import drop_hop_headers
+from dewridge.http1.headers import remove_hop_by_hop_headers
 from dewridge.platform.engines import stop_and_move
 from dewridge.platform.headers import Dispatch
 from dewridge.policy.losses import LossReason
@@ -168,9 +168,9 @@
             time_left=job.deadline - now,
             account=job.account.name if job.account else None,
             priority=compute_engine_priority(job) if job.is_engine else None,
-            last_event=job.last_event,
-            memory=continuation.memory if continuation else None,
-            keeper=job.cache_holder,
+            last_event_id=job.last_event,
+            cache_copy=continuation.memory if continuation else None,
+            cache_holder=job.cache_holder,
         )
         answer: OpenAnswer | Lost = Lost(LossReason.CUT_OFF, "silent")
         with trio.move_on_after(self._find_silence_timeout(job)):
@@ -388,6 +388,6 @@
     """Return a server's headers without those of the connection and the framing."""
     return [
         (name, value)
-        for name, value in drop_hop_headers(headers)
+        for name, value in remove_hop_by_hop_headers(headers)
         if name != b"content-length"
     ]
--- a/dewridge/gateway/duties.py
+++ b/dewridge/gateway/duties.py
@@ -13,7 +13,7 @@
 from dewridge.gateway.hosts import LEASE_TTL, SYSTEM_PREFIX, HostTable, Registration
 from dewridge.gateway.reports import DutyHolder
 from dewridge.ids import HostId
-from dewridge.platform.cloud import Tenure
+from dewridge.platform.cloud import DutyTerm
 from dewridge.platform.store import Item, Store, Write
 
 HOLDER_KEY = SYSTEM_PREFIX + "holder"
@@ -63,14 +63,14 @@
         self._lease_ttl = lease_ttl
         self._is_candidate = is_candidate
         self._on_elected = on_elected
-        self._term: Tenure | None = None
+        self._term: DutyTerm | None = None
         self._may_act_from = float("inf")
         self._has_stepped_down = False
         self._restored_at = float("-inf")
         # The previous process on this host may have acted just before it ended.
         self._last_possible_act_at = read_boot_clock()
 
-    def find_active_term(self) -> Tenure | None:
+    def find_active_term(self) -> DutyTerm | None:
         """Return this host's term if it may act now.
 
         Call this right before each action. A process that was suspended still has its
@@ -141,7 +141,7 @@
 
     def _begin_term(self, revision: int) -> None:
         token = self._make_fencing_token(revision)
-        self._term = Tenure(self._host, token)
+        self._term = DutyTerm(self._host, token)
         now = read_boot_clock()
         self._may_act_from = self._find_first_act_time(now)
         self._on_elected((token, self._host))
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -361,7 +361,7 @@
         """Poll all registrations indefinitely."""
         may_lag = False
         while True:
-            listing = await self._store.list_items(SYSTEM_PREFIX, may_lag=may_lag)
+            listing = await self._store.list_items(SYSTEM_PREFIX, allow_stale=may_lag)
             if isinstance(listing, Listing):
                 self._table.replace(listing)
             is_restored = False
--- a/dewridge/gateway/jobs.py
+++ b/dewridge/gateway/jobs.py
@@ -6,7 +6,7 @@
 from dewridge.gateway.digests import make_digest
 from dewridge.gateway.model import Account, CallerRequest, Route, ServerRecord
 from dewridge.ids import BackendServerId, RequestDigest, ServiceName
-from dewridge.platform.engines import MemoryCopy
+from dewridge.platform.engines import CacheCopy
 
 PRIORITY_STEP = 3
 """Route priorities within one account priority on the engines' scale from 0 to 9."""
@@ -17,7 +17,7 @@
     """A server that continues a stopped run, and the engine memory to continue from."""
 
     server: ServerRecord
-    memory: MemoryCopy
+    memory: CacheCopy
 
 
 @dataclass
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -6,8 +6,8 @@
 import trio
 
 from dewridge.gateway.model import ServerRecord
-from dewridge.http1.client import ClientConnection, NotConnected, open_connection
-from dewridge.http1.reach import look
+from dewridge.http1.client import ClientConnection, ConnectFailure, open_connection
+from dewridge.http1.reach import probe_server
 from dewridge.ids import BackendServerId, ServiceName
 from dewridge.policy.idletime import IdleLimitEstimator
 from dewridge.policy.losses import ConnectResult
@@ -74,12 +74,12 @@
         """Open a connection; return None if the server does not accept it in time."""
         self.opened += 1
         connection = await open_connection(server.address, CONNECT_TIMEOUT)
-        return None if isinstance(connection, NotConnected) else connection
+        return None if isinstance(connection, ConnectFailure) else connection
 
     async def probe(self, server: ServerRecord) -> ConnectResult:
         """Return whether a server accepts new connections."""
         self.opened += 1
-        return await look(server.address)
+        return await probe_server(server.address)
 
     def release(self, server: ServerRecord, connection: ClientConnection) -> None:
         """Return a connection to the pool after a cleanly completed exchange."""
@@ -114,13 +114,13 @@
                 del self._idle[server]
 
     def _find_idle_limit(self, idle: IdleConnection, *, must_arrive: bool) -> float:
-        announced = idle.connection.keep_alive
+        announced = idle.connection.keep_alive_timeout
         times = self._idle_times[idle.service]
         return times.find_limit(announced, must_arrive=must_arrive)
 
     def _check_open(self, idle: IdleConnection, age: float) -> bool:
         """Return whether a connection is open, and adjust the service's idle limit."""
-        is_open = idle.connection.is_quiet()
+        is_open = idle.connection.is_open_and_idle()
         if is_open:
             self._idle_times[idle.service].record_open(age)
         else:
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -29,7 +29,7 @@
 from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.streams import RunningStreams
 from dewridge.gateway.watching import StoreRole
-from dewridge.http1.calls import Caller
+from dewridge.http1.calls import ServiceClient
 from dewridge.ids import (
     BackendServerId,
     ClientAccount,
@@ -142,7 +142,7 @@
     list_suspects: Callable[[int], list[SuspectUpdate]] = lambda number: []
     """Returns the information on such requests for the report of a given number."""
     metrics: Metrics = field(default_factory=Metrics)
-    dependencies: list[Caller] = field(default_factory=list)
+    dependencies: list[ServiceClient] = field(default_factory=list)
     describe_duties: Callable[[], dict[str, object]] = dict
     is_ready: bool = False
     leaves_at: float = float("inf")
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -16,7 +16,7 @@
 from dewridge.gateway.hosts import SYSTEM_PREFIX, HostEntry
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import ClientAccount
-from dewridge.platform.cloud import CallOutcome, Cloud, Tenure
+from dewridge.platform.cloud import CallOutcome, Cloud, DutyTerm
 from dewridge.platform.store import Item, Store, Write
 from dewridge.sentinels import Failure
 
@@ -56,7 +56,7 @@
         self._cloud = cloud
         self._reported_windows: set[int] = set()
         self._persisted_counts: dict[int, AccountCounts] = {}
-        self._term: Tenure | None = None
+        self._term: DutyTerm | None = None
         self._term_seen_at = 0.0
 
     async def run(self) -> None:
@@ -69,7 +69,7 @@
                         await self._report(term, window)
             await trio.sleep(POLL_PERIOD)
 
-    def _has_settled(self, term: Tenure) -> bool:
+    def _has_settled(self, term: DutyTerm) -> bool:
         """Whether the hosts have had time to report their counts to a new holder.
 
         The first sum of a window is final. Computed immediately, it lacked the counts
@@ -131,7 +131,7 @@
             if sharing.usage.is_incomplete((host.id, host.boot), window)
         ]
 
-    async def _report(self, term: Tenure, window: int) -> None:
+    async def _report(self, term: DutyTerm, window: int) -> None:
         counts = await self._persist_counts(window)
         if counts is None or self._tenancy.find_active_term() != term:
             return
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -288,7 +288,7 @@
         retry_delay = MIN_RETRY_DELAY
         may_lag = False
         while True:
-            listing = await self._store.list_items(SERVERS_PREFIX, may_lag=may_lag)
+            listing = await self._store.list_items(SERVERS_PREFIX, allow_stale=may_lag)
             if isinstance(listing, Failure):
                 self._servers.record_outage(trio.current_time())
                 await self._sleep_with_jitter(retry_delay)
--- a/dewridge/platform/names.py
+++ b/dewridge/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform puts on the wire."""
+"""Header names, store keys and paths that the platform defines."""
 
 from enum import Enum
 
@@ -15,12 +15,12 @@
 PREFIX = b"x-prefix-hash"
 PRIORITY = b"x-request-priority"
 LAST_EVENT = b"last-event-id"
-MEMORY_COPY = b"kv-from"
+CACHE_COPY = b"kv-from"
 CACHE_SOURCE = b"kv-fetch"
-MEMORY_BACKUP = b"x-kv-backup"
+CACHE_BACKUP = b"x-kv-backup"
 STORE_ERA = b"store-era"
-HOLDER = "X-Duty-Holder"
-FENCE = "X-Fencing-Token"
+DUTY_HOLDER = "X-Duty-Holder"
+FENCING_TOKEN = "X-Fencing-Token"
 
 SET_BY_GATEWAY = frozenset(
     {
@@ -29,17 +29,17 @@
         ACCOUNT,
         EXPECTED_SERVER,
         PRIORITY,
-        MEMORY_COPY,
-        MEMORY_BACKUP,
+        CACHE_COPY,
+        CACHE_BACKUP,
         b"x-hold",
         b"x-pin-ms",
         b"x-expect-version",
         CACHE_SOURCE,
     }
 )
-"""Headers that only the gateway may send to a backend server. Passed on as a
-caller sent them they would let it act as another account, reserve an engine's
-memory or read another request's."""
+"""Headers that only the gateway may send to a backend server. If they were forwarded
+from a caller, it could act as another account, reserve an engine's KV cache or read the
+cache of another request."""
 
 OPERATOR_PREFIX = "op/"
 CONFIGURATION_KEY = OPERATOR_PREFIX + "config"
@@ -54,7 +54,7 @@
 DUTY_SCALING = "autoscale"
 
 
-class Status(Enum):
+class ServerStatus(Enum):
     """States of a backend server in its record."""
 
     READY = "ready"
--- a/dewridge/tests/gateway/duties_tests.py
+++ b/dewridge/tests/gateway/duties_tests.py
@@ -11,7 +11,7 @@
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
 from dewridge.gateway.usage import UsageDuty
 from dewridge.ids import ClientAccount, FailureDomain, HostId
-from dewridge.platform.cloud import CallOutcome, Cloud, Tenure
+from dewridge.platform.cloud import CallOutcome, Cloud, DutyTerm
 from dewridge.tests.gateway.memorystore import MemoryStore, StoreData
 from dewridge.tests.gateway.world import ACCOUNT, make_configuration, make_state
 
@@ -245,7 +245,7 @@
         self._fails = fails
 
     async def report_usage(
-        self, tenure: Tenure, window: int, counts: dict[ClientAccount, int]
+        self, tenure: DutyTerm, window: int, counts: dict[ClientAccount, int]
     ) -> CallOutcome:
         """Record a report."""
         self.reports.append((window, counts))
@@ -258,9 +258,9 @@
     """An election that this host always wins."""
 
     def __init__(self) -> None:
-        self._fixed_term = Tenure(HostId("host-1"), 1)
+        self._fixed_term = DutyTerm(HostId("host-1"), 1)
 
-    def find_active_term(self) -> Tenure | None:
+    def find_active_term(self) -> DutyTerm | None:
         """Return the term."""
         return self._fixed_term
 
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -34,7 +34,7 @@
     RequestDigest,
     ServiceName,
 )
-from dewridge.platform.cloud import Tenure
+from dewridge.platform.cloud import DutyTerm
 from dewridge.platform.store import Item
 from dewridge.policy.pacing import LINK_SHARE, DatagramPacer
 from dewridge.policy.suspects import (
@@ -179,7 +179,7 @@
     """HolderElection of the host `HOLDER_ID`, which always holds the duties."""
 
     def __init__(self) -> None:
-        self._given = Tenure(HOLDER_ID, 5)
+        self._given = DutyTerm(HOLDER_ID, 5)
 
 
 async def report_one_window(
