--- a/dewridge/fleet/table.py
+++ b/dewridge/fleet/table.py
@@ -80,7 +80,7 @@
             return ServerState.GONE
         return ServerState.LEAVING
 
-    def note_leaving(
+    def handle_leaving(
         self, server: BackendServerId, at: float | None, source: str
     ) -> bool:
         """Record that a server leaves, also one that no list has shown yet.
--- a/dewridge/fleet/watcher.py
+++ b/dewridge/fleet/watcher.py
@@ -206,7 +206,7 @@
                 self._spread_host_reclaim(notice)
             else:
                 server = BackendServerId(notice.subject)
-                self._table.note_leaving(server, notice.at, "cloud")
+                self._table.handle_leaving(server, notice.at, "cloud")
                 self._spread_leaving(server, notice.at, "cloud")
 
     def _spread_server(self, listed: ListedServer, gone: bool = False) -> None:
@@ -260,7 +260,7 @@
         payload = self._decode(rumor, LeavingPayload)
         if payload is not None:
             server = BackendServerId(rumor.subject)
-            self._table.note_leaving(server, payload.at, payload.source)
+            self._table.handle_leaving(server, payload.at, payload.source)
 
     def _hear_host_reclaim(self, rumor: Rumor) -> None:
         me = self._membership.me
--- a/dewridge/requests/acceptance.py
+++ b/dewridge/requests/acceptance.py
@@ -19,7 +19,7 @@
     make_generation,
     make_record,
 )
-from dewridge.requests.refusals import Refuser
+from dewridge.requests.refusals import RefusalConfirmer
 from dewridge.requests.replicas import may_reopen
 from dewridge.requests.replication import Replicator
 from dewridge.requests.scheduling import Scheduling
@@ -57,7 +57,7 @@
         shared: Shared,
         replicator: Replicator,
         scheduling: Scheduling,
-        refuser: Refuser,
+        refuser: RefusalConfirmer,
         *,
         configuration: Callable[[], Configuration],
         admission_gate: Callable[[], Failure | None],
@@ -164,7 +164,7 @@
             return make_reused()
         is_later = submission.number > record.number
         if record.outcome is Outcome.NOT_RUN:
-            if is_later or not self._shared.is_own(record.ballot):
+            if is_later or not self._shared.is_local_ballot(record.ballot):
                 return None
         elif is_later and may_reopen(record):
             return None
@@ -191,7 +191,7 @@
         request = record.request
         before = self._shared.table.find(request)
         failure = Failure(ResultCode.SUBMISSION_CLOSED, "a later one was sent")
-        result = await self._refuser.refuse(
+        result = await self._refuser.confirm(
             request, submission.number - 1, failure, record.ballot
         )
         if isinstance(result, Failure):
@@ -213,7 +213,7 @@
         record = self._shared.table.find(request)
         if submission.number <= 1 or record is None:
             return False
-        is_own = self._shared.is_own(record.ballot)
+        is_own = self._shared.is_local_ballot(record.ballot)
         return not is_own and await self._is_left_over(record)
 
     async def _is_left_over(self, known: Record) -> bool:
@@ -269,7 +269,7 @@
     ) -> Accepted | Failure:
         ballot = record.ballot if record else self._shared.make_ballot(request)
         number = submission.number
-        result = await self._refuser.refuse(request, number, failure, ballot, also)
+        result = await self._refuser.confirm(request, number, failure, ballot, also)
         if isinstance(result, Failure):
             return result
         if failure.code not in UNREAD_CODES and self._is_reused(submission, result):
@@ -332,7 +332,7 @@
         if rival.ended is not None:
             refused = rival.outcome is Outcome.NOT_RUN
             return refused and rival.number < record.number
-        return rival.pending and self._shared.me.host < rival.ballot.host
+        return rival.pending and self._shared.local_member.host < rival.ballot.host
 
     async def _settle_ended(self, answer: Answer, known: Record) -> Accepted | Failure:
         record = answer.record
@@ -348,7 +348,7 @@
         host = known.ballot.host
         member = self._shared.find_live(host)
         if member is None or member.incarnation != known.ballot.incarnation:
-            return None if self._shared.is_own(known.ballot) else known
+            return None if self._shared.is_local_ballot(known.ballot) else known
         reply = await self._shared.call(host, wire.Find(request=known.request))
         if isinstance(reply, Failure):
             return known
--- a/dewridge/requests/answers.py
+++ b/dewridge/requests/answers.py
@@ -191,7 +191,7 @@
     record.ballot = ballot
     record.renewals = 0
     record.claimed = False
-    record.claim_asked = False
+    record.claim_requested = False
     record.pending = False
     if not keep_generation:
         record.generation = make_generation(ballot)
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -28,8 +28,8 @@
 from dewridge.requests.claiming import Claimer, make_unavailable
 from dewridge.requests.claims import Grant
 from dewridge.requests.ending import Ender
-from dewridge.requests.ordering import charge, make_order, name_attempt
-from dewridge.requests.outcomes import PROVES_NOT_STARTED, judge_failure
+from dewridge.requests.ordering import charge_attempt, make_attempt_id, make_order
+from dewridge.requests.outcomes import NOT_STARTED_CODES, classify_failure
 from dewridge.requests.records import Ballot, Record
 from dewridge.requests.replication import Replicator
 from dewridge.requests.scheduling import Scheduling, Servers
@@ -53,7 +53,7 @@
     """Carries out the assignments of the schedulers.
 
     Attributes:
-        on_denied: told when another ownership holds a call's claim.
+        on_claim_denied: told when another ownership holds a call's claim.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._parked: dict[RequestId, trio.CancelScope] = {}
         self._numbers = count(1)
         self._claims_slow_until = 0.0
-        self.on_denied: Callable[[Answer, Ballot], None] = lambda *_: None
+        self.on_claim_denied: Callable[[Answer, Ballot], None] = lambda *_: None
         scheduling.on_assigned = self.start
         scheduling.on_move = self._plan_move
 
@@ -115,7 +115,7 @@
             entry = self._scheduling.find_scheduler(answer.record.service)
         if answer is None or entry is None:
             self._shared.metrics.add("attempts_without_record")
-            self._scheduling.drop(assignment)
+            self._scheduling.release_slot(assignment)
             return
         self._set_aside(request)
         self._drop_tokens(answer, assignment.work.tokens_done)
@@ -172,8 +172,8 @@
             attempt.finished.set()
         if isinstance(result, Failure) and attempt.dispatched and not attempt.cause:
             server = self._servers.find(attempt.server)
-            await self._suspects.note_lost(attempt, result, server)
-        charge(attempt, self._servers.find(attempt.server))
+            await self._suspects.handle_lost_attempt(attempt, result, server)
+        charge_attempt(attempt, self._servers.find(attempt.server))
         if attempt.cause == StopCause.LEAVING:
             self._note_ended(attempt, AttemptOutcome.LEAVING)
         elif result is not None and not attempt.cause:
@@ -201,7 +201,7 @@
 
     def _is_kept_back(self, record: Record) -> bool:
         """Whether a call stays unsent until the drain has handed it off."""
-        return not record.idempotent and self._shared.keeps_calls_back
+        return not record.idempotent and self._shared.is_withholding_calls
 
     async def _claim(self, attempt: Attempt) -> Failure | None:
         """Acquire the claim, on the slot for a short time and then off it."""
@@ -209,7 +209,7 @@
         verdict: Grant | Failure | None = None
         if record.claimed or self._is_kept_back(record):
             return None
-        record.claim_asked = True
+        record.claim_requested = True
         if trio.current_time() < self._claims_slow_until:
             self.park(attempt.answer)
             return None
@@ -227,7 +227,7 @@
     def park(self, answer: Answer) -> None:
         """Wait for a call's claim without holding a slot, then queue it."""
         self._scheduling.withdraw(answer.record)
-        answer.record.claim_asked = True
+        answer.record.claim_requested = True
         self.unpark(answer.record.request)
         scope = trio.CancelScope()
         self._parked[answer.record.request] = scope
@@ -252,7 +252,7 @@
         if verdict is None:
             return
         if answer.lost or record.ended is not None:
-            self.release(record)
+            self.release_claim(record)
         elif isinstance(verdict, Failure):
             self.give_up_claim(answer, verdict)
         else:
@@ -268,7 +268,7 @@
             record.maybe_run = False
         elif verdict.holder is not None:
             self._scheduling.withdraw(record)
-            self.on_denied(answer, verdict.holder)
+            self.on_claim_denied(answer, verdict.holder)
 
     def give_up_claim(self, answer: Answer, failure: Failure) -> None:
         """End a call whose claim could not be recorded.
@@ -278,13 +278,13 @@
         nobody gave up would turn away whoever sends the key again.
         """
         self._scheduling.withdraw(answer.record)
-        self.release(answer.record)
+        self.release_claim(answer.record)
         self._ender.give_up(answer, failure)
 
-    def release(self, record: Record) -> None:
+    def release_claim(self, record: Record) -> None:
         """Give up the claim of a call that was never sent, if it has one."""
-        if record.claim_asked:
-            record.claim_asked = False
+        if record.claim_requested:
+            record.claim_requested = False
             self._claims.give_up(record)
 
     async def _send(
@@ -301,7 +301,7 @@
         was_run = record.maybe_run
         order = make_order(
             attempt,
-            name_attempt(self._shared.me, next(self._numbers)),
+            make_attempt_id(self._shared.local_member, next(self._numbers)),
             priority,
             self._shared.settings.silence_timeout,
         )
@@ -310,7 +310,7 @@
         record.attempts += 1
         attempt.started = trio.current_time()
         result = await self._receive(attempt, server, order)
-        proves = isinstance(result, Failure) and result.code in PROVES_NOT_STARTED
+        proves = isinstance(result, Failure) and result.code in NOT_STARTED_CODES
         if proves and not attempt.tokens:
             record.maybe_run = was_run
         return result
@@ -354,7 +354,7 @@
         """Whether a failed call that may not be repeated can go on elsewhere."""
         if attempt.record.idempotent or not attempt.dispatched or attempt.cause:
             return False
-        outcome = judge_failure(failure, attempt.tokens > 0)
+        outcome = classify_failure(failure, attempt.tokens > 0)
         if outcome not in (AttemptOutcome.LOST, AttemptOutcome.LEAVING):
             return False
         return await self.stopping.stop_surely(attempt)
@@ -364,7 +364,7 @@
         if isinstance(result, AttemptEnd):
             self._conclude_whole(attempt, result)
             return
-        outcome = judge_failure(result, attempt.tokens > 0)
+        outcome = classify_failure(result, attempt.tokens > 0)
         self._shared.metrics.add("attempts_failed", code=result.code.name.lower())
         if result.code is ResultCode.CLAIM_UNAVAILABLE:
             self.give_up_claim(attempt.answer, result)
@@ -382,13 +382,13 @@
             self._ender.give_up(attempt.answer, result)
         else:
             if result.code is ResultCode.BACKEND_SERVER_LEAVING:
-                self._servers.note_leaving(attempt.server, None, "engine")
+                self._servers.handle_leaving(attempt.server, None, "engine")
             self._note_ended(attempt, outcome, result)
 
     def _conclude_whole(self, attempt: Attempt, end: AttemptEnd) -> None:
         record = attempt.record
         record.recomputed += end.recomputed
-        self._suspects.note_answered(record)
+        self._suspects.record_answered(record)
         self._note_ended(attempt, AttemptOutcome.DONE)
         server = self._servers.find(attempt.server)
         domain = server.listed.failure_domain if server else ""
--- a/dewridge/requests/claiming.py
+++ b/dewridge/requests/claiming.py
@@ -114,7 +114,7 @@
         )
         members = [m for m in self._shared.membership.members() if m.takes_work]
         ranked = rank_members(f"claims/{bucket}", members)
-        if ranked and ranked[0].host != self._shared.me.host:
+        if ranked and ranked[0].host != self._shared.local_member.host:
             message = wire.Claim(bucket=bucket, requests=[encode_intent(intent)])
             limit = min(timeout, settings.claim_timeout * COMMITTER_SHARE)
             with trio.move_on_after(limit):
--- a/dewridge/requests/ending.py
+++ b/dewridge/requests/ending.py
@@ -11,7 +11,7 @@
 from dewridge.policy.model import Abandoned
 from dewridge.requests.answers import Answer
 from dewridge.requests.model import EndedEvent
-from dewridge.requests.outcomes import choose_end, summarize
+from dewridge.requests.outcomes import make_end_event, summarize
 from dewridge.requests.records import Record
 from dewridge.requests.replication import Replicator, make_copy
 from dewridge.requests.shared import Shared
@@ -59,7 +59,7 @@
             failure = Failure(
                 failure.code, failure.reason, abandoned.failure.retry_after
             )
-        self._end(answer, choose_end(answer.record, failure))
+        self._end(answer, make_end_event(answer.record, failure))
 
     def adopt_end(self, answer: Answer, event: EndedEvent) -> None:
         """End a request with the answer that the holder of its claim had."""
@@ -106,11 +106,11 @@
         """
         hosts = set(record.replicas)
         home = find_home(record.request, self._shared.membership.members())
-        hosts |= {m.host for m in home[: self._shared.reach]}
+        hosts |= {m.host for m in home[: self._shared.query_fanout]}
         self._shared.metrics.add("requests_delivered_late")
         self._shared.table.store(record, self._shared.clock())
         message = make_copy(record)
-        reached = {self._shared.me.host}
+        reached = {self._shared.local_member.host}
         for _ in range(LATE_TRIES):
             for host in hosts - reached:
                 reply = await self._shared.call(host, message)
--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -58,7 +58,7 @@
         self._busy: set[RequestId] = set()
         self._limit = trio.CapacityLimiter(TAKEOVERS_AT_ONCE)
         shared.membership.subscribe(self._note_member)
-        attempts.on_denied = self._note_denied
+        attempts.on_claim_denied = self._note_denied
 
     def _note_member(self, member: Member) -> None:
         if member.state is not MemberState.ALIVE:
@@ -97,12 +97,14 @@
     async def _check_quiet_records(self) -> None:
         now = self._shared.clock()
         for record in self._shared.table.list_live():
-            is_quiet = record.ended is None and record.touched < now - ORPHAN_AFTER
-            if not is_quiet or self._shared.is_own(record.ballot):
+            is_quiet = (
+                record.ended is None and record.last_update_at < now - ORPHAN_AFTER
+            )
+            if not is_quiet or self._shared.is_local_ballot(record.ballot):
                 continue
             if record.request in self._busy:
                 continue
-            record.touched = now
+            record.last_update_at = now
             self._busy.add(record.request)
             self._shared.jobs.start(self._check_quiet, record)
 
@@ -134,7 +136,7 @@
         if record.request in self._busy or self._is_owner_live(record.ballot):
             return False
         for host in record.replicas:
-            if host == self._shared.me.host:
+            if host == self._shared.local_member.host:
                 return True
             member = self._shared.membership.find(host)
             if member is not None and member.takes_work:
@@ -142,7 +144,7 @@
         return True
 
     def _is_owner_live(self, ballot: Ballot) -> bool:
-        if self._shared.is_own(ballot):
+        if self._shared.is_local_ballot(ballot):
             return True
         member = self._shared.membership.find(ballot.host)
         if member is None or member.incarnation > ballot.incarnation:
@@ -166,7 +168,7 @@
             self._busy.discard(record.request)
 
     async def _take_over_one(self, record: Record, is_orphan: bool) -> None:
-        others = [h for h in record.replicas if h != self._shared.me.host]
+        others = [h for h in record.replicas if h != self._shared.local_member.host]
         answered = await self._gather(record, others)
         if not self._is_mine_to_take(record):
             return
@@ -245,9 +247,9 @@
         which this copy's owner, cut off or paused, never heard.
         """
         home = find_home(record.request, self._shared.membership.members())
-        asked = {self._shared.me.host}
+        asked = {self._shared.local_member.host}
         answered: set[HostId] = set()
-        hosts = {*others, *(m.host for m in home[: self._shared.reach])} - asked
+        hosts = {*others, *(m.host for m in home[: self._shared.query_fanout])} - asked
 
         async def ask(host: HostId) -> None:
             message = wire.Find(request=record.request, with_tokens=True)
@@ -267,7 +269,7 @@
     def _learn(self, record: Record, found: Located, others: list[HostId]) -> None:
         theirs = found.record
         if theirs.ballot == record.ballot:
-            known = {*others, self._shared.me.host, record.ballot.host}
+            known = {*others, self._shared.local_member.host, record.ballot.host}
             others += [host for host in theirs.replicas if host not in known]
         now = self._shared.clock()
         if theirs.ballot > record.ballot:
@@ -306,7 +308,7 @@
             if member is None or member.incarnation != holder.incarnation:
                 await self._settle_without_holder(answer)
                 return
-            if self._shared.is_own(holder):
+            if self._shared.is_local_ballot(holder):
                 # An earlier ownership of ours gave the call up; its release is
                 # on its way. Asking without a pause would use up the budget of
                 # writes that the release needs.
@@ -317,7 +319,7 @@
             if found is not None and found.record.outcome is Outcome.DONE:
                 self._take_answer(answer, found.record)
                 return
-            if found is not None and self._shared.is_own(found.record.ballot):
+            if found is not None and self._shared.is_local_ballot(found.record.ballot):
                 found = None
             if found is None and not await self._is_holder_silent(holder):
                 self._attempts.park(answer)
--- a/dewridge/requests/following.py
+++ b/dewridge/requests/following.py
@@ -306,7 +306,7 @@
         members = [
             member
             for member in self._shared.membership.members()
-            if member.takes_work and member.host != self._shared.me.host
+            if member.takes_work and member.host != self._shared.local_member.host
         ]
         home = find_home(request, members)
         rest = [m for m in rank_members(request, members) if m not in home]
--- a/dewridge/requests/handlers.py
+++ b/dewridge/requests/handlers.py
@@ -135,7 +135,7 @@
         self, peer: PeerIdentity, message: wire.MergeUsage
     ) -> wire.MergeUsageReply:
         """Keep the counters of another process, so that they outlast it."""
-        self._usage.keep(*decode_usages(message))
+        self._usage.store_remote(*decode_usages(message))
         return wire.MergeUsageReply(taken=True)
 
     async def read_usage(
@@ -145,9 +145,9 @@
         # The schedulers' figures are booked every few seconds; a report that
         # did not ask for it would lack the work just done.
         self._book_usage()
-        me = self._shared.me
-        sources = self._usage.read_kept()
-        sources[me.host, me.incarnation] = self._usage.read_own()
+        me = self._shared.local_member
+        sources = self._usage.read_remote()
+        sources[me.host, me.incarnation] = self._usage.read_local()
         chosen = [
             encode_usages(source, {message.profile: usages[message.profile]})
             for source, usages in sources.items()
--- a/dewridge/requests/handoff.py
+++ b/dewridge/requests/handoff.py
@@ -170,7 +170,7 @@
                 return
         if answer.lost or record.ended is not None:
             return
-        if record.idempotent or not self._shared.keeps_calls_back:
+        if record.idempotent or not self._shared.is_withholding_calls:
             self._renew_ownership(answer)
         else:
             log.info("request {}: nobody has taken it yet", record.request)
@@ -189,7 +189,7 @@
             return False
         self._scheduling.withdraw(record)
         self._attempts.unpark(record.request)
-        if record.claim_asked:
+        if record.claim_requested:
             self._claims.give_up(record)
         return True
 
@@ -216,7 +216,9 @@
         rest = [
             h
             for h, member in members.items()
-            if member.takes_work and h not in live and h != self._shared.me.host
+            if member.takes_work
+            and h not in live
+            and h != self._shared.local_member.host
         ]
         return live + rest[:HANDOFF_TRIES]
 
@@ -225,7 +227,7 @@
         message = wire.Handoff(
             record=encode_record(record),
             tokens=list(record.tokens),
-            released=record.claim_asked,
+            released=record.claim_requested,
         )
         reply = await self._shared.call(host, message)
         if isinstance(reply, Failure) or not reply.taken:
--- a/dewridge/requests/locating.py
+++ b/dewridge/requests/locating.py
@@ -59,7 +59,7 @@
             owned = await self._ask_owner(local)
             if owned is not None:
                 return owned
-            me = self._shared.me.host
+            me = self._shared.local_member.host
             found.append(Located(me, local, False, len(local.tokens)))
         found += await self._ask_home(request)
         best = max(found, key=rate, default=None)
@@ -69,14 +69,14 @@
 
     async def _ask_owner(self, record: Record) -> Located | None:
         owner = record.ballot.host
-        if owner == self._shared.me.host:
+        if owner == self._shared.local_member.host:
             return None
         found = await self.ask(owner, record.request)
         return found if found is not None and found.is_owner else None
 
     async def _ask_home(self, request: RequestId) -> list[Located]:
         home = find_home(request, self._shared.membership.members())
-        reach = [m.host for m in home[: self._shared.reach]]
+        reach = [m.host for m in home[: self._shared.query_fanout]]
         found: list[Located] = []
 
         async def ask(host: HostId) -> None:
@@ -86,7 +86,7 @@
 
         async with trio.open_nursery() as nursery:
             for host in reach:
-                if host != self._shared.me.host:
+                if host != self._shared.local_member.host:
                     nursery.start_soon(ask, host)
         return found
 
@@ -104,8 +104,8 @@
             for member in self._shared.membership.members()
         ]
         home = find_home(request, members)
-        hosts = {m.host for m in home[: self._shared.reach]} | also
-        hosts.discard(self._shared.me.host)
+        hosts = {m.host for m in home[: self._shared.query_fanout]} | also
+        hosts.discard(self._shared.local_member.host)
         whole = Whole()
 
         async def ask(host: HostId) -> None:
--- a/dewridge/requests/ordering.py
+++ b/dewridge/requests/ordering.py
@@ -11,7 +11,7 @@
 SECONDS_IN_HOUR = 3600
 
 
-def name_attempt(me: Member, number: int) -> AttemptId:
+def make_attempt_id(me: Member, number: int) -> AttemptId:
     """Return the name of this process's attempt with a number."""
     return AttemptId(f"{me.host}-{me.incarnation:x}-{number}")
 
@@ -47,7 +47,7 @@
     )
 
 
-def charge(attempt: Attempt, server: BackendServer | None) -> None:
+def charge_attempt(attempt: Attempt, server: BackendServer | None) -> None:
     """Add to a request's cost what an attempt took of its server's time."""
     if server is None or not attempt.dispatched:
         return
--- a/dewridge/requests/outcomes.py
+++ b/dewridge/requests/outcomes.py
@@ -10,7 +10,7 @@
 """Seconds until asking again makes sense: a holder that woke up has delivered by
 then, or its host counts as dead."""
 
-PROVES_NOT_STARTED = (ResultCode.NOT_STARTED, ResultCode.BACKEND_SERVER_LEAVING)
+NOT_STARTED_CODES = (ResultCode.NOT_STARTED, ResultCode.BACKEND_SERVER_LEAVING)
 
 REFUSES_FOR_GOOD = (
     ResultCode.BACKEND_SERVER_REJECTED,
@@ -24,21 +24,21 @@
 }
 
 
-def judge_failure(failure: Failure, tokens_came: bool) -> AttemptOutcome:
+def classify_failure(failure: Failure, tokens_came: bool) -> AttemptOutcome:
     """Say what an attempt's failure proves.
 
     A code that promises "nothing ran" is not believed once tokens came.
     """
     if failure.code in REFUSES_FOR_GOOD and not tokens_came:
         return AttemptOutcome.REJECTED
-    if failure.code in PROVES_NOT_STARTED and not tokens_came:
+    if failure.code in NOT_STARTED_CODES and not tokens_came:
         return AttemptOutcome.NOT_STARTED
     if failure.code is ResultCode.BACKEND_SERVER_LEAVING:
         return AttemptOutcome.LEAVING
     return AttemptOutcome.LOST
 
 
-def choose_end(record: Record, failure: Failure) -> EndedEvent:
+def make_end_event(record: Record, failure: Failure) -> EndedEvent:
     """Turn the reason for giving a request up into words that are true."""
     code = failure.code
     outcome = TABLE[code].outcome
--- a/dewridge/requests/records.py
+++ b/dewridge/requests/records.py
@@ -64,8 +64,8 @@
         maybe_run: an attempt may have started; "not run" must not be said.
         renewals: generations begun under the present ballot.
         size: bytes that it holds since its end.
-        touched: when this host last heard of it from its owner.
-        claim_asked: this process asked for a claim under the present ballot.
+        last_update_at: when this host last heard of it from its owner.
+        claim_requested: this process asked for a claim under the present ballot.
     """
 
     request: RequestId
@@ -93,8 +93,8 @@
     ended: EndedEvent | None = None
     ended_at: float = 0.0
     renewals: int = 0
-    claim_asked: bool = False
-    touched: float = 0.0
+    claim_requested: bool = False
+    last_update_at: float = 0.0
     size: int = 0
 
     @property
--- a/dewridge/requests/refusals.py
+++ b/dewridge/requests/refusals.py
@@ -50,7 +50,7 @@
         elif member.host not in self._leaving:
             self._failed.setdefault(member.host, self._shared.clock())
 
-    def has_doubt(self, request: RequestId) -> bool:
+    def is_uncertain(self, request: RequestId) -> bool:
         """Whether a failed host may be the only one that knows a request.
 
         A crashed owner and a crashed replica, or a part of the deployment that
@@ -70,18 +70,18 @@
             if member is not None:
                 members[host] = replace(member, state=MemberState.ALIVE)
         home = find_home(request, members.values())
-        reach = {m.host for m in home[: self._shared.reach]}
+        reach = {m.host for m in home[: self._shared.query_fanout]}
         return any(host in reach for host in suspects)
 
 
-class Refuser:
+class RefusalConfirmer:
     """Leaves refusals with the home of a key."""
 
     def __init__(self, shared: Shared, failures: FailureLog) -> None:
         self._shared = shared
         self._failures = failures
 
-    async def refuse(
+    async def confirm(
         self,
         request: RequestId,
         number: int,
@@ -130,7 +130,7 @@
         """
         if any(isinstance(reply, Failure) for reply in replies.values()):
             return False
-        return number <= 1 or not self._failures.has_doubt(request)
+        return number <= 1 or not self._failures.is_uncertain(request)
 
     async def _ask(
         self,
@@ -141,8 +141,8 @@
         also: frozenset[HostId],
     ) -> dict[HostId, Any]:
         home = find_home(request, self._shared.membership.members())
-        reach = {m.host for m in home[: self._shared.reach]} | also
-        reach.discard(self._shared.me.host)
+        reach = {m.host for m in home[: self._shared.query_fanout]} | also
+        reach.discard(self._shared.local_member.host)
         message = wire.CloseSubmission(
             request=request,
             ended=encode_end(ended, number),
--- a/dewridge/requests/replicas.py
+++ b/dewridge/requests/replicas.py
@@ -185,7 +185,7 @@
     def _replace(self, have: Record | None, offered: Record, now: float) -> None:
         self._records[offered.request] = offered
         self._live[offered.request] = offered
-        offered.touched = now
+        offered.last_update_at = now
         if offered.ended is not None:
             offered.end(offered.ended, now)
             self._remember_refusal(offered, now)
@@ -201,7 +201,7 @@
         if have.ballot != run.ballot:
             is_old = run.ballot < have.ballot
             return RunReply.SUPERSEDED if is_old else RunReply.UNKNOWN
-        have.touched = now
+        have.last_update_at = now
         if have.ended is not None:
             return RunReply.APPLIED
         if have.generation != run.generation or run.offset > len(have.tokens):
--- a/dewridge/requests/replication.py
+++ b/dewridge/requests/replication.py
@@ -93,7 +93,7 @@
         ]
         chosen = choose_replicas(
             record.request,
-            self._shared.me,
+            self._shared.local_member,
             members,
             self._shared.settings.replicas,
         )
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -46,7 +46,7 @@
     def subscribe(self, listener: Callable[[BackendServer], None], /) -> None:
         """Call `listener` on each change."""
 
-    def note_leaving(
+    def handle_leaving(
         self, server: BackendServerId, at: float | None, source: str, /
     ) -> object:
         """Record that a backend server is leaving."""
@@ -138,7 +138,7 @@
             entry.scheduler.withdraw(record.request, self._shared.clock())
             self.wake()
 
-    def drop(self, assignment: Assignment) -> None:
+    def release_slot(self, assignment: Assignment) -> None:
         """Give back the slot of an assignment whose request is gone."""
         for entry in self._entries.values():
             entry.scheduler.withdraw(assignment.work.request, self._shared.clock())
@@ -214,7 +214,7 @@
                 self._hosts_changed = True
                 self._changed_services.add(ServiceName(name))
             else:
-                self._usage.note(entry.service, entry.scheduler.read_usage())
+                self._usage.record(entry.service, entry.scheduler.read_usage())
                 entry.service = service
                 entry.scheduler.set_profile(service, profile, now)
         self._synced_at = 0.0
@@ -228,9 +228,9 @@
         hosts = sorted(
             member.host
             for member in self._shared.membership.members()
-            if member.takes_work or member.host == self._shared.me.host
+            if member.takes_work or member.host == self._shared.local_member.host
         )
-        index = hosts.index(self._shared.me.host)
+        index = hosts.index(self._shared.local_member.host)
         now = self._shared.clock()
         for entry in self._entries.values():
             entry.scheduler.set_hosts(index, len(hosts), now)
@@ -264,10 +264,10 @@
             for move in entry.scheduler.note_leaving(server.id, at, now):
                 self.on_move(move.request, move.at, move.export_cache)
 
-    def read_usage(self) -> None:
+    def sync_usage(self) -> None:
         """Bring the ledger up to date with what the schedulers counted."""
         for entry in self._entries.values():
-            self._usage.note(entry.service, entry.scheduler.read_usage())
+            self._usage.record(entry.service, entry.scheduler.read_usage())
 
     def describe(self) -> dict[str, Any]:
         """Return the state for a dump."""
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -47,7 +47,7 @@
     Submission,
 )
 from dewridge.requests.records import Record, find_state
-from dewridge.requests.refusals import FailureLog, Refuser
+from dewridge.requests.refusals import FailureLog, RefusalConfirmer
 from dewridge.requests.replicas import RecordTable
 from dewridge.requests.replication import Replicator, make_unconfirmed
 from dewridge.requests.scheduling import MakeScheduler, Scheduling, Servers
@@ -97,7 +97,7 @@
         seed: int = 0,
         make_scheduler: MakeScheduler = Scheduler,
         orders: EngineOrders | None = None,
-        look: Callable[[str], Awaitable[Reach]] = look,
+        probe_server: Callable[[str], Awaitable[Reach]] = look,
     ) -> None:
         self._shared = shared = Shared(
             settings=settings,
@@ -108,7 +108,7 @@
             table=RecordTable(membership.me.host),
             jobs=Jobs(metrics),
         )
-        suspects = SuspectRequests(shared, rumors, look)
+        suspects = SuspectRequests(shared, rumors, probe_server)
         self._usage = UsageLedger()
         self._replicator = Replicator(shared)
         self._scheduling = Scheduling(
@@ -138,7 +138,7 @@
             stopping=Stopping(shared, servers, orders),
             suspects=suspects,
         )
-        self._refuser = Refuser(shared, FailureLog(shared))
+        self._refuser = RefusalConfirmer(shared, FailureLog(shared))
         self._acceptor = Acceptor(
             shared,
             self._replicator,
@@ -177,14 +177,14 @@
             self._replicator,
             self._attempts,
             self._usage,
-            self._scheduling.read_usage,
+            self._scheduling.sync_usage,
         )
         self._connect()
 
     def _connect(self) -> None:
         self._shared.table.on_replaced = self._note_replaced
         self._scheduling.on_abandoned = self._note_abandoned
-        self._ender.on_refused = self._attempts.release
+        self._ender.on_refused = self._attempts.release_claim
         peers = self._shared.peers
         for kind, handler in self._handlers.list_handlers():
             peers.handle(kind, handler)
@@ -302,9 +302,9 @@
 
     def _note_replaced(self, old: Record, new: Record | None) -> None:
         """Stop this host's work on a record that another ownership replaced."""
-        if not self._shared.is_own(old.ballot) or old.ended is not None:
+        if not self._shared.is_local_ballot(old.ballot) or old.ended is not None:
             return
-        if new is not None and self._shared.is_own(new.ballot):
+        if new is not None and self._shared.is_local_ballot(new.ballot):
             return
         answer = self._replicator.find(old.request)
         if answer is not None and answer.record is old:
@@ -317,7 +317,7 @@
             attempt.stop(StopCause.LOST)
         self._scheduling.withdraw(old)
         self._attempts.unpark(old.request)
-        self._attempts.release(old)
+        self._attempts.release_claim(old)
 
     async def drain(self, timeout: float, patience: float = 0.0) -> None:
         """Leave gracefully: finish or hand off every request, then return.
@@ -328,7 +328,7 @@
                 may still come.
         """
         await self._handoff.drain(timeout, self._is_accepting, patience)
-        self._scheduling.read_usage()
+        self._scheduling.sync_usage()
         await self._send_usage()
 
     def _is_accepting(self) -> bool:
@@ -351,21 +351,21 @@
     async def _spread_usage(self) -> None:
         while True:
             await trio.sleep(USAGE_PERIOD)
-            self._scheduling.read_usage()
+            self._scheduling.sync_usage()
             await self._send_usage()
 
     async def _send_usage(self) -> None:
         """Leave this process's counters with peers, so that they outlast it."""
-        me = self._shared.me
+        me = self._shared.local_member
         members = [
             m
             for m in self._shared.membership.members()
             if m.takes_work and m.host != me.host
         ]
-        own = self._usage.read_own()
+        own = self._usage.read_local()
         sources = {(me.host, me.incarnation): own}
         if self._shared.leaving:
-            sources |= self._usage.read_kept()
+            sources |= self._usage.read_remote()
         for member in rank_members(f"usage/{me.host}", members)[:USAGE_KEEPERS]:
             for source, usages in sources.items():
                 if usages:
@@ -374,15 +374,15 @@
 
     def read_usage(self) -> dict[str, dict[str, float]]:
         """Return what each profile cost and lost here, inherited counts included."""
-        self._scheduling.read_usage()
-        return self._usage.sum_up()
+        self._scheduling.sync_usage()
+        return self._usage.sum_all()
 
     async def read_usage_everywhere(self, profile: ProfileName) -> dict[str, float]:
         """Sum a profile's counters over all processes that counted them."""
-        self._scheduling.read_usage()
-        me = self._shared.me
-        newest = self._usage.read_kept()
-        newest[me.host, me.incarnation] = self._usage.read_own()
+        self._scheduling.sync_usage()
+        me = self._shared.local_member
+        newest = self._usage.read_remote()
+        newest[me.host, me.incarnation] = self._usage.read_local()
 
         async def ask(host: HostId) -> None:
             reply = await self._shared.call(host, wire.ReadUsage(profile=profile))
--- a/dewridge/requests/shared.py
+++ b/dewridge/requests/shared.py
@@ -76,12 +76,12 @@
     leaving: bool = False
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """Return this host's own entry."""
         return self.membership.me
 
     @property
-    def reach(self) -> int:
+    def query_fanout(self) -> int:
         """Hosts of a key's home to ask for what others may have accepted.
 
         An owner's replicas are among the first `replicas + 1` of the home. One
@@ -90,7 +90,7 @@
         return self.settings.replicas + 2
 
     @property
-    def keeps_calls_back(self) -> bool:
+    def is_withholding_calls(self) -> bool:
         """Whether calls that may not be repeated must not be sent from here now.
 
         A reclaimed host that sends one may be gone before its answer comes; the
@@ -100,16 +100,16 @@
         if not self.leaving:
             return False
         members = self.membership.members()
-        return any(m.takes_work and m.host != self.me.host for m in members)
+        return any(m.takes_work and m.host != self.local_member.host for m in members)
 
     def make_ballot(self, request: RequestId, above: int = 0) -> Ballot:
         """Begin an ownership by this host, above all that it has heard of."""
         epoch = max(self.table.find_epoch(request), above) + 1
-        return Ballot(epoch, self.me.host, self.me.incarnation)
+        return Ballot(epoch, self.local_member.host, self.local_member.incarnation)
 
-    def is_own(self, ballot: Ballot) -> bool:
+    def is_local_ballot(self, ballot: Ballot) -> bool:
         """Whether this very process holds the ownership."""
-        me = self.me
+        me = self.local_member
         return (ballot.host, ballot.incarnation) == (me.host, me.incarnation)
 
     def find_live(self, host: HostId) -> Member | None:
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -93,7 +93,7 @@
         account, _ = split_request_id(record.request)
         return self.check(account, record.service, record.operation, record.input)
 
-    async def note_lost(
+    async def handle_lost_attempt(
         self, attempt: Attempt, failure: Failure, server: BackendServer | None
     ) -> None:
         """Look whether a server ended that lost an attempt, and tell all hosts."""
@@ -130,7 +130,7 @@
         payload = EndPayload(account, record.service, end.at, end.sent_at)
         self._spread(digest, attempt.server, FIRST_WORD, payload)
 
-    def note_answered(self, record: Record) -> None:
+    def record_answered(self, record: Record) -> None:
         """Count the ends so far no more, on all hosts: the request can be answered."""
         if self._ledger.is_empty:
             return
--- a/dewridge/requests/taking.py
+++ b/dewridge/requests/taking.py
@@ -58,7 +58,9 @@
         self._shared.table.put(record)
         self._replicator.choose(record)
         answer = Answer(record)
-        if self._shared.me.host not in before and answer.replace_replicas(before):
+        if self._shared.local_member.host not in before and answer.replace_replicas(
+            before
+        ):
             renew_generation(record)
         self._replicator.add(answer)
         if not record.replicas:
--- a/dewridge/requests/usage.py
+++ b/dewridge/requests/usage.py
@@ -25,7 +25,7 @@
         """Count something for a profile."""
         self._own[profile][counter] += amount
 
-    def note(self, service: Service, usage: Usage) -> None:
+    def record(self, service: Service, usage: Usage) -> None:
         """Book what a service's scheduler counted since the last time.
 
         The scheduler counts on through a change of profile, so the difference
@@ -38,20 +38,20 @@
                 self._own[service.profile][counter] += grown
         self._seen[service.name] = dict(usage.counters)
 
-    def read_own(self) -> dict[str, Counters]:
+    def read_local(self) -> dict[str, Counters]:
         """Return this process's counters by profile."""
         return {profile: dict(counters) for profile, counters in self._own.items()}
 
-    def keep(self, source: Source, usages: dict[str, Counters]) -> None:
+    def store_remote(self, source: Source, usages: dict[str, Counters]) -> None:
         """Keep another process's counters, unless newer ones are here."""
         if is_newer(usages, self._kept.get(source)):
             self._kept[source] = usages
 
-    def read_kept(self) -> dict[Source, dict[str, Counters]]:
+    def read_remote(self) -> dict[Source, dict[str, Counters]]:
         """Return the counters kept of other processes."""
         return dict(self._kept)
 
-    def sum_up(self) -> dict[str, Counters]:
+    def sum_all(self) -> dict[str, Counters]:
         """Return the counters of this process and of those that it keeps."""
         return sum_counters([self._own, *self._kept.values()])
 
--- a/dewridge/tests/fleet/watcher_tests.py
+++ b/dewridge/tests/fleet/watcher_tests.py
@@ -145,7 +145,7 @@
     await fleet.step()
     heard: list[BackendServer] = []
     fleet.tables[7].subscribe(heard.append)
-    fleet.tables[2].note_leaving(ENGINE, None, "refusal")
+    fleet.tables[2].handle_leaving(ENGINE, None, "refusal")
     assert fleet.states() == {ServerState.LEAVING}
     assert [server.state for server in heard] == [ServerState.LEAVING]
     assert heard[0].leaving_at is not None
--- a/dewridge/tests/requests/committer_tests.py
+++ b/dewridge/tests/requests/committer_tests.py
@@ -47,7 +47,7 @@
         request: RequestId = make_request_id(
             ClientAccount("oficina"), make_key(self._random)
         )
-        me = self.shared.me
+        me = self.shared.local_member
         return ClaimIntent(request, Ballot(1, me.host, me.incarnation))
 
 
--- a/dewridge/tests/requests/failures_tests.py
+++ b/dewridge/tests/requests/failures_tests.py
@@ -372,7 +372,7 @@
         for place in range(3):
             at = cluster.nodes["host-0"].service._shared.clock() + 1.0
             name = f"engine-{place}"
-            cluster.servers.note_leaving(name, at, "notice")  # type: ignore[arg-type]
+            cluster.servers.handle_leaving(name, at, "notice")  # type: ignore[arg-type]
         for key in keys:
             seen = await cluster.follow("host-1", key)
             assert seen.tokens == make_tokens(key) and seen.restarts == 0
@@ -396,7 +396,7 @@
             attempts = cluster.nodes["host-0"].service._attempts
             server = next(iter(attempts._running.values())).server
             at = cluster.nodes["host-0"].service._shared.clock() + 1.5
-            cluster.servers.note_leaving(server, at, "notice")
+            cluster.servers.handle_leaving(server, at, "notice")
             seen = await cluster.follow("host-1", key)
             assert [seen.tokens] == cluster.workers.whole[key]
             assert cluster.workers.count(key) == (2 if confirms else 1)
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -268,7 +268,9 @@
     def subscribe(self, listener: Callable[[BackendServer], None]) -> None:
         self.listeners.append(listener)
 
-    def note_leaving(self, id: BackendServerId, at: float | None, source: str) -> None:
+    def handle_leaving(
+        self, id: BackendServerId, at: float | None, source: str
+    ) -> None:
         changed = replace(self.table[id], state=ServerState.LEAVING, leaving_at=at)
         self.table[id] = changed
         for listener in self.listeners:
@@ -508,7 +510,7 @@
             metrics=node.metrics,
             clock=read_clock,
             seed=1,
-            look=self.look,
+            probe_server=self.look,
         )
         self.nursery.start_soon(self._run, node)
         self.tell(member)
