--- a/dewridge/requests/codec.py
+++ b/dewridge/requests/codec.py
@@ -1,4 +1,4 @@
-"""Records and ends as the structures that travel between hosts."""
+"""Conversion of records and ends to and from the structures sent between hosts."""
 
 from typing import Any
 
@@ -16,11 +16,12 @@
 from dewridge.requests.model import AnswerSummary, EndedEvent
 from dewridge.requests.records import Ballot, Record
 
-NO_RETRY = -1.0
+NO_RETRY_AFTER = -1.0
+"""Value of the wire field `retry_after` for None."""
 
 
 def encode_record(record: Record) -> Any:
-    """Return a record without its tokens as a wire structure."""
+    """Return the wire structure of a record, without its tokens."""
     return wire.RequestRecord(
         request=record.request,
         service_name=record.service,
@@ -49,7 +50,7 @@
 
 
 def decode_record(message: Any, tokens: list[str] | None = None) -> Record:
-    """Return the record of a wire structure."""
+    """Return the record in a wire structure."""
     ballot = Ballot(
         message.epoch,
         HostId(message.owner),
@@ -82,12 +83,12 @@
 
 
 def encode_end(end: EndedEvent, number: int) -> Any:
-    """Return an end as a wire structure."""
+    """Return the wire structure of an end."""
     summary = end.summary
     return wire.RequestEnd(
         code=int(end.code),
         reason=end.reason,
-        retry_after=NO_RETRY if end.retry_after is None else end.retry_after,
+        retry_after=NO_RETRY_AFTER if end.retry_after is None else end.retry_after,
         body=end.body,
         tokens=summary.tokens,
         attempts=summary.attempts,
@@ -101,7 +102,7 @@
 
 
 def decode_end(message: Any) -> EndedEvent:
-    """Return the end of a wire structure; an unknown code counts as unknown."""
+    """Return the end in a wire structure; an unknown code becomes OUTCOME_UNKNOWN."""
     try:
         code = ResultCode(message.code)
     except ValueError:
--- a/dewridge/requests/model.py
+++ b/dewridge/requests/model.py
@@ -1,4 +1,4 @@
-"""Requests as callers, owners and replicas see them."""
+"""Data types of requests, their answers and their results."""
 
 from contextlib import AbstractAsyncContextManager
 from dataclasses import dataclass, field
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """One sending of a request by a caller.
+    """One submission of a request by a caller.
 
     Attributes:
-        key: UUIDv7 that names the request; the same in every repeat.
-        number: counts the caller's sendings of the key from 1. A refusal of
-            number n holds for all numbers up to n and for no later one.
-        deadline: seconds since 1970 by which the whole answer is wanted.
+        key: UUIDv7 that identifies the request; the same in every retry.
+        number: counts the caller's submissions of the key from 1. A refusal of
+            number n applies to all numbers up to n and to no later one.
+        deadline: time by which the complete answer is due, in seconds since 1970.
         input: prompt text for a model, JSON text for a plain service.
-        max_tokens: bound on generated tokens; 0 for a plain service.
+        max_tokens: limit on generated tokens; 0 for a plain service.
     """
 
     account: ClientAccount
@@ -43,7 +43,7 @@
 
 
 class RequestState(Enum):
-    """How far a request has come."""
+    """Processing state of a request, as shown to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -56,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The request is kept by this host and at least one replica.
+    """The request is accepted: this host and at least one replica store it.
 
     Attributes:
-        attached: whether an earlier submission of the key was joined.
+        attached: whether the submission was attached to an existing request.
     """
 
     request: RequestId
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokensEvent:
-    """Tokens of the answer, in order, from `offset` of a generation on."""
+    """Consecutive tokens of an answer's generation, starting at `offset`."""
 
     generation: Generation
     offset: int
@@ -78,34 +78,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartEvent:
-    """Earlier generations are void; the answer begins anew."""
+    """Tokens of earlier generations are invalid; the answer restarts."""
 
     generation: Generation
 
 
 @dataclass(frozen=True, slots=True)
 class MovedEvent:
-    """This host goes; continue at one of these frontend addresses."""
+    """This host is leaving; the caller continues at one of these frontend addresses."""
 
     addresses: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatEvent:
-    """Nothing new, but the hop is alive."""
+    """No new data; shows that the connection is alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerSummary:
-    """What is told with the end of an answer.
+    """Statistics that are sent with the end of an answer.
 
     Attributes:
-        tokens: count of tokens in the whole answer.
-        attempts: dispatches that it took.
+        tokens: number of tokens in the complete answer.
+        attempts: number of dispatches to backend servers.
         recomputed: tokens computed more than once.
-        cost: money, by the backend servers' prices and the time held.
-        backend_server: id of the one that finished it.
-        failure_domain: where that one is.
+        cost: cost by the backend servers' prices and the time used.
+        backend_server: id of the backend server that completed the answer.
+        failure_domain: failure domain of that backend server.
         profile: name of the profile in force at acceptance.
     """
 
@@ -120,10 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedEvent:
-    """The final word on a request; nothing follows.
+    """The final result of a request; no event follows it.
 
     Attributes:
-        code: OK, or why there is no whole answer (see `codes.TABLE`).
+        code: OK, or why there is no complete answer (see `codes.TABLE`).
         body: a plain service's answer as JSON text.
     """
 
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestStatus:
-    """A request as looked up by its key."""
+    """The status of a request, looked up by its key."""
 
     request: RequestId
     state: RequestState
@@ -152,10 +152,10 @@
 
 
 class Requests(Protocol):
-    """What the frontend asks of the requests part of an entry host."""
+    """The interface of request processing that the frontend uses."""
 
     async def submit(self, submission: Submission) -> Accepted | Failure:
-        """Accept a request, join the one that runs, or refuse it."""
+        """Accept a submission, attach it to the request of its key, or refuse it."""
 
     def follow(
         self,
@@ -164,19 +164,19 @@
         generation: Generation,
         offset: int,
     ) -> AnswerStream:
-        """Stream an answer from a place on, wherever in the system it runs.
+        """Stream an answer from an offset on, whichever host owns the request.
 
-        The channel ends after an EndedEvent or a MovedEvent; a request that
-        is not known anywhere ends at once with UNKNOWN_REQUEST. A generation
-        of 0 asks for the current one from the start.
+        The channel ends after an EndedEvent or a MovedEvent. A request that no
+        host knows ends immediately with UNKNOWN_REQUEST. A generation of 0 selects
+        the current one from its start.
         """
 
     async def look_up(
         self, account: ClientAccount, key: RequestKey
     ) -> RequestStatus | Failure:
-        """Say how far a request has come: UNKNOWN_REQUEST if nobody knows it."""
+        """Return the status of a request; UNKNOWN_REQUEST if no host knows it."""
 
     async def cancel(
         self, account: ClientAccount, key: RequestKey
     ) -> RequestStatus | Failure:
-        """End a request as soon as may be; says what became of it."""
+        """Cancel a request as early as possible and return its status."""
--- a/dewridge/requests/records.py
+++ b/dewridge/requests/records.py
@@ -1,4 +1,4 @@
-"""What is known of one request, and how owners of it are ordered."""
+"""Records of requests, and ballots that order their owners."""
 
 from dataclasses import dataclass, field
 
@@ -16,15 +16,16 @@
 )
 from dewridge.requests.model import EndedEvent, RequestState, Submission
 
-GENERATION_BITS = 16
+GENERATION_HASH_BITS = 16
+"""Number of low bits of a generation that hold a hash; the epoch is above them."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """One host's ownership of a request; of two the greater one wins.
+    """One host's ownership of a request; the greatest ballot takes precedence.
 
     Attributes:
-        epoch: raised with each change of owner.
+        epoch: increases with each change of owner.
     """
 
     epoch: int
@@ -32,24 +33,24 @@
     incarnation: Incarnation
 
     def is_same_process(self, other: "Ballot") -> bool:
-        """Whether both are ownerships of one start of one host."""
+        """Whether both belong to the same incarnation of the same host."""
         return (self.host, self.incarnation) == (other.host, other.incarnation)
 
 
 def make_generation(ballot: Ballot, renewal: int = 0) -> Generation:
-    """Number an answer's token sequence so that no two owners share a number.
+    """Return a number for an answer's token sequence that differs between owners.
 
-    Two owners that were cut off from each other may each generate an answer.
-    Under one number a caller that reconnects would be given the start of one
-    answer and the end of the other; its text would read as garbled.
+    Two owners that are partitioned from each other may each generate an answer.
+    If both used the same number, a caller that reconnects would receive the start
+    of one answer and the rest of the other, a garbled text.
     """
     subject = f"{ballot.host}/{ballot.incarnation}/{renewal}"
-    low = xxhash.xxh3_64_intdigest(subject.encode()) & ((1 << GENERATION_BITS) - 1)
-    return Generation((ballot.epoch << GENERATION_BITS) | low)
+    low = xxhash.xxh3_64_intdigest(subject.encode()) & ((1 << GENERATION_HASH_BITS) - 1)
+    return Generation((ballot.epoch << GENERATION_HASH_BITS) | low)
 
 
 def digest_input(service: str, operation: str, text: str) -> int:
-    """Return a digest by which a key used for other input is noticed."""
+    """Return a digest that detects the reuse of a key with different input."""
     value: int = xxhash.xxh3_64_intdigest(f"{service}\0{operation}\0{text}".encode())
     return value
 
@@ -59,13 +60,13 @@
     """A request with its owner, its state and the tokens of its answer.
 
     Attributes:
-        number: highest submission number that was joined to it.
+        number: highest submission number that is attached to it.
         pending: its owner has not accepted it yet.
-        maybe_run: an attempt may have started; "not run" must not be said.
-        renewals: generations begun under the present ballot.
-        size: bytes that it holds since its end.
-        last_update_at: when this host last heard of it from its owner.
-        claim_requested: this process asked for a claim under the present ballot.
+        maybe_run: an attempt may have started, so that it can't end as "not run".
+        renewals: number of times the generation was renewed under this ballot.
+        size: bytes of memory it occupies; set when it ends.
+        last_update_at: when this host last received an update from its owner.
+        claim_requested: this process requested a claim under this ballot.
     """
 
     request: RequestId
@@ -99,12 +100,12 @@
 
     @property
     def has_all_tokens(self) -> bool:
-        """Whether a model's answer lacks nothing but its end."""
+        """Whether a model's answer is complete except for its end."""
         return 0 < self.max_tokens <= len(self.tokens)
 
     @property
     def outcome(self) -> Outcome:
-        """What its end says, or that it goes on."""
+        """The outcome of its end, or RUNNING if it has not ended."""
         return Outcome.RUNNING if self.ended is None else TABLE[self.ended.code].outcome
 
     @property
@@ -115,7 +116,7 @@
         return find_state(self.ended.code)
 
     def end(self, event: EndedEvent, now: float) -> None:
-        """Close the record; the input is no longer needed."""
+        """Mark the record as ended and discard its input, which is no longer needed."""
         self.ended = event
         self.ended_at = now
         self.pending = False
@@ -123,7 +124,7 @@
         self.size = self.count_bytes()
 
     def count_bytes(self) -> int:
-        """Return about how much memory the record holds."""
+        """Return an estimate of the memory that the record occupies."""
         body = len(self.ended.body) if self.ended else 0
         return 600 + len(self.input) + body + sum(len(t) + 50 for t in self.tokens)
 
@@ -147,7 +148,7 @@
     profile: ProfileName,
     now: float,
 ) -> Record:
-    """Begin a record for a submission under a new ownership."""
+    """Return a new pending record for a submission under a ballot."""
     return Record(
         request=request,
         service=submission.service,
--- a/dewridge/requests/refusals.py
+++ b/dewridge/requests/refusals.py
@@ -1,9 +1,9 @@
-"""Refusing a submission so that "not run" holds.
+"""Confirmation of refusals, so that a submission reported as "not run" never runs.
 
-Three ways lead from a refusal to a lie: an earlier sending of the key runs at
-another entry host; a delayed copy of this sending is accepted later; a replica
-revives a record that was given up. So the refusal is first left with the hosts
-where any acceptance of the key would have to leave a copy.
+A refused submission could still run in three ways: an earlier submission of the
+key runs on another entry host; a delayed duplicate of this submission is accepted
+later; a replica restores a record that was abandoned. The refusal is therefore
+first stored on the hosts where any acceptance of the key must store a copy.
 """
 
 from dataclasses import replace
@@ -24,60 +24,62 @@
 from dewridge.sentinels import Failure
 
 RETRY_AFTER = 1.0
-"""Seconds until an unconfirmed refusal is worth repeating: by then the membership
-has noticed a host that does not answer."""
-CUT_OFF_MARGIN = 10.0
-"""A host that is cut off stops admitting after some seconds; keys made later than
-this after its failure can't have been accepted by it."""
+"""Seconds after which a caller may retry an unconfirmed refusal; by then the membership
+has detected a host that does not answer."""
+PARTITION_MARGIN = 10.0
+"""Keys created more than this many seconds after a host's failure can't have been
+accepted by it, since a partitioned host stops admitting after some seconds."""
 
 
-class FailureLog:
-    """Remembers when members failed without having said that they leave."""
+class MemberFailureLog:
+    """Records when members failed without announcing that they leave."""
 
     def __init__(self, shared: Shared) -> None:
         self._shared = shared
-        self._failed: dict[HostId, float] = {}
+        self._failed_at: dict[HostId, float] = {}
         self._leaving: set[HostId] = set()
-        shared.membership.subscribe(self._note)
+        shared.membership.subscribe(self._handle_member_change)
 
-    def _note(self, member: Member) -> None:
+    def _handle_member_change(self, member: Member) -> None:
         if member.state is MemberState.LEAVING:
             self._leaving.add(member.host)
         elif member.state is MemberState.ALIVE:
             self._leaving.discard(member.host)
-            if member.host in self._failed and member.refutation:
-                del self._failed[member.host]
+            if member.host in self._failed_at and member.refutation:
+                del self._failed_at[member.host]
         elif member.host not in self._leaving:
-            self._failed.setdefault(member.host, self._shared.clock())
+            self._failed_at.setdefault(member.host, self._shared.clock())
 
     def is_uncertain(self, request: RequestId) -> bool:
         """Whether a failed host may be the only one that knows a request.
 
-        A crashed owner and a crashed replica, or a part of the deployment that
-        is cut off, may have accepted an earlier sending. Nobody here could
-        tell, so "not run" must not be said of a repeated key.
+        A crashed owner and its crashed replica, or a partitioned part of the
+        deployment, may have accepted an earlier submission. No reachable host can
+        rule that out, so a retried key must not be reported as "not run".
         """
         now = self._shared.clock()
         limit = now - self._shared.settings.retention
-        self._failed = {h: at for h, at in self._failed.items() if at > limit}
-        made = read_request_time(request)
-        suspects = [h for h, at in self._failed.items() if at > made - CUT_OFF_MARGIN]
-        if not suspects:
+        self._failed_at = {h: at for h, at in self._failed_at.items() if at > limit}
+        key_time = read_request_time(request)
+        failed_hosts = [
+            h for h, at in self._failed_at.items() if at > key_time - PARTITION_MARGIN
+        ]
+        if not failed_hosts:
             return False
         members = {m.host: m for m in self._shared.membership.members()}
-        for host in suspects:
+        for host in failed_hosts:
             member = self._shared.membership.find(host)
             if member is not None:
                 members[host] = replace(member, state=MemberState.ALIVE)
-        home = find_home(request, members.values())
-        reach = {m.host for m in home[: self._shared.query_fanout]}
-        return any(host in reach for host in suspects)
+        preference_list = find_home(request, members.values())
+        queried_hosts = {m.host for m in preference_list[: self._shared.query_fanout]}
+        return any(host in queried_hosts for host in failed_hosts)
 
 
 class RefusalConfirmer:
-    """Leaves refusals with the home of a key."""
+    """Stores refusals on the hosts that may hold a copy of a request."""
 
-    def __init__(self, shared: Shared, failures: FailureLog) -> None:
+    def __init__(self, shared: Shared, failures: MemberFailureLog) -> None:
         self._shared = shared
         self._failures = failures
 
@@ -87,30 +89,30 @@
         number: int,
         failure: Failure,
         ballot: Ballot,
-        also: frozenset[HostId] = frozenset(),
+        extra_hosts: frozenset[HostId] = frozenset(),
     ) -> Failure | Record:
         """Confirm a refusal.
 
         Args:
-            request: what is refused.
-            number: submission number that the refusal holds for.
-            failure: what the caller is to be told.
-            ballot: ownership under which copies may have been left.
-            also: hosts that may hold such a copy.
+            request: the refused request.
+            number: highest submission number that the refusal applies to.
+            failure: result to return to the caller.
+            ballot: ownership under which copies may have been stored.
+            extra_hosts: further hosts that may hold such a copy.
 
         Returns:
-            The failure if it is certain, OUTCOME_UNKNOWN if it is not, or the
-            record of the request if it lives or has ended elsewhere.
+            The failure if the refusal is certain, OUTCOME_UNKNOWN if it is not, or
+            the record of the request if it is live or has ended elsewhere.
         """
         ended = EndedEvent(failure.code, failure.reason, failure.retry_after)
         now = self._shared.clock()
         record = self._shared.table.close(request, number, ended, ballot, now)
         if record is not None:
             return record
-        replies = await self._ask(request, number, ended, ballot, also)
-        known = pick_known(replies)
-        if known is not None:
-            return known
+        replies = await self._send_refusal(request, number, ended, ballot, extra_hosts)
+        newest = find_newest(replies)
+        if newest is not None:
+            return newest
         if self._is_certain(request, number, replies):
             return failure
         self._shared.metrics.add("requests_unconfirmed_refusals")
@@ -123,26 +125,28 @@
     def _is_certain(
         self, request: RequestId, number: int, replies: dict[HostId, Any]
     ) -> bool:
-        """Whether nobody that could have accepted the key stayed silent.
+        """Whether every host that may have accepted the key confirmed the refusal.
 
-        A host that can't be reached may be the only one that knows a copy of
-        this very submission, sent to two entry hosts at once.
+        An unreachable host may be the only one that knows of a duplicate of this
+        submission, if it was sent to two entry hosts at once.
         """
         if any(isinstance(reply, Failure) for reply in replies.values()):
             return False
         return number <= 1 or not self._failures.is_uncertain(request)
 
-    async def _ask(
+    async def _send_refusal(
         self,
         request: RequestId,
         number: int,
         ended: EndedEvent,
         ballot: Ballot,
-        also: frozenset[HostId],
+        extra_hosts: frozenset[HostId],
     ) -> dict[HostId, Any]:
-        home = find_home(request, self._shared.membership.members())
-        reach = {m.host for m in home[: self._shared.query_fanout]} | also
-        reach.discard(self._shared.local_member.host)
+        preference_list = find_home(request, self._shared.membership.members())
+        queried_hosts = {
+            m.host for m in preference_list[: self._shared.query_fanout]
+        } | extra_hosts
+        queried_hosts.discard(self._shared.local_member.host)
         message = wire.CloseSubmission(
             request=request,
             ended=encode_end(ended, number),
@@ -153,18 +157,18 @@
         )
         replies: dict[HostId, Any] = {}
 
-        async def ask(host: HostId) -> None:
+        async def send(host: HostId) -> None:
             replies[host] = await self._shared.call(host, message)
 
         async with trio.open_nursery() as nursery:
-            for host in reach:
-                nursery.start_soon(ask, host)
+            for host in queried_hosts:
+                nursery.start_soon(send, host)
         return replies
 
     async def withdraw(
         self, request: RequestId, ballot: Ballot, hosts: frozenset[HostId]
     ) -> None:
-        """Take back copies of a record whose caller joined another owner's."""
+        """Remove copies of a record whose caller was attached to another owner's."""
         message = wire.CloseSubmission(
             request=request,
             ended=encode_end(EndedEvent(ResultCode.CANCELLED), 0),
@@ -178,8 +182,8 @@
                 nursery.start_soon(self._shared.call, host, message)
 
 
-def pick_known(replies: dict[HostId, Any]) -> Record | None:
-    """Return the record of the greatest ballot that a peer knows."""
+def find_newest(replies: dict[HostId, Any]) -> Record | None:
+    """Return the record with the greatest ballot among the replies."""
     found: list[Record] = []
     for reply in replies.values():
         if isinstance(reply, Failure) or reply.known is None:
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -1,4 +1,4 @@
-"""The requests part of an entry host: wiring of its modules and its interface."""
+"""Request processing on an entry host: wiring of its modules and its interface."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -47,7 +47,7 @@
     Submission,
 )
 from dewridge.requests.records import Record, find_state
-from dewridge.requests.refusals import FailureLog, RefusalConfirmer
+from dewridge.requests.refusals import MemberFailureLog, RefusalConfirmer
 from dewridge.requests.replicas import RecordTable
 from dewridge.requests.replication import Replicator, make_unconfirmed
 from dewridge.requests.scheduling import MakeScheduler, Scheduling, Servers
@@ -66,17 +66,19 @@
 from dewridge.settings.schema import RequestSettings
 from dewridge.supervision.tree import Run
 
-FORGET_PERIOD = 2.0
-ANSWER_BYTES = 12_000_000
-"""Memory for answers that have ended; a fifth of a host's whole allowance."""
-USAGE_PERIOD = 5.0
-"""Seconds between two copies of the usage counters to peers; a host that dies
-takes at most this much of the accounts with it."""
-USAGE_KEEPERS = 2
+CLEANUP_INTERVAL = 2.0
+"""Seconds between two removals of expired records and answers."""
+MAX_ANSWER_BYTES = 12_000_000
+"""Memory limit for ended answers; a fifth of a host's total memory allowance."""
+USAGE_INTERVAL = 5.0
+"""Seconds between two copies of the usage counters to peers. When a host crashes, at
+most the usage of this period is lost."""
+USAGE_REPLICAS = 2
+"""Number of peers that store a copy of this process's usage counters."""
 
 
 class RequestService:
-    """Accepts, runs, keeps and follows requests on one entry host."""
+    """Accepts, runs, stores and follows requests on one entry host."""
 
     def __init__(
         self,
@@ -138,12 +140,12 @@
             stopping=Stopping(shared, servers, orders),
             suspects=suspects,
         )
-        self._refuser = RefusalConfirmer(shared, FailureLog(shared))
+        self._refusals = RefusalConfirmer(shared, MemberFailureLog(shared))
         self._acceptor = Acceptor(
             shared,
             self._replicator,
             self._scheduling,
-            self._refuser,
+            self._refusals,
             configuration=configuration,
             admission_gate=admission_gate,
             suspects=suspects,
@@ -182,8 +184,8 @@
         self._connect()
 
     def _connect(self) -> None:
-        self._shared.table.on_replaced = self._note_replaced
-        self._scheduling.on_abandoned = self._note_abandoned
+        self._shared.table.on_replaced = self._handle_replaced
+        self._scheduling.on_abandoned = self._handle_abandoned
         self._ender.on_refused = self._attempts.release_claim
         peers = self._shared.peers
         for kind, handler in self._handlers.list_handlers():
@@ -196,18 +198,18 @@
         peers.handle(wire.Cancel, self._serve_cancel)
 
     def list_tasks(self) -> list[tuple[str, Run]]:
-        """Return the tasks for the supervisor."""
+        """Return the names and functions of the tasks that the supervisor runs."""
         return [
             ("jobs", self._shared.jobs.run),
             ("scheduling", self._scheduling.run),
             ("failover", self._failover.run),
             ("claims-cleaning", self._committer.clean),
-            ("forgetting", self._forget),
-            ("usage", self._spread_usage),
+            ("forgetting", self._run_cleanup),
+            ("usage", self._run_usage_copies),
         ]
 
     async def submit(self, submission: Submission) -> Accepted | Failure:
-        """Accept a request, join the one that runs, or refuse it."""
+        """Accept a submission, attach it to the request of its key, or refuse it."""
         return await self._acceptor.submit(submission)
 
     def follow(
@@ -217,14 +219,14 @@
         generation: Generation,
         offset: int,
     ) -> AbstractAsyncContextManager["trio.MemoryReceiveChannel[AnswerEvent]"]:
-        """Stream an answer from a place on, wherever it runs."""
+        """Stream an answer from an offset on, whichever host owns the request."""
         request = make_request_id(account, key)
         return self._followers.follow(request, generation, offset)
 
     async def look_up(
         self, account: ClientAccount, key: RequestKey
     ) -> RequestStatus | Failure:
-        """Say how far a request has come."""
+        """Return the status of a request, whichever host owns it."""
         request = make_request_id(account, key)
         await self._followers.look_for_answer(request)
         answer = self._followers.find_answer(request)
@@ -243,7 +245,7 @@
     async def cancel(
         self, account: ClientAccount, key: RequestKey
     ) -> RequestStatus | Failure:
-        """End a request as soon as may be; says what became of it."""
+        """Cancel a request as early as possible and return its status."""
         request = make_request_id(account, key)
         answer = self._replicator.find(request)
         if answer is None or answer.lost:
@@ -255,21 +257,21 @@
                     self._shared.settings.replica_timeout * 3,
                 )
         else:
-            await self._cancel_here(answer)
+            await self._cancel_owned(answer)
         return await self.look_up(account, key)
 
-    async def _cancel_here(self, answer: Answer) -> None:
-        """Cancel a request of this host.
+    async def _cancel_owned(self, answer: Answer) -> None:
+        """Cancel a request that this host owns.
 
-        A call that may not be repeated and was sent goes on unless its engine
-        confirms the stop: to listen no more would make its outcome unknown.
+        A sent non-idempotent call continues unless its engine confirms that it
+        stopped: dropping the connection would make its outcome unknown.
         """
         record = answer.record
         attempt = self._attempts.find(record.request)
         if record.ended is None:
-            sent = attempt is not None and attempt.dispatched
+            is_sent = attempt is not None and attempt.dispatched
             code = ResultCode.CANCELLED
-            if attempt is not None and sent and not record.idempotent:
+            if attempt is not None and is_sent and not record.idempotent:
                 if not await self._attempts.stopping.stop_surely(attempt):
                     return
                 code = ResultCode.CANCELLED_RUNNING
@@ -288,20 +290,20 @@
         answer = self._replicator.find(RequestId(message.request))
         if answer is None or answer.lost:
             return wire.CancelReply(found=False)
-        await self._cancel_here(answer)
+        await self._cancel_owned(answer)
         record = answer.record
         visible = record.ended if answer.end_visible else None
         return wire.CancelReply(
             found=True, ended=encode_end(visible, record.number) if visible else None
         )
 
-    def _note_abandoned(self, request: RequestId, failure: Failure) -> None:
+    def _handle_abandoned(self, request: RequestId, failure: Failure) -> None:
         answer = self._replicator.find(request)
         if answer is not None:
             self._ender.give_up(answer, failure)
 
-    def _note_replaced(self, old: Record, new: Record | None) -> None:
-        """Stop this host's work on a record that another ownership replaced."""
+    def _handle_replaced(self, old: Record, new: Record | None) -> None:
+        """Stop this host's work on a record that another owner's record replaced."""
         if not self._shared.is_local_ballot(old.ballot) or old.ended is not None:
             return
         if new is not None and self._shared.is_local_ballot(new.ballot):
@@ -324,8 +326,8 @@
 
         Args:
             timeout: seconds in which requests are handed off.
-            patience: seconds after that in which answers to calls that were sent
-                may still come.
+            patience: seconds after that during which answers to calls already sent
+                are still awaited.
         """
         await self._handoff.drain(timeout, self._is_accepting, patience)
         self._scheduling.sync_usage()
@@ -334,12 +336,12 @@
     def _is_accepting(self) -> bool:
         return not self._acceptor.is_idle
 
-    async def _forget(self) -> None:
+    async def _run_cleanup(self) -> None:
         while True:
-            await trio.sleep(FORGET_PERIOD)
+            await trio.sleep(CLEANUP_INTERVAL)
             table = self._shared.table
             evicted = table.forget(
-                self._shared.clock(), self._shared.settings.retention, ANSWER_BYTES
+                self._shared.clock(), self._shared.settings.retention, MAX_ANSWER_BYTES
             )
             self._claims.forget()
             if evicted:
@@ -348,61 +350,66 @@
                 if table.find(answer.record.request) is not answer.record:
                     self._replicator.remove(answer)
 
-    async def _spread_usage(self) -> None:
+    async def _run_usage_copies(self) -> None:
         while True:
-            await trio.sleep(USAGE_PERIOD)
+            await trio.sleep(USAGE_INTERVAL)
             self._scheduling.sync_usage()
             await self._send_usage()
 
     async def _send_usage(self) -> None:
-        """Leave this process's counters with peers, so that they outlast it."""
-        me = self._shared.local_member
+        """Copy usage counters to peers, so that they survive the end of this process.
+
+        A leaving host also copies the counters that it stores for other processes.
+        """
+        local_member = self._shared.local_member
         members = [
             m
             for m in self._shared.membership.members()
-            if m.takes_work and m.host != me.host
+            if m.takes_work and m.host != local_member.host
         ]
-        own = self._usage.read_local()
-        sources = {(me.host, me.incarnation): own}
+        local_usage = self._usage.read_local()
+        usage_by_process = {(local_member.host, local_member.incarnation): local_usage}
         if self._shared.leaving:
-            sources |= self._usage.read_remote()
-        for member in rank_members(f"usage/{me.host}", members)[:USAGE_KEEPERS]:
-            for source, usages in sources.items():
+            usage_by_process |= self._usage.read_remote()
+        for member in rank_members(f"usage/{local_member.host}", members)[
+            :USAGE_REPLICAS
+        ]:
+            for process, usages in usage_by_process.items():
                 if usages:
-                    message = encode_usages(source, usages)
+                    message = encode_usages(process, usages)
                     await self._shared.call(member.host, message)
 
     def read_usage(self) -> dict[str, dict[str, float]]:
-        """Return what each profile cost and lost here, inherited counts included."""
+        """Return all counters by profile, including those of other processes."""
         self._scheduling.sync_usage()
         return self._usage.sum_all()
 
     async def read_usage_everywhere(self, profile: ProfileName) -> dict[str, float]:
-        """Sum a profile's counters over all processes that counted them."""
+        """Return the sum of a profile's counters over all processes."""
         self._scheduling.sync_usage()
-        me = self._shared.local_member
+        local_member = self._shared.local_member
         newest = self._usage.read_remote()
-        newest[me.host, me.incarnation] = self._usage.read_local()
+        newest[local_member.host, local_member.incarnation] = self._usage.read_local()
 
-        async def ask(host: HostId) -> None:
+        async def query(host: HostId) -> None:
             reply = await self._shared.call(host, wire.ReadUsage(profile=profile))
             if isinstance(reply, Failure):
                 return
             for message in reply.usages:
-                source, usages = decode_usages(message)
-                mine = newest.get(source, {}).get(profile, {})
-                is_me = source == (me.host, me.incarnation)
-                if not is_me and is_newer(usages, {str(profile): mine}):
-                    newest[source] = usages
+                process, usages = decode_usages(message)
+                known_counters = newest.get(process, {}).get(profile, {})
+                is_self = process == (local_member.host, local_member.incarnation)
+                if not is_self and is_newer(usages, {str(profile): known_counters}):
+                    newest[process] = usages
 
         async with trio.open_nursery() as nursery:
             for member in self._shared.membership.members():
-                if member.host != me.host:
-                    nursery.start_soon(ask, member.host)
+                if member.host != local_member.host:
+                    nursery.start_soon(query, member.host)
         return sum_counters(list(newest.values())).get(profile, {})
 
     async def describe(self) -> dict[str, Any]:
-        """Return the state for a dump: counts and figures, no inputs or answers."""
+        """Return the state for a diagnostic dump, without inputs and answers."""
         return {
             "records": self._shared.table.count(),
             "drain": describe_drain(self._shared, self._followers),
@@ -413,7 +420,7 @@
 
 
 def make_status(answer: Answer) -> RequestStatus:
-    """Return the status of an answer as its callers may see it."""
+    """Return the status of an answer that its callers may see."""
     record = answer.record
     ended = record.ended if answer.end_visible else None
     state = find_state(ended.code) if ended else record.state
--- a/dewridge/requests/shared.py
+++ b/dewridge/requests/shared.py
@@ -1,4 +1,4 @@
-"""What the modules of the requests part share on one host."""
+"""State and interfaces that the modules of this package share on one host."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -23,47 +23,47 @@
 
 
 class Jobs:
-    """Runs short-lived jobs, each shielded from the faults of the others."""
+    """Runs short-lived jobs and isolates each from exceptions in the others."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
         self._nursery: trio.Nursery | None = None
-        self._waiting: list[tuple[Job, tuple[Any, ...]]] = []
+        self._queued: list[tuple[Job, tuple[Any, ...]]] = []
 
     async def run(self) -> None:
-        """Run the jobs that are started, until cancelled."""
+        """Run jobs as they are started, until cancelled."""
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
-                for job, arguments in self._waiting:
-                    nursery.start_soon(self._guard, job, arguments)
-                self._waiting.clear()
+                for job, arguments in self._queued:
+                    nursery.start_soon(self._run_guarded, job, arguments)
+                self._queued.clear()
                 await trio.sleep_forever()
         finally:
             self._nursery = None
 
     def start(self, job: Job, *arguments: Any) -> None:
-        """Start a job; it waits if `run` has not begun."""
+        """Start a job, or queue it until `run` is called."""
         if self._nursery is None:
-            self._waiting.append((job, arguments))
+            self._queued.append((job, arguments))
         else:
-            self._nursery.start_soon(self._guard, job, arguments)
+            self._nursery.start_soon(self._run_guarded, job, arguments)
 
-    async def _guard(self, job: Job, arguments: tuple[Any, ...]) -> None:
+    async def _run_guarded(self, job: Job, arguments: tuple[Any, ...]) -> None:
         try:
             await job(*arguments)
-        except Exception as error:  # one job's fault must not end the others
+        except Exception as error:  # must not cancel the other jobs
             self._metrics.add("request_job_faults")
-            log.opt(exception=error).error("a job of the requests part failed")
+            log.opt(exception=error).error("a job of the requests package failed")
 
 
 @dataclass
 class Shared:
-    """The interfaces and the state that the modules of the part share.
+    """State and interfaces that the modules of this package share.
 
     Attributes:
-        clock: seconds since 1970.
-        leaving: this host drains; it accepts nothing and takes nothing over.
+        clock: returns the time in seconds since 1970.
+        leaving: this host drains; it accepts no submissions and takes over no requests.
     """
 
     settings: RequestSettings
@@ -77,50 +77,50 @@
 
     @property
     def local_member(self) -> Member:
-        """Return this host's own entry."""
+        """Return the membership entry of this host."""
         return self.membership.me
 
     @property
     def query_fanout(self) -> int:
-        """Hosts of a key's home to ask for what others may have accepted.
+        """Number of hosts of a key's preference list that may hold a copy.
 
-        An owner's replicas are among the first `replicas + 1` of the home. One
-        more covers an owner that believes one of those to have failed.
+        An owner's replicas are among the first `replicas + 1` hosts of the list.
+        One more covers an owner that considers one of those to have failed.
         """
         return self.settings.replicas + 2
 
     @property
     def is_withholding_calls(self) -> bool:
-        """Whether calls that may not be repeated must not be sent from here now.
+        """Whether this host must not send non-idempotent calls now.
 
-        A reclaimed host that sends one may be gone before its answer comes; the
-        caller then hears "unknown" of a call that another host could have sent.
-        Without another host that takes work it is this one or none.
+        A reclaimed host may stop before the answer to a call arrives. The caller
+        would receive "unknown" for a call that another host could have sent. If no
+        other host accepts work, this host sends calls until it stops.
         """
         if not self.leaving:
             return False
         members = self.membership.members()
         return any(m.takes_work and m.host != self.local_member.host for m in members)
 
-    def make_ballot(self, request: RequestId, above: int = 0) -> Ballot:
-        """Begin an ownership by this host, above all that it has heard of."""
-        epoch = max(self.table.find_epoch(request), above) + 1
+    def make_ballot(self, request: RequestId, above_epoch: int = 0) -> Ballot:
+        """Return a ballot of this host with an epoch above all known ones."""
+        epoch = max(self.table.find_epoch(request), above_epoch) + 1
         return Ballot(epoch, self.local_member.host, self.local_member.incarnation)
 
     def is_local_ballot(self, ballot: Ballot) -> bool:
-        """Whether this very process holds the ownership."""
-        me = self.local_member
-        return (ballot.host, ballot.incarnation) == (me.host, me.incarnation)
+        """Whether the ballot belongs to this process."""
+        member = self.local_member
+        return (ballot.host, ballot.incarnation) == (member.host, member.incarnation)
 
     def find_live(self, host: HostId) -> Member | None:
-        """Return a member that may still answer; None if it is gone."""
+        """Return a member that is not dead; None if there is none."""
         member = self.membership.find(host)
         if member is None or member.state is MemberState.DEAD:
             return None
         return member
 
     async def call(self, host: HostId, message: Any, timeout: float = 0.0) -> Any:
-        """Call a host by its name; a Failure if it is gone or does not answer."""
+        """Call a host by name; return a Failure if it departed or does not answer."""
         member = self.find_live(host)
         if member is None:
             return UNREACHABLE
@@ -129,7 +129,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], period: float) -> None:
-    """Look at a condition now and then until it holds."""
+    """Poll a condition until it holds."""
     while True:
         if condition():
             return
