--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -380,7 +380,7 @@
                     await self._shared.call(member.host, message)
 
     def read_usage(self) -> dict[str, dict[str, float]]:
-        """Return all counters by profile, including those of other processes."""
+        """Return counters by profile: this process's plus those stored for others."""
         self._scheduling.sync_usage()
         return self._usage.sum_all()
 
--- a/dewridge/tests/requests/failures_tests.py
+++ b/dewridge/tests/requests/failures_tests.py
@@ -1,4 +1,8 @@
-"""Hosts that die, pause or are cut off, and what callers see of it."""
+"""Tests of crashed, paused, partitioned and leaving hosts and servers.
+
+A draft is an idempotent model request, a certificate a non-idempotent one. A letter is
+a non-idempotent call to a plain service, the registry.
+"""
 
 import trio
 
@@ -26,7 +30,7 @@
     return submission.key
 
 
-async def submit_everywhere(cluster: Cluster, submission: Submission) -> None:
+async def submit_to_three_hosts(cluster: Cluster, submission: Submission) -> None:
     async def send(host: str) -> None:
         result = await cluster.nodes[host].service.submit(submission)
         assert isinstance(result, Accepted), result
@@ -42,34 +46,35 @@
     return seen.ended
 
 
-# The entry host of a long draft dies while it streams. The caller has some of
-# the tokens and reconnects to another entry host at its place; it must get the
-# rest of the same answer, and not wait much longer than the suspicion.
-def test_draft_survives_its_owner() -> None:
+# The entry host of a draft crashes while it streams. The caller has received some
+# tokens and reconnects to another entry host at that offset. It must receive the
+# remaining tokens of the same answer, not much later than the crash is detected, and
+# the answer must not be recomputed.
+def test_draft_survives_owner_crash() -> None:
     async def scenario(cluster: Cluster) -> None:
         key = await submit(cluster, "host-0", "draft_finding")
         seen = Seen()
-        elsewhere = Seen()
+        seen_elsewhere = Seen()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(cluster.follow, "host-2", key, elsewhere)
+            nursery.start_soon(cluster.follow, "host-2", key, seen_elsewhere)
             with trio.move_on_after(0.12):
                 await cluster.follow("host-0", key, seen)
             cluster.kill("host-0")
             assert 0 < len(seen.tokens) < TOKENS
             await cluster.follow("host-1", key, seen)
-        for caller in (seen, elsewhere):
-            assert caller.ended is not None and caller.ended.code is ResultCode.OK
-            assert caller.tokens == make_tokens(key)
-            assert caller.restarts == 0
+        for result in (seen, seen_elsewhere):
+            assert result.ended is not None and result.ended.code is ResultCode.OK
+            assert result.tokens == make_tokens(key)
+            assert result.restarts == 0
         assert cluster.workers.computed <= TOKENS + 3
 
     run_cluster(scenario)
 
 
-# An engine's connection breaks after a draft's last token and before its end.
-# Asked to go on after all tokens, an engine makes one more, and the auditor's
-# finding ends with a word that is not part of it.
-def test_draft_that_lost_only_its_end_is_whole() -> None:
+# An engine's connection breaks after a draft's last token and before its end marker.
+# An engine asked to continue after the last token generates an extra one that is not
+# part of the answer, so the request must complete without another attempt.
+def test_draft_without_end_marker_is_complete() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.lose_ends = 1
         key = await submit(cluster, "host-0", "draft_finding")
@@ -81,10 +86,10 @@
     run_cluster(scenario)
 
 
-# The owner and one replica of a draft die together, as when two failure domains
-# are reclaimed. The last replica may lack tokens that the caller saw, so it must
-# begin a new generation; the caller sees a restart and then a whole answer.
-def test_draft_survives_owner_and_replica() -> None:
+# The owner and one replica of a draft crash together, as when two failure domains are
+# reclaimed. The last replica may lack tokens that the caller has received, so it must
+# begin a new generation; the caller sees a restart and then a complete answer.
+def test_draft_survives_crash_of_owner_and_replica() -> None:
     async def scenario(cluster: Cluster) -> None:
         key = await submit(cluster, "host-0", "draft_finding")
         await trio.sleep(0.1)
@@ -99,10 +104,10 @@
     run_cluster(scenario)
 
 
-# The owner of a letter dies after it was sent to the registry. Nobody else may
-# send it again, and nobody knows whether a serial number was drawn. The caller
-# must hear "unknown", with a time to come back, and no second letter may exist.
-def test_letter_in_flight_with_its_owner_ends_unknown() -> None:
+# The owner of a letter crashes after it was sent to the registry. No other host may
+# send it again, and none knows whether a serial number was drawn. The caller must
+# receive "unknown" with a retry time, and no second letter may be issued.
+def test_letter_in_flight_ends_unknown_after_owner_crash() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.plain_time = 5.0
         key = await submit(cluster, "host-0", "issue_letter")
@@ -118,10 +123,10 @@
     run_cluster(scenario)
 
 
-# The owner of a letter dies while it is still waiting for its claim. Nothing was
-# sent, so refusing or calling it unknown would lose a letter for no reason: a
-# replica has to claim and send it.
-def test_letter_without_a_claim_runs_after_its_owners_death() -> None:
+# The owner of a letter crashes while it waits for its claim. Nothing was sent, so
+# refusing the letter or reporting "unknown" would lose it needlessly: a replica must
+# claim and send it.
+def test_unclaimed_letter_runs_after_owner_crash() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.is_down = True
         key = await submit(cluster, "host-0", "issue_letter")
@@ -137,10 +142,10 @@
 
 
 # The owner is paused for longer than every timeout after it claimed a letter and
-# before it sends it. Its replicas take over and tell callers "unknown". When it
-# wakes up it holds the only claim. Whether it sends the letter then or gives the
-# claim back, a caller who sends the key again must get the one letter.
-def test_paused_holder_of_a_claim() -> None:
+# before it sends it. Its replicas take over and report "unknown". When resumed, it
+# holds the only claim. Whether it then sends the letter or releases the claim, a
+# caller that retries the key must receive the one letter.
+def test_letter_of_paused_claim_holder_is_issued_once() -> None:
     async def scenario(cluster: Cluster) -> None:
         key = await submit(cluster, "host-0", "issue_letter")
         await wait_until(lambda: bool(cluster.key_value.values), 0.0005)
@@ -149,8 +154,8 @@
         assert ended.code is ResultCode.HOLDER_LOST
         cluster.resume("host-0")
         await trio.sleep(5)
-        again = cluster.make("issue_letter", number=2, key=key)
-        await cluster.nodes["host-2"].service.submit(again)
+        retry = cluster.make("issue_letter", number=2, key=key)
+        await cluster.nodes["host-2"].service.submit(retry)
         ended = await read_end(cluster, "host-1", key)
         assert (ended.code, ended.body) == (ResultCode.OK, f'"{key}"')
         assert cluster.workers.count(key) == 1
@@ -158,10 +163,10 @@
     run_cluster(scenario)
 
 
-# An owner that streams a draft is paused; a replica takes over and finishes. The
-# caller at the old owner must not be shown tokens of a sequence that nobody goes
-# on with: when the owner wakes it has to give way and follow the new one.
-def test_paused_owner_gives_way() -> None:
+# An owner that streams a draft is paused; a replica takes over and completes it. The
+# caller of the old owner must not receive tokens of a generation that no host
+# continues: when resumed, the old owner must yield to the new one and follow it.
+def test_paused_owner_yields_to_successor() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.step = 0.05
         key = await submit(cluster, "host-0", "draft_finding")
@@ -179,14 +184,14 @@
     run_cluster(scenario)
 
 
-# A caller that hears nothing sends the same key to three entry hosts at once.
-# Each would accept it on its own; the letter must be issued once and each of the
-# three connections must get it.
-def test_one_key_at_three_hosts() -> None:
+# A caller without a response submits the same key to three entry hosts at once. Each
+# would accept it by itself; the letter must be issued once, and following it on any
+# host must succeed.
+def test_key_submitted_to_three_hosts_runs_once() -> None:
     async def scenario(cluster: Cluster) -> None:
         for operation in ("issue_letter", "draft_finding"):
             submission = cluster.make(operation)
-            await submit_everywhere(cluster, submission)
+            await submit_to_three_hosts(cluster, submission)
             for host in ("host-0", "host-1", "host-2", "host-3"):
                 seen = await cluster.follow(host, submission.key)
                 assert seen.ended is not None and seen.ended.code is ResultCode.OK
@@ -197,10 +202,10 @@
         run_cluster(scenario, seed=seed)
 
 
-# The owner is paused while the registry works on a letter. Callers hear "unknown".
-# The answer waits at the owner's connection; when it wakes up it must bring the
-# answer to the replicas, since it is the only one there can be.
-def test_paused_holder_delivers_late() -> None:
+# The owner is paused while the registry processes a letter, and callers receive
+# "unknown". When resumed, the owner reads the answer from its connection and must
+# deliver it to the replicas, since no other answer can exist.
+def test_paused_claim_holder_delivers_late_answer() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.plain_time = 1.0
         key = await submit(cluster, "host-0", "issue_letter")
@@ -218,10 +223,10 @@
     run_cluster(scenario)
 
 
-# The key-value service takes a claim's write but its answer is lost. Claiming
-# again under another mark would look like a second holder; giving up would lose
-# the letter. It has to be read back and sent once.
-def test_lost_answer_of_a_claim() -> None:
+# The key-value service applies the write of a claim but its response is lost.
+# Claiming again under another mark would look like a second holder; abandoning the
+# call would lose the letter. The claim must be read back and the letter sent once.
+def test_lost_response_to_claim_write() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.lose_answers = 3
         keys = [await submit(cluster, "host-0", "issue_letter") for _ in range(3)]
@@ -232,9 +237,9 @@
     run_cluster(scenario)
 
 
-# The key-value service is down. Letters can't be claimed and are refused as not
-# run; status checks and drafts, which need no claim, must go on meanwhile. After
-# the outage the caller's next submission of the same key runs.
+# The key-value service is down. Letters can't be claimed and are refused as not run;
+# status checks and drafts, which need no claim, must continue meanwhile. After the
+# outage the caller's next submission of the same key runs.
 def test_outage_of_the_key_value_service() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.is_down = True
@@ -242,62 +247,62 @@
         letters = [await submit(cluster, "host-0", "issue_letter") for _ in range(80)]
         await trio.sleep(0.5)
         check = await submit(cluster, "host-0", "check_status")
-        before = trio.current_time()
+        started_at = trio.current_time()
         assert (await read_end(cluster, "host-0", check)).code is ResultCode.OK
-        assert trio.current_time() - before < 0.5
+        assert trio.current_time() - started_at < 0.5
         ended = await read_end(cluster, "host-0", letters[0])
         assert ended.code is ResultCode.CLAIM_UNAVAILABLE
         await trio.sleep(5)
         assert not any(cluster.workers.count(key) for key in letters)
         cluster.key_value.is_down = False
-        again = cluster.make("issue_letter", number=2, key=letters[0])
-        assert isinstance(await service.submit(again), Accepted)
-        assert (await read_end(cluster, "host-3", again.key)).code is ResultCode.OK
-        assert cluster.workers.count(again.key) == 1
+        retry = cluster.make("issue_letter", number=2, key=letters[0])
+        assert isinstance(await service.submit(retry), Accepted)
+        assert (await read_end(cluster, "host-3", retry.key)).code is ResultCode.OK
+        assert cluster.workers.count(retry.key) == 1
 
     run_cluster(scenario)
 
 
-# A submission is refused, and a copy of it that the network held back arrives at
-# another entry host afterwards. The caller was told "not run" and may have given
-# the work to somebody else; the copy must not run. The next submission may.
-def test_delayed_copy_of_a_refused_submission() -> None:
+# A submission is refused, and a duplicate that the network delayed arrives at another
+# entry host afterwards. The caller received "not run" and may have issued the work
+# elsewhere, so the duplicate must not run. The next submission may.
+def test_delayed_duplicate_of_refused_submission() -> None:
     async def scenario(cluster: Cluster) -> None:
         submission = cluster.make("issue_letter", deadline=-1.0)
-        first = cluster.nodes["host-0"].service
-        refused = await first.submit(submission)
+        service = cluster.nodes["host-0"].service
+        refused = await service.submit(submission)
         assert isinstance(refused, Failure) and refused.is_not_run
-        copy = cluster.make("issue_letter", key=submission.key)
+        duplicate = cluster.make("issue_letter", key=submission.key)
         for host in cluster.nodes:
-            late = await cluster.nodes[host].service.submit(copy)
-            assert isinstance(late, Failure) and late.is_not_run, late
+            result = await cluster.nodes[host].service.submit(duplicate)
+            assert isinstance(result, Failure) and result.is_not_run, result
         await trio.sleep(1)
         assert cluster.workers.count(submission.key) == 0
-        again = cluster.make("issue_letter", number=2, key=submission.key)
-        accepted = await cluster.nodes["host-3"].service.submit(again)
+        retry = cluster.make("issue_letter", number=2, key=submission.key)
+        accepted = await cluster.nodes["host-3"].service.submit(retry)
         assert isinstance(accepted, Accepted)
 
     run_cluster(scenario)
 
 
-# A letter is running at one entry host when the caller, after a timeout, sends
-# its key to a second one that refuses everything. "Not run" would be a lie; the
-# caller has to be joined to the running one.
-def test_refusal_asks_whether_the_key_runs_elsewhere() -> None:
+# A letter runs on one entry host when the caller, after a timeout, submits its key to
+# a second one, which refuses it. "Not run" would be false; the caller must be attached
+# to the running request.
+def test_refusal_attaches_to_request_running_elsewhere() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.plain_time = 2.0
         key = await submit(cluster, "host-0", "issue_letter")
         for host in ("host-1", "host-2", "host-3"):
-            late = cluster.make("issue_letter", number=2, key=key, deadline=-1.0)
-            result = await cluster.nodes[host].service.submit(late)
+            retry = cluster.make("issue_letter", number=2, key=key, deadline=-1.0)
+            result = await cluster.nodes[host].service.submit(retry)
             assert isinstance(result, Accepted) and result.attached, result
 
     run_cluster(scenario)
 
 
-# The replicas store a record but their acknowledgements are lost. The caller is
-# refused; if the hosts that hold the record can't be told, they may run it after
-# this host's death, so the caller must hear "unknown".
+# The replicas store a record but their acknowledgements are lost, so the submission is
+# refused. Hosts that hold the record and don't confirm the refusal may run it after
+# this host crashes, so the caller must receive "unknown".
 def test_unconfirmed_refusal_is_unknown() -> None:
     async def scenario(cluster: Cluster) -> None:
         submission = cluster.make("draft_finding")
@@ -311,45 +316,45 @@
     run_cluster(scenario)
 
 
-# One replica is cut off from the owner without a word. Acceptance and tokens
-# must go on by way of the others.
-def test_replica_that_is_cut_off() -> None:
+# One replica is partitioned from the owner, and no failure is detected. Acceptance and
+# streaming must continue with the other replicas.
+def test_partitioned_replica() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.cut_off("host-1")
         cluster.cut -= {("host-1", "host-1")}
         for _ in range(5):
             key = await submit(cluster, "host-0", "draft_finding")
-            before = trio.current_time()
+            started_at = trio.current_time()
             seen = await cluster.follow("host-0", key)
             assert seen.tokens == make_tokens(key)
-            assert trio.current_time() - before < 2.0
+            assert trio.current_time() - started_at < 2.0
 
     run_cluster(scenario)
 
 
-# The registry's connection breaks after a letter was sent. The letter may exist.
-# The caller must hear "unknown" at once, and sending the key again must not
-# issue a second one.
-def test_broken_connection_of_a_letter() -> None:
+# The registry's connection breaks after a letter was sent, so the letter may exist.
+# The caller must receive "unknown" immediately, and submitting the key again must not
+# issue a second letter.
+def test_letter_ends_unknown_after_broken_connection() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.lose_answers = 1
         key = await submit(cluster, "host-0", "issue_letter")
-        before = trio.current_time()
+        started_at = trio.current_time()
         ended = await read_end(cluster, "host-0", key)
         assert ended.code is ResultCode.OUTCOME_UNKNOWN
-        assert trio.current_time() - before < 0.5
+        assert trio.current_time() - started_at < 0.5
         for host in cluster.nodes:
-            again = cluster.make("issue_letter", number=2, key=key)
-            await cluster.nodes[host].service.submit(again)
+            retry = cluster.make("issue_letter", number=2, key=key)
+            await cluster.nodes[host].service.submit(retry)
         await trio.sleep(5)
         assert cluster.workers.count(key) == 1
 
     run_cluster(scenario)
 
 
-# A worker refuses a letter with a code that proves it did not start. Nothing was
-# issued; the holder sends it elsewhere and the caller notices nothing.
-def test_letter_that_did_not_start_is_sent_elsewhere() -> None:
+# A server rejects a letter with a code that proves that it did not start. Nothing was
+# issued, so the holder sends it to another server and the request succeeds.
+def test_letter_not_started_is_sent_to_another_server() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.failures = [
             ResultCode.NOT_STARTED,
@@ -362,16 +367,16 @@
     run_cluster(scenario)
 
 
-# All engines but one are reclaimed while drafts run on them. The drafts go on
-# from the tokens kept; callers see one answer without a restart.
-def test_leaving_backend_servers() -> None:
+# All engines but one are reclaimed while drafts run on them. The drafts continue from
+# the stored tokens; callers see one answer without a restart.
+def test_drafts_move_off_leaving_backend_servers() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.step = 0.1
         keys = [await submit(cluster, "host-0", "draft_finding") for _ in range(8)]
         await trio.sleep(0.5)
-        for place in range(3):
+        for index in range(3):
             at = cluster.nodes["host-0"].service._shared.clock() + 1.0
-            name = f"engine-{place}"
+            name = f"engine-{index}"
             cluster.servers.handle_leaving(name, at, "notice")  # type: ignore[arg-type]
         for key in keys:
             seen = await cluster.follow("host-1", key)
@@ -381,11 +386,11 @@
     run_cluster(scenario)
 
 
-# The engine of a long certificate draft, which may not be produced twice, is
-# reclaimed. Left there the certificate would be lost with the engine; sent
-# elsewhere at once there could be two. The engine confirms the stop first, and a
-# caller gets one whole answer; without the confirmation the draft stays.
-def test_certificate_moves_once_its_engine_confirms() -> None:
+# The engine of a long certificate, which must not be produced twice, is reclaimed. Left
+# there, the certificate would be lost with the engine; moved immediately, there could
+# be two. It is moved only after the engine confirms the stop and otherwise stays; the
+# caller receives one complete answer.
+def test_certificate_moves_after_engine_confirms_stop() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.step = 0.2
         cluster.workers.is_salted = True
@@ -404,8 +409,8 @@
     run_cluster(scenario)
 
 
-# An entry host is reclaimed while it holds a long certificate draft. The claim
-# is released only after the engine confirmed the stop; the successor goes on.
+# An entry host is reclaimed while it owns a long certificate. The claim is released
+# only after the engine confirmed the stop; then the successor continues.
 def test_certificate_survives_a_drain() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.step = 0.5
@@ -424,9 +429,9 @@
 
 
 # An entry host leaves while drafts stream and a letter runs. Its callers must be
-# told where to go on, get the rest there, and the letter must neither be lost
-# nor issued twice.
-def test_drain_cuts_nothing_off() -> None:
+# redirected to another host and receive the remaining tokens there, and the letter must
+# neither be lost nor issued twice.
+def test_drain_interrupts_no_stream() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.step = 0.5
         cluster.workers.plain_time = 4.0
@@ -434,17 +439,17 @@
         letter = await submit(cluster, "host-0", "issue_letter")
         seen = {key: Seen() for key in [*keys, letter]}
 
-        async def call(key: RequestKey) -> None:
+        async def follow_to_end(key: RequestKey) -> None:
             host = "host-0"
             while seen[key].ended is None:
                 await cluster.follow(host, key, seen[key])
                 if seen[key].ended is None:
-                    assert seen[key].moved, "the stream was cut off"
+                    assert seen[key].moved, "the stream was interrupted"
                     host = seen[key].moved[0].removeprefix("front:")
 
         async with trio.open_nursery() as nursery:
             for key in seen:
-                nursery.start_soon(call, key)
+                nursery.start_soon(follow_to_end, key)
             await trio.sleep(1.0)
             await cluster.nodes["host-0"].service.drain(8.0)
             cluster.kill("host-0")
@@ -460,7 +465,7 @@
     run_cluster(scenario)
 
 
-# A draft is cancelled, from another entry host, while it runs and before.
+# A running draft is cancelled through another entry host.
 def test_cancel() -> None:
     async def scenario(cluster: Cluster) -> None:
         key = await submit(cluster, "host-0", "draft_finding")
@@ -472,9 +477,9 @@
     run_cluster(scenario)
 
 
-# A peer that is not the owner sends tokens for a request, as a process would
-# that woke up with old state. They must not reach the caller.
-def test_foreign_tokens_are_refused() -> None:
+# A peer that is not the owner sends tokens for a request, as a process would that was
+# resumed with stale state. They must not reach the caller.
+def test_tokens_from_non_owner_are_rejected() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.step = 0.1
         key = await submit(cluster, "host-0", "draft_finding")
@@ -489,9 +494,9 @@
             tokens=["x"] * 50,
             epoch=record.ballot.epoch,
         )
-        stranger: Node = cluster.nodes[record.replicas[1]]
+        non_owner: Node = cluster.nodes[record.replicas[1]]
         message = wire.ReplicateTokens(runs=[run])
-        await cluster.carry(stranger, replica.member.address, message)
+        await cluster.carry(non_owner, replica.member.address, message)
         cluster.kill("host-0")
         seen = await cluster.follow(replica.member.host, key)
         assert seen.tokens == make_tokens(key)
@@ -499,17 +504,17 @@
     run_cluster(scenario)
 
 
-# A caller drops its connection while its submission is being copied. If the
-# work stopped with it, the record would be neither accepted nor refused, and
-# whoever sends the key again would join it and wait for ever.
-def test_caller_that_leaves_during_acceptance() -> None:
+# A caller disconnects while its submission is being replicated. If that cancelled the
+# acceptance, the record would be neither accepted nor refused, and a retry of the key
+# would attach to it and wait forever.
+def test_caller_disconnects_during_acceptance() -> None:
     async def scenario(cluster: Cluster) -> None:
         submission = cluster.make("check_status")
         service = cluster.nodes["host-0"].service
         with trio.move_on_after(0.0005):
             await service.submit(submission)
-        again = cluster.make("check_status", number=2, key=submission.key)
-        assert isinstance(await service.submit(again), Accepted)
+        retry = cluster.make("check_status", number=2, key=submission.key)
+        assert isinstance(await service.submit(retry), Accepted)
         ended = await read_end(cluster, "host-0", submission.key)
         assert ended.code is ResultCode.OK
 
--- a/dewridge/tests/requests/service_tests.py
+++ b/dewridge/tests/requests/service_tests.py
@@ -1,4 +1,4 @@
-"""Requests on several entry hosts: acceptance, answers and their promises."""
+"""Tests of requests on several entry hosts: answers, usage reports and quarantine."""
 
 import trio
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_answers_are_whole_and_their_own() -> None:
+def test_answers_are_complete_and_distinct() -> None:
     async def scenario(cluster: Cluster) -> None:
         service = cluster.nodes["host-0"].service
         draft = cluster.make("draft_finding")
@@ -34,10 +34,10 @@
     run_cluster(scenario)
 
 
-# An operator asks any host for a profile's report right after its work was done.
-# Another host had done it and answered with figures some seconds old: the report
-# said that the profile had cost nothing.
-def test_a_report_holds_the_work_just_done_elsewhere() -> None:
+# A profile's report may be requested on any host right after another host completed
+# the work. That host returned counters that were some seconds old, so the report
+# showed no cost for the profile.
+def test_report_includes_recent_work_of_other_hosts() -> None:
     async def scenario(cluster: Cluster) -> None:
         submission = cluster.make("draft_finding")
         await cluster.nodes["host-0"].service.submit(submission)
@@ -50,12 +50,12 @@
     run_cluster(scenario)
 
 
-def test_a_request_that_ends_servers_is_set_aside_under_all_keys() -> None:
-    """Guards against servers lost to one request sent again with new keys."""
+def test_request_that_crashes_servers_is_quarantined_under_all_keys() -> None:
+    """Guards against repeated crashes by one request submitted under new keys."""
 
     async def scenario(cluster: Cluster) -> None:
-        for place in range(4, 16):
-            cluster.servers.add(f"engine-{place}", FINDINGS, ServerKind.ENGINE)
+        for index in range(4, 16):
+            cluster.servers.add(f"engine-{index}", FINDINGS, ServerKind.ENGINE)
         cluster.workers.crashing_inputs.add(cluster.make("draft_finding").input)
         results = []
         for number in range(12):
