--- a/dewridge/requests/acceptance.py
+++ b/dewridge/requests/acceptance.py
@@ -28,10 +28,10 @@
 from dewridge.sentinels import Failure
 from dewridge.supervision.mailbox import Promise
 
-ACCEPTANCE_LIMIT = 15.0
+ACCEPTANCE_TIMEOUT = 15.0
 """Seconds after which a submission that is still undecided is answered with
 OUTCOME_UNKNOWN. Calls to replicas time out earlier, so this only ends hangs."""
-CONFLICT_LIMIT = 3
+MAX_CONFLICT_ROUNDS = 3
 """Rounds of resolving conflicts with other owners of the key before the acceptance is
 abandoned. The caller then receives OUTCOME_UNKNOWN unless the refusal is confirmed."""
 RETRY_AFTER = 1.0
@@ -97,7 +97,7 @@
         timed_out = Failure(
             ResultCode.OUTCOME_UNKNOWN, "acceptance failed", RETRY_AFTER
         )
-        return await promise.wait(ACCEPTANCE_LIMIT, timed_out)
+        return await promise.wait(ACCEPTANCE_TIMEOUT, timed_out)
 
     async def _process_in_order(
         self,
@@ -293,7 +293,7 @@
         self._shared.table.put(record)
         self._replicator.add(answer)
         supersedes = 0
-        for _ in range(CONFLICT_LIMIT):
+        for _ in range(MAX_CONFLICT_ROUNDS):
             copies = await offer_copies(self._shared, answer, supersedes)
             if copies.known:
                 known = max(copies.known, key=lambda found: found.ballot)
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -154,6 +154,7 @@
         answer.note_change()
 
     async def _execute(self, attempt: Attempt, priority: Priority) -> None:
+        """Run an attempt, charge its cost and handle its result."""
         request = attempt.record.request
         result: AttemptEnd | Failure | None = None
         try:
--- a/dewridge/requests/ordering.py
+++ b/dewridge/requests/ordering.py
@@ -19,7 +19,7 @@
 def make_order(
     attempt: Attempt, attempt_id: AttemptId, priority: Priority, timeout: float
 ) -> AttemptOrder:
-    """Return the order for an attempt; clears the record's cache handle.
+    """Return the order for an attempt and clear the record's single-use cache handle.
 
     Args:
         attempt: the attempt; its `id` is set.
--- a/dewridge/tests/requests/failures_tests.py
+++ b/dewridge/tests/requests/failures_tests.py
@@ -224,7 +224,7 @@
 
 
 # The key-value service applies the write of a claim but its response is lost.
-# Claiming again under another mark would look like a second holder; abandoning the
+# Claiming again under another identity would look like a second holder; abandoning the
 # call would lose the letter. The claim must be read back and the letter sent once.
 def test_lost_response_to_claim_write() -> None:
     async def scenario(cluster: Cluster) -> None:
