--- a/dewridge/requests/outcomes.py
+++ b/dewridge/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""Final results of requests, given what their attempts may have done. Pure."""
+"""Pure functions for the final results of requests after failed or unclear attempts."""
 
 from dewridge.codes import TABLE, Outcome, ResultCode
 from dewridge.policy.model import AttemptOutcome
--- a/dewridge/requests/usage.py
+++ b/dewridge/requests/usage.py
@@ -1,4 +1,4 @@
-"""Usage counters by profile, of this process and stored for others."""
+"""Usage counters by profile: those of this process and copies of others'."""
 
 from collections import defaultdict
 from typing import Any
--- a/dewridge/tests/requests/failures_tests.py
+++ b/dewridge/tests/requests/failures_tests.py
@@ -264,7 +264,7 @@
 
 
 # A submission is refused, and a duplicate that the network delayed arrives at another
-# entry host afterwards. The caller received "not run" and may have issued the work
+# entry host afterwards. The caller received "not run" and may have sent the work
 # elsewhere, so the duplicate must not run. The next submission may.
 def test_delayed_duplicate_of_refused_submission() -> None:
     async def scenario(cluster: Cluster) -> None:
