--- a/dewridge/requests/outcomes.py
+++ b/dewridge/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""Pure functions for the final results of requests after failed or unclear attempts."""
+"""Pure functions that determine the final results of requests."""
 
 from dewridge.codes import TABLE, Outcome, ResultCode
 from dewridge.policy.model import AttemptOutcome
