--- a/dewridge/requests/acceptance.py
+++ b/dewridge/requests/acceptance.py
@@ -144,7 +144,7 @@
             earlier = await self._close_earlier(submission, record)
             if earlier is not None:
                 return earlier
-        self._replicator.choose(record)
+        self._replicator.assign_replicas(record)
         if not record.replicas:
             failure = Failure(ResultCode.NO_REPLICA, "no other entry host", RETRY_AFTER)
             return await self._refuse(submission, request, failure)
@@ -229,7 +229,7 @@
         return owned is None or owned.outcome is Outcome.NOT_RUN
 
     def _check(self, submission: Submission, request: RequestId) -> Failure | None:
-        closed = self._shared.table.find_closed(request)
+        closed = self._shared.table.find_closed_submissions(request)
         if closed is not None and submission.number <= closed.number:
             return make_closed(closed.ended)
         if self._shared.leaving:
@@ -371,7 +371,7 @@
         """Undo an acceptance that gives way to another ownership."""
         record = answer.record
         self._forget(answer)
-        self._shared.table.lose(record, self._shared.clock())
+        self._shared.table.drop_superseded(record, self._shared.clock())
         self._shared.jobs.start(
             self._refuser.withdraw,
             record.request,
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -34,7 +34,7 @@
 from dewridge.requests.replication import Replicator
 from dewridge.requests.scheduling import Scheduling, Servers
 from dewridge.requests.shared import Shared
-from dewridge.requests.stopping import Attempt, StopCause, Stopping
+from dewridge.requests.stopping import Attempt, AttemptStopper, StopCause
 from dewridge.requests.suspects import SuspectRequests
 from dewridge.sentinels import Failure
 
@@ -66,7 +66,7 @@
         ender: Ender,
         servers: Servers,
         dispatch: Dispatch,
-        stopping: Stopping,
+        stopping: AttemptStopper,
         suspects: SuspectRequests,
     ) -> None:
         self._shared = shared
@@ -161,7 +161,7 @@
             if isinstance(result, Failure) and await self._is_surely_over(
                 attempt, result
             ):
-                attempt.cause = attempt.cause or StopCause.LEAVING
+                attempt.stop_cause = attempt.stop_cause or StopCause.LEAVING
         except Exception as error:  # its caller must not wait for ever
             log.opt(exception=error).error("an attempt failed by a fault")
             result = Failure(ResultCode.BACKEND_SERVER_FAILED, "an internal fault")
@@ -170,13 +170,17 @@
                 if attempts.get(request) is attempt:
                     del attempts[request]
             attempt.finished.set()
-        if isinstance(result, Failure) and attempt.dispatched and not attempt.cause:
+        if (
+            isinstance(result, Failure)
+            and attempt.dispatched
+            and not attempt.stop_cause
+        ):
             server = self._servers.find(attempt.server)
             await self._suspects.note_lost(attempt, result, server)
         charge(attempt, self._servers.find(attempt.server))
-        if attempt.cause == StopCause.LEAVING:
+        if attempt.stop_cause == StopCause.LEAVING:
             self._note_ended(attempt, AttemptOutcome.LEAVING)
-        elif result is not None and not attempt.cause:
+        elif result is not None and not attempt.stop_cause:
             self._conclude(attempt, result)
 
     async def _run(
@@ -337,7 +341,7 @@
 
     def _take_tokens(self, attempt: Attempt, event: AttemptTokens) -> None:
         record = attempt.record
-        scheduler = attempt.entry.scheduler
+        scheduler = attempt.service_scheduler.scheduler
         now = self._shared.clock()
         record.tokens.extend(event.tokens)
         fresh = len(event.tokens)
@@ -348,16 +352,16 @@
         if fresh > 0:
             scheduler.record_tokens(record.request, attempt.server, fresh, now)
         attempt.tokens += len(event.tokens)
-        self._replicator.note(attempt.answer)
+        self._replicator.queue_update(attempt.answer)
 
     async def _is_surely_over(self, attempt: Attempt, failure: Failure) -> bool:
         """Whether a failed call that may not be repeated can go on elsewhere."""
-        if attempt.record.idempotent or not attempt.dispatched or attempt.cause:
+        if attempt.record.idempotent or not attempt.dispatched or attempt.stop_cause:
             return False
         outcome = judge_failure(failure, attempt.tokens > 0)
         if outcome not in (AttemptOutcome.LOST, AttemptOutcome.LEAVING):
             return False
-        return await self.stopping.stop_surely(attempt)
+        return await self.stopping.stop_with_confirmation(attempt)
 
     def _conclude(self, attempt: Attempt, result: AttemptEnd | Failure) -> None:
         record = attempt.record
@@ -374,7 +378,7 @@
             not record.idempotent and outcome is not AttemptOutcome.NOT_STARTED
         ):
             now = self._shared.clock()
-            entry = attempt.entry
+            entry = attempt.service_scheduler
             entry.scheduler.record_attempt_end(
                 record.request, attempt.server, outcome, len(record.tokens), now
             )
@@ -401,7 +405,7 @@
         failure: Failure | None = None,
     ) -> None:
         record = attempt.record
-        decision = attempt.entry.scheduler.record_attempt_end(
+        decision = attempt.service_scheduler.scheduler.record_attempt_end(
             record.request,
             attempt.server,
             outcome,
@@ -432,7 +436,7 @@
         if export_cache:
             await self.stopping.export_cache(attempt)
         may_move = attempt.record.idempotent or not attempt.dispatched
-        if not may_move and not await self.stopping.stop_surely(attempt):
+        if not may_move and not await self.stopping.stop_with_confirmation(attempt):
             return
         self._shared.metrics.add("attempts_moved")
         attempt.stop(StopCause.LEAVING)
--- a/dewridge/requests/copying.py
+++ b/dewridge/requests/copying.py
@@ -10,7 +10,7 @@
 from dewridge.requests.answers import Answer
 from dewridge.requests.codec import decode_end, decode_record
 from dewridge.requests.records import Record
-from dewridge.requests.replication import make_copy
+from dewridge.requests.replication import make_replicate_message
 from dewridge.requests.shared import Shared
 from dewridge.sentinels import Failure
 
@@ -53,7 +53,7 @@
     record = answer.record
     ballot = record.ballot
     answer.holders.add(host)
-    message = make_copy(record, copies.supersedes)
+    message = make_replicate_message(record, copies.supersedes)
     reply = await shared.call(host, message)
     copies.waiting.discard(host)
     if isinstance(reply, Failure):
--- a/dewridge/requests/ending.py
+++ b/dewridge/requests/ending.py
@@ -13,7 +13,7 @@
 from dewridge.requests.model import EndedEvent
 from dewridge.requests.outcomes import choose_end, summarize
 from dewridge.requests.records import Record
-from dewridge.requests.replication import Replicator, make_copy
+from dewridge.requests.replication import Replicator, make_replicate_message
 from dewridge.requests.shared import Shared
 from dewridge.requests.usage import UsageLedger
 from dewridge.sentinels import Failure
@@ -91,7 +91,7 @@
             self._bring_answer(record)
             return
         self._shared.table.end(record, event, self._shared.clock())
-        self._shared.jobs.start(self._replicator.settle_end, answer)
+        self._shared.jobs.start(self._replicator.publish_end, answer)
 
     def _bring_answer(self, record: Record) -> None:
         if not record.idempotent and record.outcome is Outcome.DONE:
@@ -109,7 +109,7 @@
         hosts |= {m.host for m in home[: self._shared.reach]}
         self._shared.metrics.add("requests_delivered_late")
         self._shared.table.store(record, self._shared.clock())
-        message = make_copy(record)
+        message = make_replicate_message(record)
         reached = {self._shared.me.host}
         for _ in range(LATE_TRIES):
             for host in hosts - reached:
--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -14,7 +14,7 @@
 from dewridge.requests.ending import Ender
 from dewridge.requests.locating import Located, Locator, decode_found
 from dewridge.requests.records import Ballot, Record
-from dewridge.requests.replication import Replicator, make_copy
+from dewridge.requests.replication import Replicator, make_replicate_message
 from dewridge.requests.shared import Shared
 from dewridge.sentinels import Failure
 
@@ -70,7 +70,7 @@
         for answer in self._replicator.list_answers():
             record = answer.record
             if host in record.replicas and record.ended is None:
-                self._replicator.repair(answer)
+                self._replicator.reassign_replicas(answer)
 
     async def run(self) -> None:
         """Look for records whose owner is gone until cancelled."""
@@ -184,7 +184,7 @@
             renew_generation(record)
         if not self._is_mine_to_take(record):
             return
-        self._replicator.choose(record)
+        self._replicator.assign_replicas(record)
         answer = Answer(record)
         answer.former = set(others)
         answer.visible = len(record.tokens) if answered else 0
@@ -200,7 +200,7 @@
         )
         if not record.replicas:
             answer.detach()
-        self._replicator.note(answer)
+        self._replicator.queue_update(answer)
         answer.accepted.set()
         self.resume(answer)
 
@@ -218,7 +218,7 @@
         refused: list[HostId] = []
 
         async def tell(host: HostId) -> None:
-            reply = await self._shared.call(host, make_copy(record))
+            reply = await self._shared.call(host, make_replicate_message(record))
             if isinstance(reply, Failure) or not reply.stored:
                 refused.append(host)
 
--- a/dewridge/requests/following.py
+++ b/dewridge/requests/following.py
@@ -26,7 +26,7 @@
 )
 from dewridge.requests.records import Record
 from dewridge.requests.replicas import is_late_answer
-from dewridge.requests.replication import Replicator, make_unconfirmed
+from dewridge.requests.replication import Replicator, make_unconfirmed_end
 from dewridge.requests.shared import UNREACHABLE, Shared
 from dewridge.sentinels import Failure
 from dewridge.supervision.mailbox import Mailbox
@@ -154,7 +154,7 @@
             return True
         if not located.is_owner and record.outcome is Outcome.NOT_RUN:
             if record.ended is not None:
-                await emit(make_unconfirmed(record.ended))
+                await emit(make_unconfirmed_end(record.ended))
                 place.ended = True
             return True
         await self._follow_there(located, place, emit)
--- a/dewridge/requests/handlers.py
+++ b/dewridge/requests/handlers.py
@@ -98,7 +98,9 @@
             return wire.CloseSubmissionReply(closed=True)
         ended = decode_end(message.ended)
         number = message.ended.number
-        have = table.close(request, number, ended, ballot, self._shared.clock())
+        have = table.close_submissions(
+            request, number, ended, ballot, self._shared.clock()
+        )
         if have is None:
             return wire.CloseSubmissionReply(closed=True)
         known_end = encode_end(have.ended, have.number) if have.ended else None
--- a/dewridge/requests/handoff.py
+++ b/dewridge/requests/handoff.py
@@ -181,7 +181,9 @@
         attempt = self._attempts.find(record.request)
         if attempt is not None:
             is_sent = attempt.dispatched and not record.idempotent
-            if is_sent and not await self._attempts.stopping.stop_surely(attempt):
+            if is_sent and not await self._attempts.stopping.stop_with_confirmation(
+                attempt
+            ):
                 return False
             attempt.stop(StopCause.HANDED_OFF)
             await attempt.finished.wait()
@@ -206,7 +208,7 @@
         answer.acked.clear()
         answer.visible = 0
         for host in record.replicas:
-            self._replicator.send_whole(host, record.request)
+            self._replicator.queue_full_record(host, record.request)
         self._failover.resume(answer)
 
     def _find_targets(self, record: Record) -> list[HostId]:
@@ -234,7 +236,7 @@
         log.info("request {}: handed off to {}", record.request, host)
         answer.lose()
         self._replicator.remove(answer)
-        self._shared.table.lose(record, self._shared.clock())
+        self._shared.table.drop_superseded(record, self._shared.clock())
         return True
 
 
--- a/dewridge/requests/refusals.py
+++ b/dewridge/requests/refusals.py
@@ -104,7 +104,9 @@
         """
         ended = EndedEvent(failure.code, failure.reason, failure.retry_after)
         now = self._shared.clock()
-        record = self._shared.table.close(request, number, ended, ballot, now)
+        record = self._shared.table.close_submissions(
+            request, number, ended, ballot, now
+        )
         if record is not None:
             return record
         replies = await self._ask(request, number, ended, ballot, also)
--- a/dewridge/requests/replicas.py
+++ b/dewridge/requests/replicas.py
@@ -78,7 +78,7 @@
         """Return the record held, in whatever state."""
         return self._records.get(request)
 
-    def find_closed(self, request: RequestId) -> Closed | None:
+    def find_closed_submissions(self, request: RequestId) -> Closed | None:
         """Return the refusal remembered, if there is one."""
         return self._closed.get(request)
 
@@ -113,9 +113,9 @@
         """Forget the record of an ownership that was taken back."""
         record = self._records.get(request)
         if record is not None and record.ballot == ballot:
-            self.lose(record, now)
+            self.drop_superseded(record, now)
 
-    def lose(self, record: Record, now: float) -> None:
+    def drop_superseded(self, record: Record, now: float) -> None:
         """Forget a live record that gave way to another ownership.
 
         Its epoch is kept in mind: a later ownership by this process must not
@@ -223,7 +223,7 @@
         if record.ended is not None and record.outcome is Outcome.NOT_RUN:
             self._close(record.request, record.number, record.ended, record.ballot, now)
 
-    def close(
+    def close_submissions(
         self,
         request: RequestId,
         number: int,
@@ -261,13 +261,13 @@
         if before is None or before.number < number:
             self._closed[request] = Closed(number, ended, ballot.epoch, now)
 
-    def find_epoch(self, request: RequestId) -> int:
+    def find_max_epoch(self, request: RequestId) -> int:
         """Return the greatest epoch heard of for a request; 0 for none."""
         record = self._records.get(request)
         closed = self._closed.get(request)
         return max(record.ballot.epoch if record else 0, closed.epoch if closed else 0)
 
-    def forget(self, now: float, retention: float, limit: int) -> int:
+    def prune(self, now: float, retention: float, limit: int) -> int:
         """Forget what ended longer ago than the retention, or exceeds a size.
 
         Memory is the limit's reason: at 100 answers a second of 1 kB and 15
--- a/dewridge/requests/replication.py
+++ b/dewridge/requests/replication.py
@@ -60,7 +60,7 @@
         """Return the answers that this host cares for."""
         return list(self._answers.values())
 
-    def note(self, answer: Answer) -> None:
+    def queue_update(self, answer: Answer) -> None:
         """Send what is new in an answer to its replicas."""
         if answer.lost:
             return
@@ -80,11 +80,13 @@
             self._shared.jobs.start(sender.run)
         return sender
 
-    def send_whole(self, host: HostId, request: RequestId) -> None:
+    def queue_full_record(self, host: HostId, request: RequestId) -> None:
         """Send a peer a whole record."""
         self._find_sender(host).note_whole(request)
 
-    def choose(self, record: Record, avoid: frozenset[HostId] = frozenset()) -> None:
+    def assign_replicas(
+        self, record: Record, avoid: frozenset[HostId] = frozenset()
+    ) -> None:
         """Choose the replicas that a record should have now."""
         members = [
             member
@@ -99,10 +101,12 @@
         )
         record.replicas = tuple(member.host for member in chosen)
 
-    def repair(self, answer: Answer, avoid: frozenset[HostId] = frozenset()) -> None:
+    def reassign_replicas(
+        self, answer: Answer, avoid: frozenset[HostId] = frozenset()
+    ) -> None:
         """Choose replicas anew after a member came, went or fell silent."""
         before = answer.record.replicas
-        self.choose(answer.record, avoid)
+        self.assign_replicas(answer.record, avoid)
         after = answer.record.replicas
         if not after:
             answer.record.replicas = before
@@ -126,14 +130,14 @@
         for host in answer.record.replicas:
             self._find_sender(host).note_whole(answer.record.request)
 
-    async def settle_end(self, answer: Answer) -> None:
+    async def publish_end(self, answer: Answer) -> None:
         """See to it that callers hear of an end soon, in words that hold.
 
         A replica that never acknowledges would otherwise keep the final answer
         from its caller. What is told then is still true: "not run" turns into
         "unknown", and a whole answer is shown under its own generation.
         """
-        self.note(answer)
+        self.queue_update(answer)
         with trio.move_on_after(self._shared.settings.replica_timeout):
             while not answer.end_visible and not answer.lost:
                 await answer.wait_change()
@@ -141,7 +145,7 @@
             return
         record = answer.record
         if record.ended is not None and record.outcome is Outcome.NOT_RUN:
-            record.ended = make_unconfirmed(record.ended)
+            record.ended = make_unconfirmed_end(record.ended)
             answer.end_acked.clear()
             self._shared.metrics.add("requests_unconfirmed_refusals")
             for host in record.replicas:
@@ -149,7 +153,7 @@
         answer.detach()
 
 
-def make_unconfirmed(ended: EndedEvent) -> EndedEvent:
+def make_unconfirmed_end(ended: EndedEvent) -> EndedEvent:
     """Turn a "not run" that a replica did not confirm into "unknown"."""
     return EndedEvent(
         ResultCode.OUTCOME_UNKNOWN,
@@ -252,7 +256,7 @@
                     nursery.start_soon(self._send_whole, answer)
 
     async def _send_whole(self, answer: Answer) -> None:
-        message = make_copy(answer.record)
+        message = make_replicate_message(answer.record)
         answer.holders.add(self._host)
         reply = await self._shared.call(self._host, message)
         if isinstance(reply, Failure):
@@ -296,7 +300,7 @@
         self._shared.metrics.add("requests_superseded")
         answer.lose()
         self._replicator.remove(answer)
-        self._shared.table.lose(answer.record, self._shared.clock())
+        self._shared.table.drop_superseded(answer.record, self._shared.clock())
         self._replicator.on_superseded(answer.record)
 
     def _note_failure(self, answers: list[Answer]) -> None:
@@ -306,7 +310,7 @@
             return
         for answer in answers:
             if not answer.lost and not answer.end_visible:
-                self._replicator.repair(answer, frozenset([self._host]))
+                self._replicator.reassign_replicas(answer, frozenset([self._host]))
 
 
 def make_run(record: Record, offset: int) -> Any:
@@ -322,7 +326,7 @@
     )
 
 
-def make_copy(record: Record, supersedes: int = 0) -> Any:
+def make_replicate_message(record: Record, supersedes: int = 0) -> Any:
     """Return a whole record as a message."""
     ended = encode_end(record.ended, record.number) if record.ended else None
     return wire.Replicate(
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -49,12 +49,12 @@
 from dewridge.requests.records import Record, find_state
 from dewridge.requests.refusals import FailureLog, Refuser
 from dewridge.requests.replicas import RecordTable
-from dewridge.requests.replication import Replicator, make_unconfirmed
+from dewridge.requests.replication import Replicator, make_unconfirmed_end
 from dewridge.requests.scheduling import MakeScheduler, Scheduling, Servers
 from dewridge.requests.shared import Jobs, Shared
-from dewridge.requests.stopping import EngineOrders, StopCause, Stopping
+from dewridge.requests.stopping import AttemptStopper, EngineOrders, StopCause
 from dewridge.requests.suspects import SuspectRequests
-from dewridge.requests.taking import Taker
+from dewridge.requests.taking import HandoffReceiver
 from dewridge.requests.usage import (
     UsageLedger,
     decode_usages,
@@ -135,7 +135,7 @@
             ender=self._ender,
             servers=servers,
             dispatch=dispatch,
-            stopping=Stopping(shared, servers, orders),
+            stopping=AttemptStopper(shared, servers, orders),
             suspects=suspects,
         )
         self._refuser = Refuser(shared, FailureLog(shared))
@@ -166,7 +166,7 @@
             followers=self._followers,
             failover=self._failover,
         )
-        self._taker = Taker(
+        self._taker = HandoffReceiver(
             shared,
             replicator=self._replicator,
             attempts=self._attempts,
@@ -192,7 +192,7 @@
         peers.handle(wire.FollowTokens, self._followers.receive)
         peers.handle(wire.StopFollow, self._followers.stop)
         peers.handle(wire.Claim, self._claims.serve)
-        peers.handle(wire.Handoff, self._taker.take)
+        peers.handle(wire.Handoff, self._taker.receive_handoff)
         peers.handle(wire.Cancel, self._serve_cancel)
 
     def list_tasks(self) -> list[tuple[str, Run]]:
@@ -236,7 +236,7 @@
         record = located.record
         ended = record.ended
         if ended and record.outcome is Outcome.NOT_RUN and not located.is_owner:
-            ended = make_unconfirmed(ended)
+            ended = make_unconfirmed_end(ended)
         state = find_state(ended.code) if ended else record.state
         return RequestStatus(request, state, record.generation, located.tokens, ended)
 
@@ -270,7 +270,7 @@
             sent = attempt is not None and attempt.dispatched
             code = ResultCode.CANCELLED
             if attempt is not None and sent and not record.idempotent:
-                if not await self._attempts.stopping.stop_surely(attempt):
+                if not await self._attempts.stopping.stop_with_confirmation(attempt):
                     return
                 code = ResultCode.CANCELLED_RUNNING
             if attempt is not None:
@@ -338,7 +338,7 @@
         while True:
             await trio.sleep(FORGET_PERIOD)
             table = self._shared.table
-            evicted = table.forget(
+            evicted = table.prune(
                 self._shared.clock(), self._shared.settings.retention, ANSWER_BYTES
             )
             self._claims.forget()
--- a/dewridge/requests/shared.py
+++ b/dewridge/requests/shared.py
@@ -104,7 +104,7 @@
 
     def make_ballot(self, request: RequestId, above: int = 0) -> Ballot:
         """Begin an ownership by this host, above all that it has heard of."""
-        epoch = max(self.table.find_epoch(request), above) + 1
+        epoch = max(self.table.find_max_epoch(request), above) + 1
         return Ballot(epoch, self.me.host, self.me.incarnation)
 
     def is_own(self, ballot: Ballot) -> bool:
--- a/dewridge/requests/stopping.py
+++ b/dewridge/requests/stopping.py
@@ -58,10 +58,10 @@
 
     record: Record
     answer: Answer
-    entry: ServiceScheduler
+    service_scheduler: ServiceScheduler
     server: BackendServerId
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    cause: str = StopCause.NONE
+    stop_cause: str = StopCause.NONE
     id: AttemptId | None = None
     dispatched: bool = False
     tokens: int = 0
@@ -72,12 +72,12 @@
 
     def stop(self, cause: str) -> None:
         """Stop it from outside."""
-        if not self.cause:
-            self.cause = cause
+        if not self.stop_cause:
+            self.stop_cause = cause
             self.scope.cancel()
 
 
-class Stopping:
+class AttemptStopper:
     """Asks engines to stop attempts."""
 
     def __init__(
@@ -87,7 +87,7 @@
         self._servers = servers
         self._orders = orders
 
-    async def stop_surely(self, attempt: Attempt) -> bool:
+    async def stop_with_confirmation(self, attempt: Attempt) -> bool:
         """Stop a call that may not be repeated; whether its engine confirmed it.
 
         A reclaimed engine would take a long certificate draft with it. Once it
@@ -96,7 +96,7 @@
         can't confirm that, so their calls stay where they are.
         """
         server = self._servers.find(attempt.server)
-        if self._orders is None or attempt.entry.service.kind != "model":
+        if self._orders is None or attempt.service_scheduler.service.kind != "model":
             return False
         if attempt.id is None or server is None:
             return False
--- a/dewridge/requests/taking.py
+++ b/dewridge/requests/taking.py
@@ -11,7 +11,7 @@
 from dewridge.requests.shared import Shared
 
 
-class Taker:
+class HandoffReceiver:
     """Goes on with the requests that other hosts hand off."""
 
     def __init__(
@@ -27,7 +27,7 @@
         self._attempts = attempts
         self._claims = claims
 
-    async def take(
+    async def receive_handoff(
         self, peer: PeerIdentity, message: wire.Handoff
     ) -> wire.HandoffReply:
         """Take a request that its leaving owner gives to this host."""
@@ -56,7 +56,7 @@
         adopt(record, ballot, keep_generation=True)
         before = set(record.replicas)
         self._shared.table.put(record)
-        self._replicator.choose(record)
+        self._replicator.assign_replicas(record)
         answer = Answer(record)
         if self._shared.me.host not in before and answer.replace_replicas(before):
             renew_generation(record)
@@ -64,7 +64,7 @@
         if not record.replicas:
             answer.detach()
         for host in record.replicas:
-            self._replicator.send_whole(host, record.request)
+            self._replicator.queue_full_record(host, record.request)
         answer.accepted.set()
         self._shared.metrics.add("requests_taken_by_handoff")
         if record.idempotent or voided is None:
--- a/dewridge/tests/requests/failures_tests.py
+++ b/dewridge/tests/requests/failures_tests.py
@@ -10,17 +10,17 @@
 from dewridge.sentinels import Failure
 from dewridge.tests.requests.fakes import (
     ACCOUNT,
-    TOKENS,
+    ANSWER_TOKENS,
     Cluster,
     Node,
-    Seen,
+    ReceivedAnswer,
     make_tokens,
     run_cluster,
 )
 
 
 async def submit(cluster: Cluster, host: str, operation: str) -> RequestKey:
-    submission = cluster.make(operation)
+    submission = cluster.make_submission(operation)
     accepted = await cluster.nodes[host].service.submit(submission)
     assert isinstance(accepted, Accepted), accepted
     return submission.key
@@ -48,20 +48,20 @@
 def test_draft_survives_its_owner() -> None:
     async def scenario(cluster: Cluster) -> None:
         key = await submit(cluster, "host-0", "draft_finding")
-        seen = Seen()
-        elsewhere = Seen()
+        seen = ReceivedAnswer()
+        elsewhere = ReceivedAnswer()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(cluster.follow, "host-2", key, elsewhere)
             with trio.move_on_after(0.12):
                 await cluster.follow("host-0", key, seen)
             cluster.kill("host-0")
-            assert 0 < len(seen.tokens) < TOKENS
+            assert 0 < len(seen.tokens) < ANSWER_TOKENS
             await cluster.follow("host-1", key, seen)
         for caller in (seen, elsewhere):
             assert caller.ended is not None and caller.ended.code is ResultCode.OK
             assert caller.tokens == make_tokens(key)
             assert caller.restarts == 0
-        assert cluster.workers.computed <= TOKENS + 3
+        assert cluster.workers.computed_tokens <= ANSWER_TOKENS + 3
 
     run_cluster(scenario)
 
@@ -104,7 +104,7 @@
 # must hear "unknown", with a time to come back, and no second letter may exist.
 def test_letter_in_flight_with_its_owner_ends_unknown() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_time = 5.0
+        cluster.workers.plain_duration = 5.0
         key = await submit(cluster, "host-0", "issue_letter")
         await trio.sleep(0.5)
         assert cluster.workers.count(key) == 1
@@ -149,7 +149,7 @@
         assert ended.code is ResultCode.HOLDER_LOST
         cluster.resume("host-0")
         await trio.sleep(5)
-        again = cluster.make("issue_letter", number=2, key=key)
+        again = cluster.make_submission("issue_letter", number=2, key=key)
         await cluster.nodes["host-2"].service.submit(again)
         ended = await read_end(cluster, "host-1", key)
         assert (ended.code, ended.body) == (ResultCode.OK, f'"{key}"')
@@ -163,9 +163,9 @@
 # on with: when the owner wakes it has to give way and follow the new one.
 def test_paused_owner_gives_way() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.step = 0.05
+        cluster.workers.token_delay = 0.05
         key = await submit(cluster, "host-0", "draft_finding")
-        seen = Seen()
+        seen = ReceivedAnswer()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(cluster.follow, "host-0", key, seen)
             await trio.sleep(0.3)
@@ -185,7 +185,7 @@
 def test_one_key_at_three_hosts() -> None:
     async def scenario(cluster: Cluster) -> None:
         for operation in ("issue_letter", "draft_finding"):
-            submission = cluster.make(operation)
+            submission = cluster.make_submission(operation)
             await submit_everywhere(cluster, submission)
             for host in ("host-0", "host-1", "host-2", "host-3"):
                 seen = await cluster.follow(host, submission.key)
@@ -202,7 +202,7 @@
 # answer to the replicas, since it is the only one there can be.
 def test_paused_holder_delivers_late() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_time = 1.0
+        cluster.workers.plain_duration = 1.0
         key = await submit(cluster, "host-0", "issue_letter")
         await trio.sleep(0.5)
         cluster.pause("host-0")
@@ -250,7 +250,7 @@
         await trio.sleep(5)
         assert not any(cluster.workers.count(key) for key in letters)
         cluster.key_value.is_down = False
-        again = cluster.make("issue_letter", number=2, key=letters[0])
+        again = cluster.make_submission("issue_letter", number=2, key=letters[0])
         assert isinstance(await service.submit(again), Accepted)
         assert (await read_end(cluster, "host-3", again.key)).code is ResultCode.OK
         assert cluster.workers.count(again.key) == 1
@@ -263,17 +263,17 @@
 # the work to somebody else; the copy must not run. The next submission may.
 def test_delayed_copy_of_a_refused_submission() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make("issue_letter", deadline=-1.0)
+        submission = cluster.make_submission("issue_letter", deadline=-1.0)
         first = cluster.nodes["host-0"].service
         refused = await first.submit(submission)
         assert isinstance(refused, Failure) and refused.is_not_run
-        copy = cluster.make("issue_letter", key=submission.key)
+        copy = cluster.make_submission("issue_letter", key=submission.key)
         for host in cluster.nodes:
             late = await cluster.nodes[host].service.submit(copy)
             assert isinstance(late, Failure) and late.is_not_run, late
         await trio.sleep(1)
         assert cluster.workers.count(submission.key) == 0
-        again = cluster.make("issue_letter", number=2, key=submission.key)
+        again = cluster.make_submission("issue_letter", number=2, key=submission.key)
         accepted = await cluster.nodes["host-3"].service.submit(again)
         assert isinstance(accepted, Accepted)
 
@@ -285,10 +285,12 @@
 # caller has to be joined to the running one.
 def test_refusal_asks_whether_the_key_runs_elsewhere() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_time = 2.0
+        cluster.workers.plain_duration = 2.0
         key = await submit(cluster, "host-0", "issue_letter")
         for host in ("host-1", "host-2", "host-3"):
-            late = cluster.make("issue_letter", number=2, key=key, deadline=-1.0)
+            late = cluster.make_submission(
+                "issue_letter", number=2, key=key, deadline=-1.0
+            )
             result = await cluster.nodes[host].service.submit(late)
             assert isinstance(result, Accepted) and result.attached, result
 
@@ -300,9 +302,9 @@
 # this host's death, so the caller must hear "unknown".
 def test_unconfirmed_refusal_is_unknown() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make("draft_finding")
+        submission = cluster.make_submission("draft_finding")
         for other in ("host-1", "host-2", "host-3"):
-            cluster.cut.add((other, "host-0"))
+            cluster.blocked_links.add((other, "host-0"))
         result = await cluster.nodes["host-0"].service.submit(submission)
         assert isinstance(result, Failure)
         assert result.code is ResultCode.OUTCOME_UNKNOWN
@@ -315,8 +317,8 @@
 # must go on by way of the others.
 def test_replica_that_is_cut_off() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.cut_off("host-1")
-        cluster.cut -= {("host-1", "host-1")}
+        cluster.partition_host("host-1")
+        cluster.blocked_links -= {("host-1", "host-1")}
         for _ in range(5):
             key = await submit(cluster, "host-0", "draft_finding")
             before = trio.current_time()
@@ -339,7 +341,7 @@
         assert ended.code is ResultCode.OUTCOME_UNKNOWN
         assert trio.current_time() - before < 0.5
         for host in cluster.nodes:
-            again = cluster.make("issue_letter", number=2, key=key)
+            again = cluster.make_submission("issue_letter", number=2, key=key)
             await cluster.nodes[host].service.submit(again)
         await trio.sleep(5)
         assert cluster.workers.count(key) == 1
@@ -366,7 +368,7 @@
 # from the tokens kept; callers see one answer without a restart.
 def test_leaving_backend_servers() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.step = 0.1
+        cluster.workers.token_delay = 0.1
         keys = [await submit(cluster, "host-0", "draft_finding") for _ in range(8)]
         await trio.sleep(0.5)
         for place in range(3):
@@ -376,7 +378,7 @@
         for key in keys:
             seen = await cluster.follow("host-1", key)
             assert seen.tokens == make_tokens(key) and seen.restarts == 0
-        assert cluster.workers.computed < len(keys) * (TOKENS + 3)
+        assert cluster.workers.computed_tokens < len(keys) * (ANSWER_TOKENS + 3)
 
     run_cluster(scenario)
 
@@ -387,10 +389,10 @@
 # caller gets one whole answer; without the confirmation the draft stays.
 def test_certificate_moves_once_its_engine_confirms() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.step = 0.2
-        cluster.workers.is_salted = True
+        cluster.workers.token_delay = 0.2
+        cluster.workers.is_nondeterministic = True
         for confirms in (True, False):
-            cluster.workers.confirms = confirms
+            cluster.workers.confirms_cancellation = confirms
             key = await submit(cluster, "host-0", "draft_certificate")
             await trio.sleep(0.5)
             attempts = cluster.nodes["host-0"].service._attempts
@@ -398,7 +400,7 @@
             at = cluster.nodes["host-0"].service._shared.clock() + 1.5
             cluster.servers.note_leaving(server, at, "notice")
             seen = await cluster.follow("host-1", key)
-            assert [seen.tokens] == cluster.workers.whole[key]
+            assert [seen.tokens] == cluster.workers.complete_answers[key]
             assert cluster.workers.count(key) == (2 if confirms else 1)
 
     run_cluster(scenario)
@@ -408,8 +410,8 @@
 # is released only after the engine confirmed the stop; the successor goes on.
 def test_certificate_survives_a_drain() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.step = 0.5
-        cluster.workers.is_salted = True
+        cluster.workers.token_delay = 0.5
+        cluster.workers.is_nondeterministic = True
         key = await submit(cluster, "host-0", "draft_certificate")
         await trio.sleep(2.2)
         cluster.announce_leaving("host-0")
@@ -417,8 +419,8 @@
         cluster.kill("host-0")
         seen = await cluster.follow("host-1", key)
         assert seen.ended is not None and seen.ended.code is ResultCode.OK
-        assert [seen.tokens] == cluster.workers.whole[key]
-        assert cluster.workers.computed <= TOKENS + 1
+        assert [seen.tokens] == cluster.workers.complete_answers[key]
+        assert cluster.workers.computed_tokens <= ANSWER_TOKENS + 1
 
     run_cluster(scenario)
 
@@ -428,11 +430,11 @@
 # nor issued twice.
 def test_drain_cuts_nothing_off() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.step = 0.5
-        cluster.workers.plain_time = 4.0
+        cluster.workers.token_delay = 0.5
+        cluster.workers.plain_duration = 4.0
         keys = [await submit(cluster, "host-0", "draft_finding") for _ in range(4)]
         letter = await submit(cluster, "host-0", "issue_letter")
-        seen = {key: Seen() for key in [*keys, letter]}
+        seen = {key: ReceivedAnswer() for key in [*keys, letter]}
 
         async def call(key: RequestKey) -> None:
             host = "host-0"
@@ -476,7 +478,7 @@
 # that woke up with old state. They must not reach the caller.
 def test_foreign_tokens_are_refused() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.step = 0.1
+        cluster.workers.token_delay = 0.1
         key = await submit(cluster, "host-0", "draft_finding")
         await trio.sleep(0.5)
         owner = cluster.nodes["host-0"]
@@ -491,7 +493,7 @@
         )
         stranger: Node = cluster.nodes[record.replicas[1]]
         message = wire.ReplicateTokens(runs=[run])
-        await cluster.carry(stranger, replica.member.address, message)
+        await cluster.deliver(stranger, replica.member.address, message)
         cluster.kill("host-0")
         seen = await cluster.follow(replica.member.host, key)
         assert seen.tokens == make_tokens(key)
@@ -504,11 +506,11 @@
 # whoever sends the key again would join it and wait for ever.
 def test_caller_that_leaves_during_acceptance() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make("check_status")
+        submission = cluster.make_submission("check_status")
         service = cluster.nodes["host-0"].service
         with trio.move_on_after(0.0005):
             await service.submit(submission)
-        again = cluster.make("check_status", number=2, key=submission.key)
+        again = cluster.make_submission("check_status", number=2, key=submission.key)
         assert isinstance(await service.submit(again), Accepted)
         ended = await read_end(cluster, "host-0", submission.key)
         assert ended.code is ResultCode.OK
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -61,7 +61,7 @@
 ACCOUNT = ClientAccount("cooperative")
 FINDINGS = ServiceName("findings")
 REGISTRY = ServiceName("registry")
-TOKENS = 20
+ANSWER_TOKENS = 20
 
 
 def read_clock() -> float:
@@ -75,7 +75,7 @@
     return RequestKey(str(uuid.UUID(int=value)))
 
 
-def make_tokens(key: str, count: int = TOKENS) -> list[str]:
+def make_tokens(key: str, count: int = ANSWER_TOKENS) -> list[str]:
     return [f"{key[-6:]}.{place} " for place in range(count)]
 
 
@@ -89,12 +89,12 @@
     resumed: trio.Event = field(default_factory=trio.Event)
     service: Any = None
     metrics: Metrics = field(default_factory=Metrics)
-    is_dead: bool = False
+    is_crashed: bool = False
 
     async def gate(self) -> None:
         """Wait while the host is paused or dead."""
         await self.resumed.wait()
-        if self.is_dead:
+        if self.is_crashed:
             await trio.sleep_forever()
 
 
@@ -217,14 +217,14 @@
     async def call(self, address: str, message: Any, timeout: float) -> Any:
         with trio.move_on_after(timeout):
             await self._node.gate()
-            return await self._cluster.carry(self._node, address, message)
+            return await self._cluster.deliver(self._node, address, message)
         return Failure(ResultCode.PEER_TIMEOUT)
 
     def send(self, address: str, message: Any) -> Failure | None:
         async def carry() -> None:
             with trio.move_on_after(5):
                 await self._node.gate()
-                await self._cluster.carry(self._node, address, message)
+                await self._cluster.deliver(self._node, address, message)
 
         self._cluster.nursery.start_soon(carry)
         return None
@@ -289,19 +289,19 @@
 
     def __init__(self) -> None:
         self.executions: list[Execution] = []
-        self.step = 0.01
-        self.plain_time = 0.02
+        self.token_delay = 0.01
+        self.plain_duration = 0.02
         self.failures: list[ResultCode] = []
         self.lose_answers = 0
         self.lose_ends = 0
-        self.computed = 0
-        self.is_salted = False
-        self.whole: dict[RequestKey, list[list[str]]] = {}
-        self.confirms = True
+        self.computed_tokens = 0
+        self.is_nondeterministic = False
+        self.complete_answers: dict[RequestKey, list[list[str]]] = {}
+        self.confirms_cancellation = True
         self.cancelled: set[AttemptId] = set()
         self.done: set[AttemptId] = set()
         self.crashing_inputs: set[str] = set()
-        self.ended: set[BackendServerId] = set()
+        self.crashed_servers: set[BackendServerId] = set()
 
     def bind(self, node: Node) -> Any:
         @asynccontextmanager
@@ -310,11 +310,11 @@
         ) -> AsyncIterator[AsyncIterator[AttemptEvent]]:
             await node.gate()
             server_id = server.listed.backend_server
-            if server_id in self.ended:
+            if server_id in self.crashed_servers:
                 yield self._fail(ResultCode.NOT_STARTED)
             elif order.input in self.crashing_inputs:
-                await trio.sleep(self.step)
-                self.ended.add(server_id)
+                await trio.sleep(self.token_delay)
+                self.crashed_servers.add(server_id)
                 yield self._fail(ResultCode.CONNECTION_LOST)
             else:
                 yield self._answer(node, order)
@@ -333,7 +333,7 @@
         run = Execution(order.key, order.operation, read_clock())
         self.executions.append(run)
         if order.service == REGISTRY:
-            await trio.sleep(self.plain_time)
+            await trio.sleep(self.plain_duration)
             await node.gate()
             if self.lose_answers:
                 self.lose_answers -= 1
@@ -342,30 +342,30 @@
             yield AttemptEnd(body=f'"{order.key}"')
             return
         tokens = make_tokens(order.key, order.max_tokens)
-        if self.is_salted:
+        if self.is_nondeterministic:
             tokens = [f"{token}{order.attempt} " for token in tokens]
         tokens[: order.first_sequence] = order.tokens_done
         for place in range(order.first_sequence, len(tokens)):
-            await trio.sleep(self.step)
+            await trio.sleep(self.token_delay)
             await node.gate()
             if order.attempt in self.cancelled:
                 yield Failure(ResultCode.BACKEND_SERVER_FAILED)
                 return
-            self.computed += 1
+            self.computed_tokens += 1
             yield AttemptTokens(place, (tokens[place],))
         if self.lose_ends:
             self.lose_ends -= 1
             yield Failure(ResultCode.CONNECTION_LOST)
             return
         self.done.add(order.attempt)
-        self.whole.setdefault(order.key, []).append(tokens)
+        self.complete_answers.setdefault(order.key, []).append(tokens)
         yield AttemptEnd()
 
     async def cancel(
         self, server: BackendServer, attempt: AttemptId, /
     ) -> Cancellation | Failure:
         await trio.sleep(0.002)
-        if not self.confirms:
+        if not self.confirms_cancellation:
             return Failure(ResultCode.BACKEND_SERVER_SILENT)
         if attempt in self.done:
             return Cancellation.DONE
@@ -398,12 +398,12 @@
                 Operation(
                     name=OperationName("draft_finding"),
                     work_class="background",
-                    expected_tokens=TOKENS,
+                    expected_tokens=ANSWER_TOKENS,
                 ),
                 Operation(
                     name=OperationName("draft_certificate"),
                     idempotent=False,
-                    expected_tokens=TOKENS,
+                    expected_tokens=ANSWER_TOKENS,
                 ),
             ),
         ),
@@ -425,7 +425,7 @@
 
 
 @dataclass
-class Seen:
+class ReceivedAnswer:
     """What a caller has of an answer."""
 
     tokens: list[str] = field(default_factory=list)
@@ -463,8 +463,8 @@
         self.workers = FakeWorkers()
         self.nodes: dict[str, Node] = {}
         self.views: dict[str, FakeMembership] = {}
-        self.cut: set[tuple[str, str]] = set()
-        self.loss = 0.0
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.loss_probability = 0.0
         self.delay = 0.001
         self.on_message: Callable[[Node, Node, Any], None] = lambda *_: None
         self.settings = RequestSettings(**settings)
@@ -473,9 +473,9 @@
             self.servers.add(f"engine-{place}", FINDINGS, ServerKind.ENGINE)
             self.servers.add(f"worker-{place}", REGISTRY, ServerKind.PLAIN)
         for place in range(size):
-            self.start(f"host-{place}", DOMAINS[place % 4])
+            self.start_host(f"host-{place}", DOMAINS[place % 4])
 
-    def start(self, name: str, domain: str) -> Node:
+    def start_host(self, name: str, domain: str) -> Node:
         member = Member(
             HostId(name),
             Incarnation(int(read_clock() * 1e6)),
@@ -488,7 +488,7 @@
         view = FakeMembership(member)
         view.others = self.views
         for other in self.views.values():
-            if other.me.host != name and not self.nodes[other.me.host].is_dead:
+            if other.me.host != name and not self.nodes[other.me.host].is_crashed:
                 view.known[other.me.host] = other.me
         self.nodes[name] = node
         self.views[name] = view
@@ -516,7 +516,7 @@
 
     async def look(self, address: str) -> ConnectResult:
         """Try a connection to a server; its name stands for its address."""
-        is_over = BackendServerId(address) in self.workers.ended
+        is_over = BackendServerId(address) in self.workers.crashed_servers
         return ConnectResult.REFUSED if is_over else ConnectResult.ACCEPTED
 
     async def _run(self, node: Node) -> None:
@@ -525,12 +525,12 @@
                 for _, run in node.service.list_tasks():
                     nursery.start_soon(run)
 
-    async def carry(self, source: Node, address: str, message: Any) -> Any:
+    async def deliver(self, source: Node, address: str, message: Any) -> Any:
         target = self.nodes[address.removeprefix("peer:")]
         pair = (source.member.host, target.member.host)
-        if target.is_dead:
+        if target.is_crashed:
             return Failure(ResultCode.PEER_UNREACHABLE)
-        if pair in self.cut or self.rng.random() < self.loss:
+        if pair in self.blocked_links or self.rng.random() < self.loss_probability:
             await trio.sleep_forever()
         self.on_message(source, target, message)
         await trio.sleep(self.delay * self.rng.uniform(0.5, 1.5))
@@ -539,7 +539,10 @@
         identity = PeerIdentity(me.host, me.incarnation, me.failure_domain)
         reply = await target.handlers[type(message)](identity, message)
         await trio.sleep(self.delay * self.rng.uniform(0.5, 1.5))
-        if (pair[1], pair[0]) in self.cut or self.rng.random() < self.loss:
+        if (
+            pair[1],
+            pair[0],
+        ) in self.blocked_links or self.rng.random() < self.loss_probability:
             await trio.sleep_forever()
         await source.gate()
         return reply
@@ -547,12 +550,12 @@
     def tell(self, member: Member, *but: str) -> None:
         """Let all views learn a member's state."""
         for name, view in self.views.items():
-            if name not in but and not self.nodes[name].is_dead:
+            if name not in but and not self.nodes[name].is_crashed:
                 view.note(member)
 
     def kill(self, name: str) -> None:
         node = self.nodes[name]
-        node.is_dead = True
+        node.is_crashed = True
         node.scope.cancel()
         self.nursery.start_soon(self._suspect, node)
 
@@ -572,16 +575,16 @@
     async def _suspect(self, node: Node) -> None:
         await trio.sleep(0.5)
         for state in (MemberState.SUSPECT, MemberState.DEAD):
-            if node.resumed.is_set() and not node.is_dead:
+            if node.resumed.is_set() and not node.is_crashed:
                 return
             self.tell(replace(node.member, state=state), node.member.host)
             await trio.sleep(1.0)
 
-    def cut_off(self, name: str) -> None:
+    def partition_host(self, name: str) -> None:
         for other in self.nodes:
-            self.cut |= {(name, other), (other, name)}
+            self.blocked_links |= {(name, other), (other, name)}
 
-    def make(
+    def make_submission(
         self,
         operation: str = "draft_finding",
         number: int = 1,
@@ -597,13 +600,13 @@
             number=number,
             deadline=read_clock() + deadline,
             input='"dossier 17"',
-            max_tokens=TOKENS if is_model else 0,
+            max_tokens=ANSWER_TOKENS if is_model else 0,
         )
 
     async def follow(
-        self, name: str, key: RequestKey, seen: Seen | None = None
-    ) -> Seen:
-        seen = seen or Seen()
+        self, name: str, key: RequestKey, seen: ReceivedAnswer | None = None
+    ) -> ReceivedAnswer:
+        seen = seen or ReceivedAnswer()
         service = self.nodes[name].service
         seen.moved = ()
         place = seen.generation, len(seen.tokens)
--- a/dewridge/tests/requests/history_tests.py
+++ b/dewridge/tests/requests/history_tests.py
@@ -12,7 +12,7 @@
 from dewridge.ids import RequestKey
 from dewridge.requests.model import Accepted
 from dewridge.sentinels import Failure
-from dewridge.tests.requests.fakes import DOMAINS, Cluster, Seen, run_cluster
+from dewridge.tests.requests.fakes import DOMAINS, Cluster, ReceivedAnswer, run_cluster
 
 EXAMPLES = int(os.environ.get("EXAMPLES", "15"))
 OPERATIONS = ("draft_finding", "draft_certificate", "check_status", "issue_letter")
@@ -29,7 +29,7 @@
     operation: str
     number: int = 0
     told: list[tuple[int, ResultCode]] = field(default_factory=list)
-    seen: Seen = field(default_factory=Seen)
+    seen: ReceivedAnswer = field(default_factory=ReceivedAnswer)
     is_over: bool = False
 
 
@@ -42,7 +42,7 @@
         self._rng = random.Random(seed)
 
     def _choose_host(self) -> str:
-        live = [n for n, node in self._cluster.nodes.items() if not node.is_dead]
+        live = [n for n, node in self._cluster.nodes.items() if not node.is_crashed]
         return self._rng.choice(live)
 
     async def run(self) -> None:
@@ -67,7 +67,7 @@
         story = self._story
         await trio.sleep(self._rng.random() * 0.01)
         with trio.move_on_after(PATIENCE):
-            submission = self._cluster.make(
+            submission = self._cluster.make_submission(
                 story.operation, story.number, story.key, deadline=20
             )
             service = self._cluster.nodes[self._choose_host()].service
@@ -85,7 +85,7 @@
                 story.is_over = outcome in (Outcome.DONE, Outcome.FAILED)
                 story.is_over |= self._rng.random() < 0.3
                 if not story.is_over:
-                    story.seen = Seen()
+                    story.seen = ReceivedAnswer()
                 return
 
 
@@ -104,13 +104,13 @@
             getattr(self, f"do_{kind}")(place)
         for name in self._paused:
             cluster.resume(name)
-        cluster.cut.clear()
-        cluster.loss = 0.0
+        cluster.blocked_links.clear()
+        cluster.loss_probability = 0.0
         cluster.key_value.is_down = False
 
     def _choose(self, place: int) -> str | None:
         """Choose a running host, if enough are left."""
-        names = [n for n, node in self._cluster.nodes.items() if not node.is_dead]
+        names = [n for n, node in self._cluster.nodes.items() if not node.is_crashed]
         name = names[place % len(names)]
         return name if len(names) > 4 and name not in self._paused else None
 
@@ -121,7 +121,7 @@
 
     def do_start(self, place: int) -> None:
         name = f"new-{len(self._cluster.nodes)}"
-        self._cluster.start(name, DOMAINS[place % 4])
+        self._cluster.start_host(name, DOMAINS[place % 4])
 
     def do_pause(self, place: int) -> None:
         name = self._choose(place)
@@ -135,13 +135,15 @@
 
     def do_cut(self, place: int) -> None:
         names = list(self._cluster.nodes)
-        self._cluster.cut.add((names[place % len(names)], self._rng.choice(names)))
+        self._cluster.blocked_links.add(
+            (names[place % len(names)], self._rng.choice(names))
+        )
 
     def do_loss(self, place: int) -> None:
-        self._cluster.loss = 0.05 if place % 2 else 0.0
+        self._cluster.loss_probability = 0.05 if place % 2 else 0.0
 
     def do_heal(self, place: int) -> None:
-        self._cluster.cut.clear()
+        self._cluster.blocked_links.clear()
 
     def do_outage(self, place: int) -> None:
         self._cluster.key_value.is_down = bool(place % 2)
@@ -170,7 +172,7 @@
     if story.operation not in IDEMPOTENT:
         # A draft stopped for certain may go on elsewhere; it has one whole answer.
         is_model = story.operation.startswith("draft")
-        answers = len(cluster.workers.whole.get(story.key, ()))
+        answers = len(cluster.workers.complete_answers.get(story.key, ()))
         assert (answers if is_model else runs) <= 1, (
             f"{story.operation} ran {runs} times: {story}"
         )
@@ -181,7 +183,7 @@
     if ended is None or ended.code is not ResultCode.OK:
         return
     if story.operation.startswith("draft"):
-        whole = cluster.workers.whole[story.key]
+        whole = cluster.workers.complete_answers[story.key]
         assert story.seen.tokens in whole, f"not one answer: {story}"
     else:
         assert ended.body == f'"{story.key}"'
@@ -206,15 +208,15 @@
 ) -> None:
     async def scenario(cluster: Cluster) -> None:
         rng = random.Random(seed)
-        cluster.workers.is_salted = True
-        cluster.workers.confirms = rng.random() < 0.8
-        cluster.workers.step = 0.05
-        cluster.workers.plain_time = 0.1
+        cluster.workers.is_nondeterministic = True
+        cluster.workers.confirms_cancellation = rng.random() < 0.8
+        cluster.workers.token_delay = 0.05
+        cluster.workers.plain_duration = 0.1
         stories: list[Story] = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Faults(cluster, rng).run, faults)
             for place in range(24):
-                key = cluster.make().key
+                key = cluster.make_submission().key
                 story = Story(key, OPERATIONS[place % 4])
                 stories.append(story)
                 caller = Caller(cluster, story, seed * 100 + place)
--- a/dewridge/tests/requests/leaving_tests.py
+++ b/dewridge/tests/requests/leaving_tests.py
@@ -47,10 +47,10 @@
 
     That one then stands still. Returns the key and the two replicas.
     """
-    cluster.workers.plain_time = 0.2
+    cluster.workers.plain_duration = 0.2
     key = await submit(cluster, "host-0", "issue_letter")
     first, second = find_record(cluster, "host-0", key).replicas
-    cluster.cut.add(("host-0", first))
+    cluster.blocked_links.add(("host-0", first))
     await wait_until(lambda: find_record(cluster, second, key).ended is not None, 0.01)
     cluster.kill("host-0")
     cluster.pause(second)
@@ -65,7 +65,7 @@
 def test_a_leaving_host_sends_no_letter() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.04
-        cluster.workers.plain_time = 3.0
+        cluster.workers.plain_duration = 3.0
         keys = [await submit(cluster, "host-0", "issue_letter") for _ in range(5)]
         assert not any(cluster.workers.count(key) for key in keys)
         await reclaim(cluster, "host-0", notice=2.0, drain=1.3)
@@ -84,11 +84,11 @@
 def test_a_letter_is_handed_off_before_its_claim_is_given_up() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.6
-        submission = cluster.make("issue_letter")
+        submission = cluster.make_submission("issue_letter")
         host, next_one, other, *_ = rank_committers(cluster, submission.key)
         await cluster.nodes[host].service.submit(submission)
         await trio.sleep(0.9)
-        cluster.cut.add((host, next_one))
+        cluster.blocked_links.add((host, next_one))
         await reclaim(cluster, host, notice=0.7, drain=0.3)
         ended = await read_end(cluster, other, submission.key)
         assert ended.code is ResultCode.OK
@@ -109,7 +109,7 @@
 
         async def go_on_sending() -> None:
             while True:
-                submission = cluster.make("draft_finding")
+                submission = cluster.make_submission("draft_finding")
                 service = cluster.nodes["host-0"].service
                 cluster.nursery.start_soon(service.submit, submission)
                 await trio.sleep(0.05)
@@ -131,7 +131,7 @@
 # letter that was issued while its host had half a second left.
 def test_an_answer_that_comes_after_the_handing_off_is_waited_for() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_time = 0.6
+        cluster.workers.plain_duration = 0.6
         key = await submit(cluster, "host-0", "issue_letter")
         await wait_until(lambda: cluster.workers.count(key) == 1, 0.01)
         cluster.announce_leaving("host-0")
@@ -187,26 +187,26 @@
     holds_copy: bool,
 ) -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make("issue_letter")
+        submission = cluster.make_submission("issue_letter")
         silent: list[str] = []
 
         def lose(source: Node, target: Node, message: Any) -> None:
             if isinstance(message, wire.Replicate) and message.record.pending:
                 silent.append(target.member.host)
-                cluster.cut.add((target.member.host, "host-0"))
+                cluster.blocked_links.add((target.member.host, "host-0"))
 
         async def lose_refusal() -> None:
             await wait_until(lambda: len(silent) == 2, 0.01)
             await trio.sleep(0.2)
-            cluster.cut.add(("host-0", silent[0]))
+            cluster.blocked_links.add(("host-0", silent[0]))
 
         cluster.on_message = lose
         cluster.nursery.start_soon(lose_refusal)
         first = await cluster.nodes["host-0"].service.submit(submission)
         assert isinstance(first, Failure) and not first.is_not_run
         cluster.on_message = lambda *_: None
-        cluster.cut.clear()
-        again = cluster.make("issue_letter", number=2, key=submission.key)
+        cluster.blocked_links.clear()
+        again = cluster.make_submission("issue_letter", number=2, key=submission.key)
         other = next(n for n in cluster.nodes if n not in ("host-0", *silent))
         other = silent[0] if holds_copy else other
         accepted = await cluster.nodes[other].service.submit(again)
@@ -234,7 +234,7 @@
         await trio.sleep(5.0)
         cluster.key_value.delay = 0.002
         await trio.sleep(5.0)
-        again = cluster.make("issue_letter", number=2, key=key)
+        again = cluster.make_submission("issue_letter", number=2, key=key)
         accepted = await cluster.nodes["host-2"].service.submit(again)
         assert isinstance(accepted, Accepted), accepted
         ended = await read_end(cluster, "host-2", key)
--- a/dewridge/tests/requests/service_tests.py
+++ b/dewridge/tests/requests/service_tests.py
@@ -18,8 +18,8 @@
 def test_answers_are_whole_and_their_own() -> None:
     async def scenario(cluster: Cluster) -> None:
         service = cluster.nodes["host-0"].service
-        draft = cluster.make("draft_finding")
-        letter = cluster.make("issue_letter")
+        draft = cluster.make_submission("draft_finding")
+        letter = cluster.make_submission("issue_letter")
         for submission in (draft, letter):
             accepted = await service.submit(submission)
             assert isinstance(accepted, Accepted), accepted
@@ -39,7 +39,7 @@
 # said that the profile had cost nothing.
 def test_a_report_holds_the_work_just_done_elsewhere() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make("draft_finding")
+        submission = cluster.make_submission("draft_finding")
         await cluster.nodes["host-0"].service.submit(submission)
         await cluster.follow("host-0", submission.key)
         profile = next(iter(make_configuration().profiles.values())).name
@@ -56,17 +56,19 @@
     async def scenario(cluster: Cluster) -> None:
         for place in range(4, 16):
             cluster.servers.add(f"engine-{place}", FINDINGS, ServerKind.ENGINE)
-        cluster.workers.crashing_inputs.add(cluster.make("draft_finding").input)
+        cluster.workers.crashing_inputs.add(
+            cluster.make_submission("draft_finding").input
+        )
         results = []
         for number in range(12):
             service = cluster.nodes[f"host-{number % 4}"].service
-            submission = cluster.make("draft_finding")
+            submission = cluster.make_submission("draft_finding")
             result = await service.submit(submission)
             results.append(result)
             if isinstance(result, Accepted):
                 with trio.move_on_after(20.0):
                     await cluster.follow(f"host-{number % 4}", submission.key)
-        assert len(cluster.workers.ended) == 3
+        assert len(cluster.workers.crashed_servers) == 3
         last = results[-1]
         assert isinstance(last, Failure)
         assert last.code is ResultCode.REQUEST_SET_ASIDE
