--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -312,7 +312,7 @@
         attempt.dispatched = True
         record.maybe_run = True
         record.attempts += 1
-        attempt.started = trio.current_time()
+        attempt.dispatched_at = trio.current_time()
         result = await self._receive(attempt, server, order)
         proves = isinstance(result, Failure) and result.code in PROVES_NOT_STARTED
         if proves and not attempt.tokens:
--- a/dewridge/requests/handlers.py
+++ b/dewridge/requests/handlers.py
@@ -1,4 +1,4 @@
-"""What this host answers to the messages of other entry hosts."""
+"""Handlers of replication, lookup and usage messages from other entry hosts."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -20,7 +20,15 @@
 
 
 class ReplicaHandlers:
-    """Keeps copies for other owners and answers questions about requests."""
+    """Stores replicas for other owners and answers lookups of requests and usage.
+
+    Args:
+        shared: state and interfaces shared by the modules of this package.
+        replicator: replicates the requests that this host owns.
+        attempts: attempts at backend servers that are in progress.
+        usage: usage counters of this process and of others.
+        sync_usage: brings `usage` up to date with the schedulers' counters.
+    """
 
     def __init__(
         self,
@@ -28,18 +36,18 @@
         replicator: Replicator,
         attempts: Attempts,
         usage: UsageLedger,
-        book_usage: Callable[[], None],
+        sync_usage: Callable[[], None],
     ) -> None:
         self._shared = shared
         self._replicator = replicator
         self._attempts = attempts
         self._usage = usage
-        self._book_usage = book_usage
+        self._sync_usage = sync_usage
 
     def list_handlers(
         self,
     ) -> list[tuple[type, Callable[[PeerIdentity, Any], Awaitable[Any]]]]:
-        """Return what answers which structure."""
+        """Return each handled message type with its handler."""
         return [
             (wire.Replicate, self.replicate),
             (wire.ReplicateTokens, self.replicate_tokens),
@@ -52,7 +60,10 @@
     async def replicate(
         self, peer: PeerIdentity, message: wire.Replicate
     ) -> wire.ReplicateReply:
-        """Keep a copy of a record, or say what stands against it."""
+        """Store a replica of a record, or return the state that conflicts with it.
+
+        A peer may send only records that it owns.
+        """
         offered = decode_record(message.record, message.tokens)
         if message.ended is not None:
             offered.ended = decode_end(message.ended)
@@ -63,7 +74,8 @@
         now = self._shared.clock()
         reply = self._shared.table.store(offered, now, message.supersedes or 0)
         if reply.stored and before is not None and is_late_answer(before, offered):
-            # Its other copies still say "unknown"; the sender must reach them.
+            # Other replicas may still hold the outcome "unknown". The sender finds
+            # them in the record that this one replaced, and must update them too.
             return wire.ReplicateReply(stored=True, known=encode_record(before))
         return wire.ReplicateReply(
             stored=reply.stored,
@@ -74,12 +86,12 @@
     async def replicate_tokens(
         self, peer: PeerIdentity, message: wire.ReplicateTokens
     ) -> wire.ReplicateTokensReply:
-        """Keep tokens of a peer's requests."""
+        """Store tokens of requests that a peer owns."""
         now = self._shared.clock()
         unknown: list[str] = []
         superseded: list[str] = []
         for run in message.runs:
-            result = self._shared.table.append(decode_run(peer, run), now)
+            result = self._shared.table.append(decode_token_run(peer, run), now)
             if result is RunReply.UNKNOWN:
                 unknown.append(run.request)
             elif result is RunReply.SUPERSEDED:
@@ -89,7 +101,10 @@
     async def close(
         self, peer: PeerIdentity, message: wire.CloseSubmission
     ) -> wire.CloseSubmissionReply:
-        """Remember a refusal, unless the request lives or has ended here."""
+        """Record a refusal unless the request runs, or has run, under another owner.
+
+        A message with `withdraw` removes the replica of a withdrawn ownership.
+        """
         ballot = Ballot(message.epoch, HostId(message.owner), peer.incarnation)
         request = RequestId(message.request)
         table = self._shared.table
@@ -98,18 +113,20 @@
             return wire.CloseSubmissionReply(closed=True)
         ended = decode_end(message.ended)
         number = message.ended.number
-        have = table.close_submissions(
+        existing = table.close_submissions(
             request, number, ended, ballot, self._shared.clock()
         )
-        if have is None:
+        if existing is None:
             return wire.CloseSubmissionReply(closed=True)
-        known_end = encode_end(have.ended, have.number) if have.ended else None
+        known_end = (
+            encode_end(existing.ended, existing.number) if existing.ended else None
+        )
         return wire.CloseSubmissionReply(
-            closed=False, known=encode_record(have), known_end=known_end
+            closed=False, known=encode_record(existing), known_end=known_end
         )
 
     async def find(self, peer: PeerIdentity, message: wire.Find) -> wire.FindReply:
-        """Say what this host knows of a request."""
+        """Return what this host stores about a request."""
         request = RequestId(message.request)
         record = self.find_record(request)
         if record is None:
@@ -127,7 +144,10 @@
         )
 
     def find_record(self, request: RequestId) -> Record | None:
-        """Return a record held here, also one that is merely being finished."""
+        """Return a record stored here, or one of an attempt still in progress.
+
+        Such an attempt continues after this host lost the request to another owner.
+        """
         attempt = self._attempts.find_orphan(request)
         if attempt is not None:
             return attempt.record
@@ -136,7 +156,7 @@
     async def merge_usage(
         self, peer: PeerIdentity, message: wire.MergeUsage
     ) -> wire.MergeUsageReply:
-        """Keep the counters of another process, so that they outlast it."""
+        """Store the counters of another process, so that they outlive it."""
         self._usage.keep(*decode_usages(message))
         return wire.MergeUsageReply(taken=True)
 
@@ -144,12 +164,12 @@
         self, peer: PeerIdentity, message: wire.ReadUsage
     ) -> wire.ReadUsageReply:
         """Return the counters of a profile, by the process that counted them."""
-        # The schedulers' figures are booked every few seconds; a report that
-        # did not ask for it would lack the work just done.
-        self._book_usage()
-        me = self._shared.me
+        # The schedulers' counters are otherwise synchronised only every few
+        # seconds; the report would lack the most recent work.
+        self._sync_usage()
+        local_host = self._shared.me
         sources = self._usage.read_kept()
-        sources[me.host, me.incarnation] = self._usage.read_own()
+        sources[local_host.host, local_host.incarnation] = self._usage.read_own()
         chosen = [
             encode_usages(source, {message.profile: usages[message.profile]})
             for source, usages in sources.items()
@@ -158,8 +178,8 @@
         return wire.ReadUsageReply(usages=chosen)
 
 
-def decode_run(peer: PeerIdentity, message: Any) -> TokenRun:
-    """Return tokens of a wire structure, as sent by a peer."""
+def decode_token_run(peer: PeerIdentity, message: Any) -> TokenRun:
+    """Decode tokens sent by a peer that owns the request."""
     ended = decode_end(message.ended) if message.ended is not None else None
     return TokenRun(
         request=RequestId(message.request),
--- a/dewridge/requests/ordering.py
+++ b/dewridge/requests/ordering.py
@@ -51,7 +51,7 @@
     """Add to a request's cost what an attempt took of its server's time."""
     if server is None or not attempt.dispatched:
         return
-    held = trio.current_time() - attempt.started
+    held = trio.current_time() - attempt.dispatched_at
     listed = server.listed
     hourly = listed.price / max(1, listed.capacity)
     attempt.record.cost += held * hourly / SECONDS_IN_HOUR
--- a/dewridge/requests/replicas.py
+++ b/dewridge/requests/replicas.py
@@ -1,4 +1,7 @@
-"""The records that one host holds, and what it answers about them. Pure state."""
+"""The request records that one host stores, with the rules for replacing them.
+
+The module does no I/O; callers pass the time in.
+"""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -11,8 +14,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closed:
-    """A refusal that holds for all submission numbers up to one."""
+class ClosedSubmissions:
+    """A refusal of a request's submissions.
+
+    Attributes:
+        number: highest submission number that it applies to.
+        ended: the end that refused submissions are answered with.
+        epoch: epoch of the ownership that refused them.
+        at: when it was recorded, in seconds since 1970.
+    """
 
     number: int
     ended: EndedEvent
@@ -22,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """What became of a record that was offered to this host.
+    """Whether an offered record was stored, and what conflicts with it if not.
 
     Attributes:
-        known: a record of another ownership that stands against it.
-        ended: the end that stands against it.
+        known: the record of another ownership that conflicts with it.
+        ended: the end or the refusal that conflicts with it.
     """
 
     stored: bool
@@ -35,7 +45,11 @@
 
 
 class RunReply(Enum):
-    """What became of tokens that were sent to this host."""
+    """Result of appending tokens that an owner sent.
+
+    UNKNOWN asks the owner for its full record; SUPERSEDED tells it that a newer
+    ownership exists.
+    """
 
     APPLIED = "applied"
     UNKNOWN = "unknown"
@@ -44,7 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRun:
-    """Tokens of one ownership's generation, from an offset on."""
+    """Consecutive tokens of one generation of an answer, as its owner sends them.
+
+    Attributes:
+        offset: position of the first token in the answer.
+        ended: the end of the request, if these are its last tokens.
+        number: highest submission number that the end applies to.
+    """
 
     request: RequestId
     ballot: Ballot
@@ -56,18 +76,23 @@
 
 
 class RecordTable:
-    """All records that this host holds, as owner or as replica.
+    """All request records that this host stores, as owner or as replica.
+
+    It stores at most one record of a request, usually the one with the greatest
+    ballot that it received.
 
-    A host holds at most one record of a request: that of the greatest ballot
-    it has heard of. `on_replaced` is told when a record gives way to another.
+    Attributes:
+        on_replaced: called with a record that was replaced or dropped, and with its
+            replacement if there is one.
+        on_stored: called with each record that another host sent and that was stored.
     """
 
-    def __init__(self, me: HostId) -> None:
-        self._me = me
+    def __init__(self, local_host: HostId) -> None:
+        self._local_host = local_host
         self._records: dict[RequestId, Record] = {}
         self._live: dict[RequestId, Record] = {}
-        self._closed: dict[RequestId, Closed] = {}
-        self._epochs: dict[RequestId, tuple[int, float]] = {}
+        self._closed: dict[RequestId, ClosedSubmissions] = {}
+        self._dropped_epochs: dict[RequestId, tuple[int, float]] = {}
         self.on_replaced: Callable[[Record, Record | None], None] = lambda *_: None
         self.on_stored: Callable[[Record], None] = lambda _: None
 
@@ -75,11 +100,11 @@
         return len(self._records)
 
     def find(self, request: RequestId) -> Record | None:
-        """Return the record held, in whatever state."""
+        """Return the stored record of a request, in any state."""
         return self._records.get(request)
 
-    def find_closed_submissions(self, request: RequestId) -> Closed | None:
-        """Return the refusal remembered, if there is one."""
+    def find_closed_submissions(self, request: RequestId) -> ClosedSubmissions | None:
+        """Return the recorded refusal of a request, if there is one."""
         return self._closed.get(request)
 
     def list_records(self) -> list[Record]:
@@ -87,10 +112,10 @@
         return list(self._records.values())
 
     def list_live(self) -> list[Record]:
-        """Return the records that go on, whoever owns them.
+        """Return the records that have not ended, whoever owns them.
 
-        They are kept apart: of a host's tens of thousands of records most have
-        ended, and the owners of the others are looked at twice a second.
+        They have an index of their own: most of a host's tens of thousands of
+        records have ended, and the owners of the others are checked twice a second.
         """
         for request, record in list(self._live.items()):
             if record.ended is not None or self._records.get(request) is not record:
@@ -98,11 +123,11 @@
         return list(self._live.values())
 
     def list_own(self) -> Iterator[Record]:
-        """Return the records that go on under this host's ownership."""
-        return (r for r in self.list_live() if r.ballot.host == self._me)
+        """Return the records that this host owns and that have not ended."""
+        return (r for r in self.list_live() if r.ballot.host == self._local_host)
 
     def put(self, record: Record) -> None:
-        """Hold this host's own record, in place of any other."""
+        """Store a record that this host owns, replacing any other of the request."""
         before = self._records.get(record.request)
         self._records[record.request] = record
         self._live[record.request] = record
@@ -110,118 +135,122 @@
             self.on_replaced(before, record)
 
     def drop(self, request: RequestId, ballot: Ballot, now: float) -> None:
-        """Forget the record of an ownership that was taken back."""
+        """Drop the record of an ownership that its owner withdrew."""
         record = self._records.get(request)
         if record is not None and record.ballot == ballot:
             self.drop_superseded(record, now)
 
     def drop_superseded(self, record: Record, now: float) -> None:
-        """Forget a live record that gave way to another ownership.
+        """Drop a live record that another ownership superseded.
 
-        Its epoch is kept in mind: a later ownership by this process must not
-        be taken for this one, since callers may hold tokens of its generation.
+        Its epoch is stored: a later ownership by this process must not be mistaken
+        for this one, since callers may hold tokens of its generation.
         """
         if self._records.get(record.request) is record and record.ended is None:
             del self._records[record.request]
-            self._epochs[record.request] = record.ballot.epoch, now
+            self._dropped_epochs[record.request] = record.ballot.epoch, now
             self.on_replaced(record, None)
 
     def store(self, offered: Record, now: float, supersedes: int = 0) -> StoreReply:
-        """Hold another host's record, or say what stands against it.
+        """Store another host's record, or return what conflicts with it.
 
-        A refusal stands against a record that is still being accepted only:
-        one that was accepted elsewhere first makes the refusal unconfirmed.
+        A refusal conflicts only with a record that is still being accepted: one that
+        another host accepted earlier makes the refusal unconfirmed.
 
         Args:
             offered: the record.
             now: seconds since 1970.
-            supersedes: epoch up to which live records of other owners give way to
-                one that is still being accepted; its owner has asked them.
+            supersedes: epoch up to which a record that is still being accepted
+                replaces live records of other owners; its owner has queried them.
         """
         closed = self._closed.get(offered.request)
         is_closed = closed is not None and offered.number <= closed.number
         if closed is not None and is_closed and offered.pending:
             return StoreReply(stored=False, ended=closed.ended)
-        have = self._records.get(offered.request)
-        if have is None or self._gives_way(have, offered, supersedes):
-            self._replace(have, offered, now)
+        current = self._records.get(offered.request)
+        if current is None or self._yields_to(current, offered, supersedes):
+            self._replace(current, offered, now)
             return StoreReply(stored=True)
-        if have.ballot == offered.ballot:
+        if current.ballot == offered.ballot:
             return StoreReply(stored=True)
-        return StoreReply(stored=False, known=have, ended=have.ended)
-
-    def _gives_way(self, have: Record, offered: Record, supersedes: int) -> bool:
-        if have.ended is not None:
-            return self._end_gives_way(have, offered)
-        if offered.ballot == have.ballot:
-            return offered.ended is not None or self._is_newer(have, offered)
-        if offered.pending and supersedes < have.ballot.epoch:
+        return StoreReply(stored=False, known=current, ended=current.ended)
+
+    def _yields_to(self, current: Record, offered: Record, supersedes: int) -> bool:
+        if current.ended is not None:
+            return self._end_yields_to(current, offered)
+        if offered.ballot == current.ballot:
+            return offered.ended is not None or self._is_not_older(current, offered)
+        if offered.pending and supersedes < current.ballot.epoch:
             return False
-        if is_late_answer(have, offered):
+        if is_late_answer(current, offered):
             return True
-        return offered.ballot > have.ballot and not self._lacks_tokens(have, offered)
+        return offered.ballot > current.ballot and not self._lacks_tokens(
+            current, offered
+        )
 
     @staticmethod
-    def _lacks_tokens(have: Record, offered: Record) -> bool:
-        """Whether a successor would go on from less than callers may have seen."""
-        if offered.ended is not None or offered.generation != have.generation:
+    def _lacks_tokens(current: Record, offered: Record) -> bool:
+        """Whether the new owner has fewer tokens than callers may have received."""
+        if offered.ended is not None or offered.generation != current.generation:
             return False
-        return len(offered.tokens) < len(have.tokens)
+        return len(offered.tokens) < len(current.tokens)
 
     @staticmethod
-    def _is_newer(have: Record, offered: Record) -> bool:
-        if offered.generation != have.generation:
-            return offered.renewals >= have.renewals
-        return len(offered.tokens) >= len(have.tokens)
+    def _is_not_older(current: Record, offered: Record) -> bool:
+        if offered.generation != current.generation:
+            return offered.renewals >= current.renewals
+        return len(offered.tokens) >= len(current.tokens)
 
     @staticmethod
-    def _end_gives_way(have: Record, offered: Record) -> bool:
-        if have.outcome is Outcome.NOT_RUN:
-            return offered.number > have.number
-        if offered.number > have.number and may_reopen(have):
+    def _end_yields_to(current: Record, offered: Record) -> bool:
+        if current.outcome is Outcome.NOT_RUN:
+            return offered.number > current.number
+        if offered.number > current.number and may_reopen(current):
             return True
-        return is_late_answer(have, offered)
+        return is_late_answer(current, offered)
 
-    def _replace(self, have: Record | None, offered: Record, now: float) -> None:
+    def _replace(self, current: Record | None, offered: Record, now: float) -> None:
         self._records[offered.request] = offered
         self._live[offered.request] = offered
         offered.touched = now
         if offered.ended is not None:
             offered.end(offered.ended, now)
-            self._remember_refusal(offered, now)
-        if have is not None:
-            self.on_replaced(have, offered)
+            self._record_refusal(offered, now)
+        if current is not None:
+            self.on_replaced(current, offered)
         self.on_stored(offered)
 
     def append(self, run: TokenRun, now: float) -> RunReply:
-        """Add tokens of the ownership that this host knows."""
-        have = self._records.get(run.request)
-        if have is None:
+        """Append tokens if they come from the ownership stored here."""
+        current = self._records.get(run.request)
+        if current is None:
             return RunReply.UNKNOWN
-        if have.ballot != run.ballot:
-            is_old = run.ballot < have.ballot
-            return RunReply.SUPERSEDED if is_old else RunReply.UNKNOWN
-        have.touched = now
-        if have.ended is not None:
+        if current.ballot != run.ballot:
+            is_older = run.ballot < current.ballot
+            return RunReply.SUPERSEDED if is_older else RunReply.UNKNOWN
+        current.touched = now
+        if current.ended is not None:
             return RunReply.APPLIED
-        if have.generation != run.generation or run.offset > len(have.tokens):
+        if current.generation != run.generation or run.offset > len(current.tokens):
             return RunReply.UNKNOWN
-        have.maybe_run = True
-        fresh = run.tokens[len(have.tokens) - run.offset :]
-        have.tokens.extend(fresh)
+        current.maybe_run = True
+        new_tokens = run.tokens[len(current.tokens) - run.offset :]
+        current.tokens.extend(new_tokens)
         if run.ended is not None:
-            have.number = max(have.number, run.number)
-            self.end(have, run.ended, now)
+            current.number = max(current.number, run.number)
+            self.end(current, run.ended, now)
         return RunReply.APPLIED
 
     def end(self, record: Record, ended: EndedEvent, now: float) -> None:
-        """End a record that this host holds."""
+        """End a stored record; if it was not run, its submissions are closed."""
         record.end(ended, now)
-        self._remember_refusal(record, now)
+        self._record_refusal(record, now)
 
-    def _remember_refusal(self, record: Record, now: float) -> None:
+    def _record_refusal(self, record: Record, now: float) -> None:
         if record.ended is not None and record.outcome is Outcome.NOT_RUN:
-            self._close(record.request, record.number, record.ended, record.ballot, now)
+            self._record_closed(
+                record.request, record.number, record.ended, record.ballot, now
+            )
 
     def close_submissions(
         self,
@@ -231,25 +260,25 @@
         ballot: Ballot,
         now: float,
     ) -> Record | None:
-        """Close submissions up to a number; returns the record that forbids it.
+        """Close submissions up to a number; returns the record that prevents it.
 
-        A record of the closing ownership itself ends. One of another goes on:
-        the refusal would then be a lie, since that owner may run the request.
+        A live record of the closing process is ended. One of another owner prevents
+        it, since that owner may run the request and the refusal would be false.
         """
-        have = self._records.get(request)
-        if have is not None:
-            own = have.ballot.is_same_process(ballot) and have.ballot <= ballot
-            if have.ended is None and not own:
-                return have
-            if have.ended is None:
-                have.number = max(have.number, number)
-                self.end(have, ended, now)
-            elif have.outcome is not Outcome.NOT_RUN:
-                return have
-        self._close(request, number, ended, ballot, now)
+        current = self._records.get(request)
+        if current is not None:
+            is_own = current.ballot.is_same_process(ballot) and current.ballot <= ballot
+            if current.ended is None and not is_own:
+                return current
+            if current.ended is None:
+                current.number = max(current.number, number)
+                self.end(current, ended, now)
+            elif current.outcome is not Outcome.NOT_RUN:
+                return current
+        self._record_closed(request, number, ended, ballot, now)
         return None
 
-    def _close(
+    def _record_closed(
         self,
         request: RequestId,
         number: int,
@@ -259,21 +288,30 @@
     ) -> None:
         before = self._closed.get(request)
         if before is None or before.number < number:
-            self._closed[request] = Closed(number, ended, ballot.epoch, now)
+            self._closed[request] = ClosedSubmissions(number, ended, ballot.epoch, now)
 
     def find_max_epoch(self, request: RequestId) -> int:
-        """Return the greatest epoch heard of for a request; 0 for none."""
+        """Return the greatest epoch stored for a request; 0 if there is none."""
         record = self._records.get(request)
         closed = self._closed.get(request)
         return max(record.ballot.epoch if record else 0, closed.epoch if closed else 0)
 
     def prune(self, now: float, retention: float, limit: int) -> int:
-        """Forget what ended longer ago than the retention, or exceeds a size.
+        """Remove what ended before the retention period or exceeds a size limit.
+
+        The limit bounds memory: 100 answers of 1 kB a second over 15 minutes are
+        90 MB, more than a host's entire allowance. Answers of idempotent requests
+        are evicted first, then those of other calls, the oldest first in each group.
+        Other calls keep their end, so that callers get "unknown" and no second run
+        starts.
+
+        Args:
+            now: seconds since 1970.
+            retention: seconds for which ended records are stored.
+            limit: bytes that ended records may take in total.
 
-        Memory is the limit's reason: at 100 answers a second of 1 kB and 15
-        minutes a host would hold 90 MB, more than its whole allowance. Answers
-        that may be computed again go first, oldest first; of the others, the
-        end stays so that the caller hears "unknown" and never a second run.
+        Returns:
+            The number of answers that were evicted to keep to the limit.
         """
         ended = [r for r in self._records.values() if r.ended is not None]
         for record in ended:
@@ -282,12 +320,12 @@
         for request, closed in list(self._closed.items()):
             if closed.at < now - retention:
                 del self._closed[request]
-        for request, (_, at) in list(self._epochs.items()):
+        for request, (_, at) in list(self._dropped_epochs.items()):
             if at < now - retention:
-                del self._epochs[request]
-        return self._shrink(limit)
+                del self._dropped_epochs[request]
+        return self._evict_to_limit(limit)
 
-    def _shrink(self, limit: int) -> int:
+    def _evict_to_limit(self, limit: int) -> int:
         ended = [r for r in self._records.values() if r.ended is not None]
         size = sum(record.size for record in ended)
         if size <= limit:
@@ -302,12 +340,12 @@
             if record.idempotent:
                 del self._records[record.request]
             else:
-                self._empty(record)
+                self._discard_answer(record)
                 size += record.size
         return evicted
 
     @staticmethod
-    def _empty(record: Record) -> None:
+    def _discard_answer(record: Record) -> None:
         if record.outcome in (Outcome.DONE, Outcome.FAILED):
             record.ended = EndedEvent(
                 ResultCode.OUTCOME_UNKNOWN, "the call ran; its answer is kept no longer"
@@ -316,37 +354,38 @@
         record.size = record.count_bytes()
 
     def count(self) -> dict[str, int]:
-        """Return sizes for a dump."""
+        """Return counts of records and tokens for a diagnostic dump."""
         records = self._records.values()
         live = self.list_live()
-        own = [record for record in live if record.ballot.host == self._me]
+        owned = [record for record in live if record.ballot.host == self._local_host]
         return {
             "records": len(self._records),
             "live": len(live),
-            "owned": len(own),
+            "owned": len(owned),
             "closed_submissions": len(self._closed),
             "tokens": sum(len(record.tokens) for record in records),
         }
 
 
-def is_late_answer(have: Record, offered: Record) -> bool:
-    """Whether a holder brings the whole answer of a call given up as unknown.
+def is_late_answer(current: Record, offered: Record) -> bool:
+    """Whether the offered record has the complete answer of an abandoned call.
 
-    A call that may not be repeated ran at most once, so whoever has its whole
-    answer has the only one; better late than unknown.
+    A non-idempotent call runs at most once, so a complete answer is the only one
+    there can be and replaces the outcome "unknown", however late it arrives.
     """
-    if have.idempotent or offered.ended is None:
+    if current.idempotent or offered.ended is None:
         return False
-    gave_up = have.ended is None or have.outcome is Outcome.UNKNOWN
-    return gave_up and offered.outcome is Outcome.DONE
+    is_undecided = current.ended is None or current.outcome is Outcome.UNKNOWN
+    return is_undecided and offered.outcome is Outcome.DONE
 
 
 def may_reopen(record: Record) -> bool:
-    """Whether a later submission may try a request again that ended unknown.
+    """Whether a later submission may retry a request whose outcome is unknown.
 
-    An idempotent one may simply run again. One whose holder was lost, or that was
-    given up unsent, may ask for the claim again: it is granted only if nobody
-    holds it, or its holder released it unsent.
+    An idempotent request may always run again. A call whose claim holder was lost,
+    or that was abandoned before it was sent, may request the claim again: it is
+    granted only if no host holds it, or if its holder released it without sending
+    the call.
     """
     if record.ended is None or record.outcome is not Outcome.UNKNOWN:
         return False
--- a/dewridge/requests/replication.py
+++ b/dewridge/requests/replication.py
@@ -1,4 +1,4 @@
-"""Copies of this host's requests on their replicas: one sender for each peer."""
+"""Replication of this host's requests: one sender task for each peer."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,24 +17,27 @@
 from dewridge.requests.shared import Shared
 from dewridge.sentinels import Failure
 
-FRAME_TOKENS = 20_000
-"""Tokens in one frame, about a megabyte; far below the frame limit, and small
-enough that the acknowledgements of other streams do not wait behind it."""
-WHOLE_COPIES = 4
-"""Whole records sent to one peer side by side. After the loss of a failure
-domain each host copies thousands anew; all at once they would fill the peers'
-connections and hold up the tokens of running streams."""
-FAILURES_TO_REPLACE = 2
-"""Calls in a row that fail before another replica is chosen. One slow call is
-common; two are 1 s at the default timeout, as long as a membership's suspicion."""
+TARGET_FRAME_TOKENS = 20_000
+"""Tokens after which a frame takes in no further request, about a megabyte: far
+below the frame limit, and small enough not to delay the acknowledgements of other
+streams."""
+MAX_CONCURRENT_RECORDS = 4
+"""Full records sent to one peer concurrently. After the loss of a failure domain
+each host replicates thousands again; sent all at once they would fill the peers'
+connections and delay the tokens of running streams."""
+FAILURES_BEFORE_REPLACEMENT = 2
+"""Consecutive failed calls after which another replica is chosen. One slow call is
+common; two take 1 s at the default timeout, as long as the membership's suspicion
+period."""
 RETRY_PAUSE = 0.05
+"""Seconds between two frames to a peer while calls to it fail."""
 
 
 class Replicator:
-    """Keeps the replicas of this host's requests up to date.
+    """Keeps the replicas of the requests that this host owns up to date.
 
     Attributes:
-        on_superseded: told of a record that another ownership has replaced.
+        on_superseded: called with each record that another ownership has replaced.
     """
 
     def __init__(self, shared: Shared) -> None:
@@ -44,24 +47,24 @@
         self.on_superseded: Callable[[Record], None] = lambda _: None
 
     def find(self, request: RequestId) -> Answer | None:
-        """Return the answer to a request of this host, live or just ended."""
+        """Return the answer to a request that is replicated from here, if it is one."""
         return self._answers.get(request)
 
     def add(self, answer: Answer) -> None:
-        """Keep an answer's replicas up to date from now on."""
+        """Start replicating an answer."""
         self._answers[answer.record.request] = answer
 
     def remove(self, answer: Answer) -> None:
-        """Stop caring for an answer."""
+        """Stop replicating an answer."""
         if self._answers.get(answer.record.request) is answer:
             del self._answers[answer.record.request]
 
     def list_answers(self) -> list[Answer]:
-        """Return the answers that this host cares for."""
+        """Return the answers that are replicated from here."""
         return list(self._answers.values())
 
     def queue_update(self, answer: Answer) -> None:
-        """Send what is new in an answer to its replicas."""
+        """Queue what is new in an answer for sending to its replicas."""
         if answer.lost:
             return
         if answer.detached:
@@ -70,9 +73,9 @@
         if answer.record.outcome is Outcome.NOT_RUN:
             hosts |= answer.holders
         for host in hosts:
-            self._find_sender(host).note(answer.record.request)
+            self._get_sender(host).queue_update(answer.record.request)
 
-    def _find_sender(self, host: HostId) -> "PeerSender":
+    def _get_sender(self, host: HostId) -> "PeerSender":
         sender = self._senders.get(host)
         if sender is None:
             sender = PeerSender(self._shared, self, host)
@@ -81,17 +84,17 @@
         return sender
 
     def queue_full_record(self, host: HostId, request: RequestId) -> None:
-        """Send a peer a whole record."""
-        self._find_sender(host).note_whole(request)
+        """Queue a full record for sending to a peer."""
+        self._get_sender(host).queue_full_record(request)
 
     def assign_replicas(
-        self, record: Record, avoid: frozenset[HostId] = frozenset()
+        self, record: Record, excluded: frozenset[HostId] = frozenset()
     ) -> None:
-        """Choose the replicas that a record should have now."""
+        """Set a record's replicas according to the current membership."""
         members = [
             member
             for member in self._shared.membership.members()
-            if member.host not in avoid
+            if member.host not in excluded
         ]
         chosen = choose_replicas(
             record.request,
@@ -102,11 +105,11 @@
         record.replicas = tuple(member.host for member in chosen)
 
     def reassign_replicas(
-        self, answer: Answer, avoid: frozenset[HostId] = frozenset()
+        self, answer: Answer, excluded: frozenset[HostId] = frozenset()
     ) -> None:
-        """Choose replicas anew after a member came, went or fell silent."""
+        """Update an answer's replicas after a member joined, left or became silent."""
         before = answer.record.replicas
-        self.assign_replicas(answer.record, avoid)
+        self.assign_replicas(answer.record, excluded)
         after = answer.record.replicas
         if not after:
             answer.record.replicas = before
@@ -117,25 +120,28 @@
             for host in set(before) - set(after):
                 answer.acked.pop(host, None)
             if answer.replace_replicas(set(after)):
-                self.renew(answer)
+                self.begin_generation(answer)
             for host in after:
-                self._find_sender(host).note_whole(answer.record.request)
+                self._get_sender(host).queue_full_record(answer.record.request)
 
-    def renew(self, answer: Answer) -> None:
-        """Begin a new generation where a replica has more of the present one."""
+    def begin_generation(self, answer: Answer) -> None:
+        """Begin a new generation and send it to all replicas.
+
+        This is needed if a replica may hold more tokens of the present generation.
+        """
         renew_generation(answer.record)
         answer.acked.clear()
         answer.visible = 0
         answer.note_change()
         for host in answer.record.replicas:
-            self._find_sender(host).note_whole(answer.record.request)
+            self._get_sender(host).queue_full_record(answer.record.request)
 
     async def publish_end(self, answer: Answer) -> None:
-        """See to it that callers hear of an end soon, in words that hold.
+        """Replicate an end and show it to callers within the replica timeout.
 
-        A replica that never acknowledges would otherwise keep the final answer
-        from its caller. What is told then is still true: "not run" turns into
-        "unknown", and a whole answer is shown under its own generation.
+        A replica that never acknowledges would otherwise withhold the end from
+        callers. What they get after the timeout is still correct: "not run" becomes
+        "unknown", and a complete answer is shown under a generation of its own.
         """
         self.queue_update(answer)
         with trio.move_on_after(self._shared.settings.replica_timeout):
@@ -149,12 +155,12 @@
             answer.end_acked.clear()
             self._shared.metrics.add("requests_unconfirmed_refusals")
             for host in record.replicas:
-                self._find_sender(host).note_whole(record.request)
+                self._get_sender(host).queue_full_record(record.request)
         answer.detach()
 
 
 def make_unconfirmed_end(ended: EndedEvent) -> EndedEvent:
-    """Turn a "not run" that a replica did not confirm into "unknown"."""
+    """Return the end "unknown" for a "not run" that a replica did not confirm."""
     return EndedEvent(
         ResultCode.OUTCOME_UNKNOWN,
         f"{ended.reason}; a replica did not confirm that it will not run",
@@ -164,105 +170,105 @@
 
 
 class PeerSender:
-    """The task that sends one peer its copies, one frame at a time."""
+    """Sends one peer the records and tokens that it replicates, a frame at a time."""
 
     def __init__(self, shared: Shared, replicator: Replicator, host: HostId) -> None:
         self._shared = shared
         self._replicator = replicator
         self._host = host
-        self._dirty: dict[RequestId, None] = {}
-        self._whole: dict[RequestId, None] = {}
+        self._pending_updates: dict[RequestId, None] = {}
+        self._pending_records: dict[RequestId, None] = {}
         self._wake = trio.Event()
         self._failures = 0
 
-    def note(self, request: RequestId) -> None:
-        """Send what is new in a request with the next frame."""
-        self._dirty[request] = None
+    def queue_update(self, request: RequestId) -> None:
+        """Send what is new in a request with one of the next frames."""
+        self._pending_updates[request] = None
         self._wake.set()
 
-    def note_whole(self, request: RequestId) -> None:
-        """Send the whole record."""
-        self._whole[request] = None
+    def queue_full_record(self, request: RequestId) -> None:
+        """Send the full record of a request."""
+        self._pending_records[request] = None
         self._wake.set()
 
     async def run(self) -> None:
-        """Send frames while there is something to send."""
+        """Send queued records and tokens until cancelled."""
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
-            if self._whole:
-                await self._send_whole_records()
-            if self._dirty:
-                await self._send_tokens()
-            if self._dirty or self._whole:
+            if self._pending_records:
+                await self._send_full_records()
+            if self._pending_updates:
+                await self._send_token_runs()
+            if self._pending_updates or self._pending_records:
                 self._wake.set()
             pause = RETRY_PAUSE if self._failures else self._shared.settings.token_batch
             await trio.sleep(pause)
 
-    async def _send_tokens(self) -> None:
-        sent = self._gather()
-        if not sent:
+    async def _send_token_runs(self) -> None:
+        batch = self._collect_runs()
+        if not batch:
             return
-        message = wire.ReplicateTokens(runs=[run for _, run in sent])
+        message = wire.ReplicateTokens(runs=[run for _, run in batch])
         reply = await self._shared.call(self._host, message)
         if isinstance(reply, Failure):
-            for answer, _ in sent:
-                self._dirty[answer.record.request] = None
-            self._note_failure([answer for answer, _ in sent])
+            for answer, _ in batch:
+                self._pending_updates[answer.record.request] = None
+            self._record_failure([answer for answer, _ in batch])
             return
         self._failures = 0
         unknown = set(reply.unknown)
         superseded = set(reply.superseded)
-        for answer, run in sent:
+        for answer, run in batch:
             if run.request in superseded:
-                self._give_up(answer)
+                self._handle_superseded(answer)
             elif run.request in unknown:
-                self.note_whole(answer.record.request)
+                self.queue_full_record(answer.record.request)
             else:
                 self._acknowledge(answer, run)
 
-    def _gather(self) -> list[tuple[Answer, Any]]:
-        sent: list[tuple[Answer, Any]] = []
+    def _collect_runs(self) -> list[tuple[Answer, Any]]:
+        batch: list[tuple[Answer, Any]] = []
         count = 0
-        for request in list(self._dirty):
-            if count >= FRAME_TOKENS:
+        for request in list(self._pending_updates):
+            if count >= TARGET_FRAME_TOKENS:
                 break
-            del self._dirty[request]
+            del self._pending_updates[request]
             answer = self._replicator.find(request)
             if answer is None or answer.lost:
                 continue
             if self._host not in answer.acked:
-                self._whole[request] = None
+                self._pending_records[request] = None
                 continue
-            run = make_run(answer.record, answer.acked[self._host])
+            run = make_token_run(answer.record, answer.acked[self._host])
             count += len(run.tokens)
-            sent.append((answer, run))
-        return sent
+            batch.append((answer, run))
+        return batch
 
     def _acknowledge(self, answer: Answer, run: Any) -> None:
         tokens = run.offset + len(run.tokens)
         answer.acknowledge(self._host, run.generation, tokens, run.ended is not None)
         record = answer.record
         if len(record.tokens) > tokens or (record.ended and run.ended is None):
-            self._dirty[record.request] = None
+            self._pending_updates[record.request] = None
 
-    async def _send_whole_records(self) -> None:
-        batch = list(self._whole)[:WHOLE_COPIES]
+    async def _send_full_records(self) -> None:
+        batch = list(self._pending_records)[:MAX_CONCURRENT_RECORDS]
         async with trio.open_nursery() as nursery:
             for request in batch:
-                del self._whole[request]
+                del self._pending_records[request]
                 answer = self._replicator.find(request)
                 if answer is not None and not answer.lost:
-                    nursery.start_soon(self._send_whole, answer)
+                    nursery.start_soon(self._send_full_record, answer)
 
-    async def _send_whole(self, answer: Answer) -> None:
+    async def _send_full_record(self, answer: Answer) -> None:
         message = make_replicate_message(answer.record)
         answer.holders.add(self._host)
         reply = await self._shared.call(self._host, message)
         if isinstance(reply, Failure):
             if self._host in answer.record.replicas:
-                self._whole[answer.record.request] = None
-            self._note_failure([answer])
+                self._pending_records[answer.record.request] = None
+            self._record_failure([answer])
             return
         self._failures = 0
         if reply.stored:
@@ -271,15 +277,18 @@
             ended = message.ended is not None
             answer.acknowledge(self._host, generation, tokens, ended)
             answer.trust(self._host, set(message.record.replicas))
-            self._dirty[answer.record.request] = None
+            self._pending_updates[answer.record.request] = None
         else:
-            self._give_up(answer, reply)
+            self._handle_superseded(answer, reply)
+
+    def _handle_superseded(self, answer: Answer, reply: Any = None) -> None:
+        """End an ownership that a replica reports as superseded.
 
-    def _give_up(self, answer: Answer, reply: Any = None) -> None:
-        """Stop an ownership that a replica knows to be superseded.
+        This happens when this process was paused and resumed after a takeover. If it
+        continued, its callers would read tokens that no other host continues.
 
-        Happens when this process was paused and woke up after a takeover. If
-        it went on, callers here would read tokens that nobody else continues.
+        A replica also rejects a record with fewer tokens than the one that it holds of
+        an older ownership; a new generation then begins instead.
         """
         if answer.end_visible or answer.lost:
             return
@@ -289,7 +298,7 @@
             if reply.ended is not None:
                 known.ended = decode_end(reply.ended)
             if known.ballot < answer.record.ballot and known.ended is None:
-                self._replicator.renew(answer)
+                self._replicator.begin_generation(answer)
                 return
         log.info(
             "request {}: epoch {} is superseded at {}",
@@ -303,18 +312,18 @@
         self._shared.table.drop_superseded(answer.record, self._shared.clock())
         self._replicator.on_superseded(answer.record)
 
-    def _note_failure(self, answers: list[Answer]) -> None:
+    def _record_failure(self, answers: list[Answer]) -> None:
         self._failures += 1
         self._shared.metrics.add("replication_failures", peer=self._host)
-        if self._failures < FAILURES_TO_REPLACE:
+        if self._failures < FAILURES_BEFORE_REPLACEMENT:
             return
         for answer in answers:
             if not answer.lost and not answer.end_visible:
                 self._replicator.reassign_replicas(answer, frozenset([self._host]))
 
 
-def make_run(record: Record, offset: int) -> Any:
-    """Return the tokens and the end that a replica lacks."""
+def make_token_run(record: Record, offset: int) -> Any:
+    """Return the message part with the tokens and the end that a replica lacks."""
     ended = encode_end(record.ended, record.number) if record.ended else None
     return wire.TokenRun(
         request=record.request,
@@ -327,7 +336,7 @@
 
 
 def make_replicate_message(record: Record, supersedes: int = 0) -> Any:
-    """Return a whole record as a message."""
+    """Return the message that replicates a full record."""
     ended = encode_end(record.ended, record.number) if record.ended else None
     return wire.Replicate(
         record=encode_record(record),
--- a/dewridge/requests/stopping.py
+++ b/dewridge/requests/stopping.py
@@ -1,4 +1,4 @@
-"""Attempts under way, and stopping them so that it is certain that they ended."""
+"""Attempts at backend servers, and stopping them with the engine's confirmation."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -17,26 +17,30 @@
 from dewridge.supervision.mailbox import Promise
 
 STOP_TIMEOUT = 1.0
-"""Seconds for an engine to confirm a stop or to export a cache; a reclaim's notice
-is 2 to 5 s, and the request has to start elsewhere within it."""
+"""Seconds for an engine to confirm a stop or to export a cache. A reclaim gives 2 to
+5 s of notice, within which the request must also start on another server."""
 
 
 class EngineOrders(Protocol):
-    """What engines are asked besides attempts."""
+    """Requests to engines other than attempts."""
 
     async def cancel(
         self, server: BackendServer, attempt: AttemptId, /
     ) -> Cancellation | Failure:
-        """Cancel an attempt; every answer but DONE proves that it has ended."""
+        """Cancel an attempt.
+
+        A Cancellation other than DONE proves that the attempt has ended, or that its
+        order will be rejected if it still arrives. A Failure proves neither.
+        """
 
     async def export_cache(
         self, server: BackendServer, attempt: AttemptId, /
     ) -> str | Failure:
-        """Export the KV cache of a running attempt and return its handle."""
+        """Export the KV cache of a running attempt and return a handle to it."""
 
 
 class StopCause:
-    """Why an attempt was stopped from outside."""
+    """Reasons for which an attempt is stopped before it ends."""
 
     NONE = ""
     LEAVING = "leaving"
@@ -47,13 +51,16 @@
 
 @dataclass
 class Attempt:
-    """One assignment being carried out.
+    """One try to run a request on the backend server that it was assigned to.
 
     Attributes:
-        dispatched: the order may have left this host.
-        tokens: tokens that came in this attempt.
-        first_token_at: when the first of them came, in seconds since 1970.
-        stopping: whether its engine confirmed that it was stopped.
+        id: set when the order for the backend server is made.
+        dispatched: whether the order may have left this host.
+        tokens: number of tokens received in this attempt.
+        first_token_at: when the first of them was received, in seconds since 1970.
+        dispatched_at: when the order was sent, in trio's clock.
+        stop_confirmed: set once a cancellation was requested; resolves to whether the
+            engine confirmed the stop.
     """
 
     record: Record
@@ -66,19 +73,19 @@
     dispatched: bool = False
     tokens: int = 0
     first_token_at: float | None = None
-    started: float = 0.0
+    dispatched_at: float = 0.0
     finished: trio.Event = field(default_factory=trio.Event)
-    stopping: Promise[bool] | None = None
+    stop_confirmed: Promise[bool] | None = None
 
     def stop(self, cause: str) -> None:
-        """Stop it from outside."""
+        """Cancel the attempt, unless it is being stopped already."""
         if not self.stop_cause:
             self.stop_cause = cause
             self.scope.cancel()
 
 
 class AttemptStopper:
-    """Asks engines to stop attempts."""
+    """Requests that engines stop attempts or export their caches."""
 
     def __init__(
         self, shared: Shared, servers: Servers, orders: EngineOrders | None
@@ -88,42 +95,46 @@
         self._orders = orders
 
     async def stop_with_confirmation(self, attempt: Attempt) -> bool:
-        """Stop a call that may not be repeated; whether its engine confirmed it.
+        """Stop a non-idempotent call; returns whether its engine confirmed the stop.
 
-        A reclaimed engine would take a long certificate draft with it. Once it
-        has confirmed that the attempt is over, and that no whole answer came
-        of it, the call can go on elsewhere from the tokens kept. Plain services
-        can't confirm that, so their calls stay where they are.
+        A long draft would otherwise be lost with a reclaimed engine. Once the engine
+        confirms that the attempt has ended without a complete answer, the call can
+        continue on another server from the stored tokens. Plain services cannot
+        confirm that, so their calls are not moved.
         """
         server = self._servers.find(attempt.server)
         if self._orders is None or attempt.service_scheduler.service.kind != "model":
             return False
         if attempt.id is None or server is None:
             return False
-        if attempt.stopping is None:
-            attempt.stopping = Promise()
+        if attempt.stop_confirmed is None:
+            attempt.stop_confirmed = Promise()
             self._shared.jobs.start(
-                self._order_stop, self._orders, server, attempt.id, attempt.stopping
+                self._request_cancellation,
+                self._orders,
+                server,
+                attempt.id,
+                attempt.stop_confirmed,
             )
-        late = Failure(ResultCode.BACKEND_SERVER_SILENT, "no confirmation")
-        return await attempt.stopping.wait(STOP_TIMEOUT, late) is True
+        timed_out = Failure(ResultCode.BACKEND_SERVER_SILENT, "no confirmation")
+        return await attempt.stop_confirmed.wait(STOP_TIMEOUT, timed_out) is True
 
-    async def _order_stop(
+    async def _request_cancellation(
         self,
         orders: EngineOrders,
         server: BackendServer,
         attempt: AttemptId,
-        confirmed: Promise[bool],
+        stop_confirmed: Promise[bool],
     ) -> None:
-        said: Cancellation | Failure | None = None
+        reply: Cancellation | Failure | None = None
         with trio.move_on_after(STOP_TIMEOUT):
-            said = await orders.cancel(server, attempt)
-        is_over = isinstance(said, Cancellation) and said is not Cancellation.DONE
-        self._shared.metrics.add("attempts_stopped", confirmed=str(is_over).lower())
-        confirmed.fulfil(is_over)
+            reply = await orders.cancel(server, attempt)
+        is_stopped = isinstance(reply, Cancellation) and reply is not Cancellation.DONE
+        self._shared.metrics.add("attempts_stopped", confirmed=str(is_stopped).lower())
+        stop_confirmed.fulfil(is_stopped)
 
     async def export_cache(self, attempt: Attempt) -> None:
-        """Keep the engine's KV cache, so that the next one need not prefill."""
+        """Export an attempt's KV cache, which spares the next engine the prefill."""
         server = self._servers.find(attempt.server)
         if self._orders is None or server is None or attempt.id is None:
             return
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -100,7 +100,7 @@
         if server is None or failure.code is not ResultCode.CONNECTION_LOST:
             return
         now = self._shared.clock()
-        sent_at = now - (trio.current_time() - attempt.started)
+        sent_at = now - (trio.current_time() - attempt.dispatched_at)
         reach = await self._look(server.listed.address)
         begun_at = attempt.first_token_at
         verdict = classify_loss(
--- a/dewridge/requests/taking.py
+++ b/dewridge/requests/taking.py
@@ -1,4 +1,4 @@
-"""Taking requests that a leaving host hands off."""
+"""Receipt of requests that leaving hosts hand off to this host."""
 
 from dewridge.peers.model import PeerIdentity
 from dewridge.peers.wire import ttypes as wire
@@ -12,7 +12,7 @@
 
 
 class HandoffReceiver:
-    """Goes on with the requests that other hosts hand off."""
+    """Accepts and continues the requests that other hosts hand off."""
 
     def __init__(
         self,
@@ -30,27 +30,31 @@
     async def receive_handoff(
         self, peer: PeerIdentity, message: wire.Handoff
     ) -> wire.HandoffReply:
-        """Take a request that its leaving owner gives to this host."""
+        """Accept a request that its leaving owner hands off.
+
+        The reply is also positive if this host already stores an end of the request or
+        a newer ownership of it.
+        """
         if self._shared.leaving:
             return wire.HandoffReply(taken=False)
         offered = decode_record(message.record, message.tokens)
         if offered.ballot.host != peer.host:
             return wire.HandoffReply(taken=False)
-        have = self._shared.table.find(offered.request)
-        if have is not None and have.ballot > offered.ballot:
+        current = self._shared.table.find(offered.request)
+        if current is not None and current.ballot > offered.ballot:
             return wire.HandoffReply(taken=True)
-        if have is not None and have.ended is not None:
+        if current is not None and current.ended is not None:
             return wire.HandoffReply(taken=True)
-        self._own(offered, offered.ballot if message.released else None)
+        self._take_ownership(offered, offered.ballot if message.released else None)
         return wire.HandoffReply(taken=True)
 
-    def _own(self, record: Record, voided: Ballot | None) -> None:
-        """Go on with a request that was handed off.
+    def _take_ownership(self, record: Record, released: Ballot | None) -> None:
+        """Become the owner of a request that was handed off, and queue it.
 
         Args:
             record: the request.
-            voided: the ownership of its last host, if that may hold the claim and
-                has promised to send nothing.
+            released: the ownership of its previous host, if that host may hold the
+                claim and has promised not to send the call.
         """
         ballot = self._shared.make_ballot(record.request, record.ballot.epoch)
         adopt(record, ballot, keep_generation=True)
@@ -67,19 +71,19 @@
             self._replicator.queue_full_record(host, record.request)
         answer.accepted.set()
         self._shared.metrics.add("requests_taken_by_handoff")
-        if record.idempotent or voided is None:
+        if record.idempotent or released is None:
             self._attempts.queue(answer)
         else:
-            self._shared.jobs.start(self._queue_call, answer, voided)
+            self._shared.jobs.start(self._queue_after_release, answer, released)
 
-    async def _queue_call(self, answer: Answer, voided: Ballot) -> None:
-        """Queue a call once the claim of its last host is out of the way.
+    async def _queue_after_release(self, answer: Answer, released: Ballot) -> None:
+        """Queue a call once its previous owner's claim is released.
 
-        That host had no time to wait for the key-value service. If its claim stood
-        when this host asks for one, this one would be refused by a holder that is
-        gone and tell the caller "unknown" of a call that was never sent.
+        The previous owner had no time to wait for the key-value service. If its claim
+        were still recorded, this host's claim would be denied because of a holder that
+        has departed, and the caller would get "unknown" for a call never sent.
         """
         record = answer.record
-        await self._claims.void(record.request, voided)
+        await self._claims.void(record.request, released)
         if not answer.lost and record.ended is None:
             self._attempts.queue(answer)
