--- a/dewridge/requests/handlers.py
+++ b/dewridge/requests/handlers.py
@@ -144,9 +144,9 @@
         )
 
     def find_record(self, request: RequestId) -> Record | None:
-        """Return a record stored here, or one of an attempt still in progress.
+        """Return the stored record of a request, or that of an attempt without ownership.
 
-        Such an attempt continues after this host lost the request to another owner.
+        Such an attempt continues although another host has become the owner.
         """
         attempt = self._attempts.find_orphan(request)
         if attempt is not None:
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces: a network, a key-value service, workers."""
+"""Fakes of the interfaces of a request service: network, key-value service, servers."""
 
 import random
 import sys
@@ -56,7 +56,8 @@
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import RequestSettings
 
-START = 1_800_000_000.0
+START_TIME = 1_800_000_000.0
+"""Seconds since 1970 at which each test starts."""
 DOMAINS = ("zona-a", "zona-b", "mixco", "villa-nueva")
 ACCOUNT = ClientAccount("cooperative")
 FINDINGS = ServiceName("findings")
@@ -65,7 +66,7 @@
 
 
 def read_clock() -> float:
-    return START + trio.current_time()
+    return START_TIME + trio.current_time()
 
 
 def make_key(rng: random.Random) -> RequestKey:
@@ -76,12 +77,19 @@
 
 
 def make_tokens(key: str, count: int = ANSWER_TOKENS) -> list[str]:
-    return [f"{key[-6:]}.{place} " for place in range(count)]
+    return [f"{key[-6:]}.{index} " for index in range(count)]
 
 
 @dataclass
 class Node:
-    """One entry host of the fake deployment."""
+    """One entry host of the fake cluster.
+
+    Attributes:
+        handlers: its handlers of peer messages, by message type.
+        scope: cancelled when the host crashes.
+        resumed: set unless the host is paused.
+        service: its RequestService.
+    """
 
     member: Member
     handlers: dict[type, Handler] = field(default_factory=dict)
@@ -91,15 +99,24 @@
     metrics: Metrics = field(default_factory=Metrics)
     is_crashed: bool = False
 
-    async def gate(self) -> None:
-        """Wait while the host is paused or dead."""
+    async def wait_until_running(self) -> None:
+        """Wait while the host is paused, and for ever once it has crashed."""
         await self.resumed.wait()
         if self.is_crashed:
             await trio.sleep_forever()
 
 
 class FakeKeyValue:
-    """A key-value service whose answers can be lost or late."""
+    """A key-value service with faults, shared by all hosts.
+
+    Attributes:
+        values: value and revision of each key.
+        is_down: whether reads and writes fail.
+        lose_answers: number of successful writes still to answer with
+            KEY_VALUE_UNKNOWN.
+        delay: seconds that each call takes.
+        calls: the kind of each call so far.
+    """
 
     def __init__(self) -> None:
         self.values: dict[str, tuple[bytes, int]] = {}
@@ -109,25 +126,25 @@
         self.delay = 0.002
         self.calls: list[str] = []
 
-    async def _enter(self, kind: str, node: Node) -> None:
-        await node.gate()
+    async def _simulate_call(self, kind: str, node: Node) -> None:
+        await node.wait_until_running()
         self.calls.append(kind)
         await trio.sleep(self.delay)
-        await node.gate()
+        await node.wait_until_running()
 
     def bind(self, node: Node) -> "BoundKeyValue":
         return BoundKeyValue(self, node)
 
 
 class BoundKeyValue:
-    """The service as one host sees it; a paused host's calls are paused too."""
+    """The key-value client of one host; its calls wait while the host is paused."""
 
     def __init__(self, store: FakeKeyValue, node: Node) -> None:
         self._store = store
         self._node = node
 
     async def get(self, key: str) -> Entry | Failure:
-        await self._store._enter("get", self._node)
+        await self._store._simulate_call("get", self._node)
         if self._store.is_down:
             return Failure(ResultCode.KEY_VALUE_DOWN)
         value, revision = self._store.values.get(key, (b"", 0))
@@ -139,7 +156,7 @@
     async def compare_and_swap(
         self, key: str, value: bytes, expected_revision: int
     ) -> Entry | Failure:
-        await self._store._enter("swap", self._node)
+        await self._store._simulate_call("swap", self._node)
         if self._store.is_down:
             return Failure(ResultCode.KEY_VALUE_DOWN)
         _, revision = self._store.values.get(key, (b"", 0))
@@ -152,7 +169,7 @@
         return Entry(key, value, revision + 1)
 
     async def delete(self, key: str, expected_revision: int) -> Entry | Failure:
-        await self._store._enter("delete", self._node)
+        await self._store._simulate_call("delete", self._node)
         self._store.values.pop(key, None)
         return Entry(key, b"", 0)
 
@@ -163,43 +180,49 @@
 
 
 class FakeMembership:
-    """One host's view; the deployment tells it what its probes would find."""
+    """One host's view of the members; the cluster sets what probes would detect.
+
+    Attributes:
+        all_views: the views of all hosts; a rumor spreads to each at once.
+    """
 
     def __init__(self, me: Member) -> None:
         self.me = me
-        self.known: dict[HostId, Member] = {me.host: me}
+        self.members_by_host: dict[HostId, Member] = {me.host: me}
         self.listeners: list[Callable[[Member], None]] = []
         self.rumor_listeners: dict[str, list[Callable[[Rumor], None]]] = {}
-        self.heard: dict[tuple[str, str], int] = {}
-        self.others: dict[str, FakeMembership] = {}
+        self.rumor_versions: dict[tuple[str, str], int] = {}
+        self.all_views: dict[str, FakeMembership] = {}
 
     def members(self) -> list[Member]:
-        return [m for m in self.known.values() if m.state is not MemberState.DEAD]
+        return [
+            m for m in self.members_by_host.values() if m.state is not MemberState.DEAD
+        ]
 
     def find(self, host: HostId) -> Member | None:
-        return self.known.get(host)
+        return self.members_by_host.get(host)
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
         self.listeners.append(listener)
 
-    def note(self, member: Member) -> None:
-        if self.known.get(member.host) == member:
+    def update_member(self, member: Member) -> None:
+        if self.members_by_host.get(member.host) == member:
             return
-        self.known[member.host] = member
+        self.members_by_host[member.host] = member
         if member.host == self.me.host:
             self.me = member
         for listener in self.listeners:
             listener(member)
 
     def spread(self, rumor: Rumor) -> None:
-        for view in self.others.values():
-            view.hear(rumor)
+        for view in self.all_views.values():
+            view.receive_rumor(rumor)
 
-    def hear(self, rumor: Rumor) -> None:
-        place = rumor.kind, rumor.subject
-        if self.heard.get(place, -1) >= rumor.version:
+    def receive_rumor(self, rumor: Rumor) -> None:
+        topic = rumor.kind, rumor.subject
+        if self.rumor_versions.get(topic, -1) >= rumor.version:
             return
-        self.heard[place] = rumor.version
+        self.rumor_versions[topic] = rumor.version
         for listener in self.rumor_listeners.get(rumor.kind, []):
             listener(rumor)
 
@@ -208,7 +231,7 @@
 
 
 class FakePeers:
-    """One host's connections through the fake network."""
+    """One host's connections to other hosts in the fake network."""
 
     def __init__(self, cluster: "Cluster", node: Node) -> None:
         self._cluster = cluster
@@ -216,17 +239,17 @@
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
         with trio.move_on_after(timeout):
-            await self._node.gate()
+            await self._node.wait_until_running()
             return await self._cluster.deliver(self._node, address, message)
         return Failure(ResultCode.PEER_TIMEOUT)
 
     def send(self, address: str, message: Any) -> Failure | None:
-        async def carry() -> None:
+        async def deliver() -> None:
             with trio.move_on_after(5):
-                await self._node.gate()
+                await self._node.wait_until_running()
                 await self._cluster.deliver(self._node, address, message)
 
-        self._cluster.nursery.start_soon(carry)
+        self._cluster.nursery.start_soon(deliver)
         return None
 
     def handle(self, kind: type, handler: Handler) -> None:
@@ -277,7 +300,7 @@
 
 @dataclass(frozen=True)
 class Execution:
-    """An attempt as the worker saw it."""
+    """An attempt that a backend server started to run."""
 
     key: RequestKey
     operation: str
@@ -285,7 +308,22 @@
 
 
 class FakeWorkers:
-    """Backend servers that answer by the key and remember what they ran."""
+    """Backend servers that derive answers from the request key and record executions.
+
+    Attributes:
+        executions: all attempts that were started.
+        token_delay: seconds for each token of a draft.
+        plain_duration: seconds that a plain service takes to answer.
+        failures: results of the next attempts, which then are not executed.
+        lose_answers: number of plain answers still to lose with the connection.
+        lose_ends: number of drafts still to interrupt after their last token.
+        computed_tokens: tokens computed in all attempts.
+        is_nondeterministic: whether each attempt computes different tokens.
+        complete_answers: all answers computed to the end, by key.
+        confirms_cancellation: whether engines answer to cancellations.
+        crashing_inputs: inputs that crash the backend server that gets them.
+        crashed_servers: backend servers that have crashed.
+    """
 
     def __init__(self) -> None:
         self.executions: list[Execution] = []
@@ -298,8 +336,8 @@
         self.is_nondeterministic = False
         self.complete_answers: dict[RequestKey, list[list[str]]] = {}
         self.confirms_cancellation = True
-        self.cancelled: set[AttemptId] = set()
-        self.done: set[AttemptId] = set()
+        self.cancelled_attempts: set[AttemptId] = set()
+        self.finished_attempts: set[AttemptId] = set()
         self.crashing_inputs: set[str] = set()
         self.crashed_servers: set[BackendServerId] = set()
 
@@ -308,7 +346,7 @@
         async def dispatch(
             server: BackendServer, order: AttemptOrder
         ) -> AsyncIterator[AsyncIterator[AttemptEvent]]:
-            await node.gate()
+            await node.wait_until_running()
             server_id = server.listed.backend_server
             if server_id in self.crashed_servers:
                 yield self._fail(ResultCode.NOT_STARTED)
@@ -317,24 +355,24 @@
                 self.crashed_servers.add(server_id)
                 yield self._fail(ResultCode.CONNECTION_LOST)
             else:
-                yield self._answer(node, order)
+                yield self._stream_answer(node, order)
 
         return dispatch
 
     async def _fail(self, code: ResultCode) -> AsyncIterator[AttemptEvent]:
         yield Failure(code)
 
-    async def _answer(
+    async def _stream_answer(
         self, node: Node, order: AttemptOrder
     ) -> AsyncIterator[AttemptEvent]:
         if self.failures:
             yield Failure(self.failures.pop(0))
             return
-        run = Execution(order.key, order.operation, read_clock())
-        self.executions.append(run)
+        execution = Execution(order.key, order.operation, read_clock())
+        self.executions.append(execution)
         if order.service == REGISTRY:
             await trio.sleep(self.plain_duration)
-            await node.gate()
+            await node.wait_until_running()
             if self.lose_answers:
                 self.lose_answers -= 1
                 yield Failure(ResultCode.CONNECTION_LOST)
@@ -345,19 +383,19 @@
         if self.is_nondeterministic:
             tokens = [f"{token}{order.attempt} " for token in tokens]
         tokens[: order.first_sequence] = order.tokens_done
-        for place in range(order.first_sequence, len(tokens)):
+        for index in range(order.first_sequence, len(tokens)):
             await trio.sleep(self.token_delay)
-            await node.gate()
-            if order.attempt in self.cancelled:
+            await node.wait_until_running()
+            if order.attempt in self.cancelled_attempts:
                 yield Failure(ResultCode.BACKEND_SERVER_FAILED)
                 return
             self.computed_tokens += 1
-            yield AttemptTokens(place, (tokens[place],))
+            yield AttemptTokens(index, (tokens[index],))
         if self.lose_ends:
             self.lose_ends -= 1
             yield Failure(ResultCode.CONNECTION_LOST)
             return
-        self.done.add(order.attempt)
+        self.finished_attempts.add(order.attempt)
         self.complete_answers.setdefault(order.key, []).append(tokens)
         yield AttemptEnd()
 
@@ -367,9 +405,9 @@
         await trio.sleep(0.002)
         if not self.confirms_cancellation:
             return Failure(ResultCode.BACKEND_SERVER_SILENT)
-        if attempt in self.done:
+        if attempt in self.finished_attempts:
             return Cancellation.DONE
-        self.cancelled.add(attempt)
+        self.cancelled_attempts.add(attempt)
         return Cancellation.CANCELLED
 
     async def export_cache(
@@ -378,7 +416,7 @@
         return Failure(ResultCode.BACKEND_SERVER_FAILED)
 
     def count(self, key: RequestKey) -> int:
-        return sum(1 for run in self.executions if run.key == key)
+        return sum(1 for execution in self.executions if execution.key == key)
 
 
 def make_configuration() -> Configuration:
@@ -426,7 +464,12 @@
 
 @dataclass
 class ReceivedAnswer:
-    """What a caller has of an answer."""
+    """What a caller has received of an answer.
+
+    Attributes:
+        moved: addresses where the caller is to reconnect, if it was redirected.
+        restarts: number of times that the answer started again.
+    """
 
     tokens: list[str] = field(default_factory=list)
     generation: int = 0
@@ -434,7 +477,7 @@
     moved: tuple[str, ...] = ()
     restarts: int = 0
 
-    def take(self, event: Any) -> None:
+    def apply_event(self, event: Any) -> None:
         if isinstance(event, TokensEvent):
             assert event.generation == self.generation or not self.generation
             assert event.offset == len(self.tokens), "a gap or an overlap"
@@ -451,7 +494,14 @@
 
 
 class Cluster:
-    """Several request services over fakes, in one event loop."""
+    """Entry hosts with real request services on top of fakes, in one event loop.
+
+    Attributes:
+        blocked_links: (source, target) host pairs whose messages are lost.
+        loss_probability: probability that any other message or reply is lost.
+        delay: mean seconds for a message or a reply.
+        on_message: called with source, target and message before each delivery.
+    """
 
     def __init__(
         self, nursery: trio.Nursery, size: int = 4, seed: int = 0, **settings: Any
@@ -469,11 +519,11 @@
         self.on_message: Callable[[Node, Node, Any], None] = lambda *_: None
         self.settings = RequestSettings(**settings)
         self.configuration = make_configuration()
-        for place in range(4):
-            self.servers.add(f"engine-{place}", FINDINGS, ServerKind.ENGINE)
-            self.servers.add(f"worker-{place}", REGISTRY, ServerKind.PLAIN)
-        for place in range(size):
-            self.start_host(f"host-{place}", DOMAINS[place % 4])
+        for index in range(4):
+            self.servers.add(f"engine-{index}", FINDINGS, ServerKind.ENGINE)
+            self.servers.add(f"worker-{index}", REGISTRY, ServerKind.PLAIN)
+        for index in range(size):
+            self.start_host(f"host-{index}", DOMAINS[index % 4])
 
     def start_host(self, name: str, domain: str) -> Node:
         member = Member(
@@ -486,10 +536,10 @@
         node = Node(member)
         node.resumed.set()
         view = FakeMembership(member)
-        view.others = self.views
+        view.all_views = self.views
         for other in self.views.values():
             if other.me.host != name and not self.nodes[other.me.host].is_crashed:
-                view.known[other.me.host] = other.me
+                view.members_by_host[other.me.host] = other.me
         self.nodes[name] = node
         self.views[name] = view
         node.service = RequestService(
@@ -508,16 +558,16 @@
             metrics=node.metrics,
             clock=read_clock,
             seed=1,
-            look=self.look,
+            look=self.probe_server,
         )
         self.nursery.start_soon(self._run, node)
-        self.tell(member)
+        self.publish_member(member)
         return node
 
-    async def look(self, address: str) -> ConnectResult:
-        """Try a connection to a server; its name stands for its address."""
-        is_over = BackendServerId(address) in self.workers.crashed_servers
-        return ConnectResult.REFUSED if is_over else ConnectResult.ACCEPTED
+    async def probe_server(self, address: str) -> ConnectResult:
+        """Return the result of a connection to a server, whose address is its id."""
+        is_crashed = BackendServerId(address) in self.workers.crashed_servers
+        return ConnectResult.REFUSED if is_crashed else ConnectResult.ACCEPTED
 
     async def _run(self, node: Node) -> None:
         with node.scope:
@@ -527,57 +577,57 @@
 
     async def deliver(self, source: Node, address: str, message: Any) -> Any:
         target = self.nodes[address.removeprefix("peer:")]
-        pair = (source.member.host, target.member.host)
+        link = (source.member.host, target.member.host)
         if target.is_crashed:
             return Failure(ResultCode.PEER_UNREACHABLE)
-        if pair in self.blocked_links or self.rng.random() < self.loss_probability:
+        if link in self.blocked_links or self.rng.random() < self.loss_probability:
             await trio.sleep_forever()
         self.on_message(source, target, message)
         await trio.sleep(self.delay * self.rng.uniform(0.5, 1.5))
-        await target.gate()
-        me = source.member
-        identity = PeerIdentity(me.host, me.incarnation, me.failure_domain)
+        await target.wait_until_running()
+        sender = source.member
+        identity = PeerIdentity(sender.host, sender.incarnation, sender.failure_domain)
         reply = await target.handlers[type(message)](identity, message)
         await trio.sleep(self.delay * self.rng.uniform(0.5, 1.5))
         if (
-            pair[1],
-            pair[0],
+            link[1],
+            link[0],
         ) in self.blocked_links or self.rng.random() < self.loss_probability:
             await trio.sleep_forever()
-        await source.gate()
+        await source.wait_until_running()
         return reply
 
-    def tell(self, member: Member, *but: str) -> None:
-        """Let all views learn a member's state."""
+    def publish_member(self, member: Member, *excluded: str) -> None:
+        """Update a member in the view of each running host, except for some."""
         for name, view in self.views.items():
-            if name not in but and not self.nodes[name].is_crashed:
-                view.note(member)
+            if name not in excluded and not self.nodes[name].is_crashed:
+                view.update_member(member)
 
     def kill(self, name: str) -> None:
         node = self.nodes[name]
         node.is_crashed = True
         node.scope.cancel()
-        self.nursery.start_soon(self._suspect, node)
+        self.nursery.start_soon(self._detect_failure, node)
 
     def announce_leaving(self, name: str) -> None:
-        self.tell(replace(self.nodes[name].member, state=MemberState.LEAVING))
+        self.publish_member(replace(self.nodes[name].member, state=MemberState.LEAVING))
 
     def pause(self, name: str) -> None:
         node = self.nodes[name]
         node.resumed = trio.Event()
-        self.nursery.start_soon(self._suspect, node)
+        self.nursery.start_soon(self._detect_failure, node)
 
     def resume(self, name: str) -> None:
         node = self.nodes[name]
         node.resumed.set()
-        self.tell(replace(node.member, refutation=1))
+        self.publish_member(replace(node.member, refutation=1))
 
-    async def _suspect(self, node: Node) -> None:
+    async def _detect_failure(self, node: Node) -> None:
         await trio.sleep(0.5)
         for state in (MemberState.SUSPECT, MemberState.DEAD):
             if node.resumed.is_set() and not node.is_crashed:
                 return
-            self.tell(replace(node.member, state=state), node.member.host)
+            self.publish_member(replace(node.member, state=state), node.member.host)
             await trio.sleep(1.0)
 
     def partition_host(self, name: str) -> None:
@@ -604,22 +654,22 @@
         )
 
     async def follow(
-        self, name: str, key: RequestKey, seen: ReceivedAnswer | None = None
+        self, name: str, key: RequestKey, received: ReceivedAnswer | None = None
     ) -> ReceivedAnswer:
-        seen = seen or ReceivedAnswer()
+        received = received or ReceivedAnswer()
         service = self.nodes[name].service
-        seen.moved = ()
-        place = seen.generation, len(seen.tokens)
-        async with service.follow(ACCOUNT, key, *place) as events:
+        received.moved = ()
+        position = received.generation, len(received.tokens)
+        async with service.follow(ACCOUNT, key, *position) as events:
             async for event in events:
-                seen.take(event)
-        return seen
+                received.apply_event(event)
+        return received
 
 
 def run_cluster(
     scenario: Callable[[Cluster], Any], size: int = 4, seed: int = 0, **settings: Any
 ) -> None:
-    """Run a scenario under a clock that jumps, with a limit of an hour."""
+    """Run a scenario on a mock clock that skips idle time, for an hour at most."""
 
     async def main() -> None:
         with trio.fail_after(3600):
@@ -629,7 +679,7 @@
                 await scenario(cluster)
                 nursery.cancel_scope.cancel()
 
-    # The order in which trio runs tasks is random, by a generator of its own.
+    # trio runs tasks in random order; seeding its generator makes a run repeatable.
     trio_run = sys.modules["trio._core._run"]
     trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[attr-defined]
     trio_run._r.seed(seed)
--- a/dewridge/tests/requests/leaving_tests.py
+++ b/dewridge/tests/requests/leaving_tests.py
@@ -1,4 +1,8 @@
-"""Hosts that are reclaimed while letters wait, run, or have just been answered."""
+"""Calls on hosts that leave or crash before, while or just after the calls run.
+
+`issue_letter` is a non-idempotent operation of a plain service: it must run at most
+once, and its owner sends it only after it has acquired the call's claim.
+"""
 
 from typing import Any
 
@@ -18,8 +22,10 @@
 from dewridge.tests.requests.fakes import ACCOUNT, Cluster, Node, run_cluster
 
 
-async def reclaim(cluster: Cluster, host: str, notice: float, drain: float) -> None:
-    """Take a host away after a notice, a part of which it has for its drain."""
+async def reclaim_host(
+    cluster: Cluster, host: str, notice: float, drain: float
+) -> None:
+    """Announce that a host leaves, drain it, and crash it at the end of the notice."""
     cluster.announce_leaving(host)
     cluster.nursery.start_soon(cluster.nodes[host].service.drain, drain)
     await trio.sleep(notice)
@@ -27,7 +33,7 @@
 
 
 def rank_committers(cluster: Cluster, key: RequestKey) -> list[str]:
-    """Return the hosts that write the claim of a key, the first that lives."""
+    """Return the hosts in the order in which they are chosen to write a key's claim."""
     settings = cluster.settings
     bucket = find_bucket(
         make_request_id(ACCOUNT, key), settings.claim_window, settings.claim_buckets
@@ -42,10 +48,12 @@
     return next(record for record in records if record.request.endswith(key))
 
 
-async def leave_answer_with_second(cluster: Cluster) -> tuple[RequestKey, str, str]:
-    """Issue a letter of which only its second replica hears before its host goes.
+async def leave_answer_on_second_replica(
+    cluster: Cluster,
+) -> tuple[RequestKey, str, str]:
+    """Run a call whose end reaches only its second replica before its owner crashes.
 
-    That one then stands still. Returns the key and the two replicas.
+    The second replica is then paused. Returns the key and the two replicas.
     """
     cluster.workers.plain_duration = 0.2
     key = await submit(cluster, "host-0", "issue_letter")
@@ -57,18 +65,18 @@
     return key, first, second
 
 
-# A letter waits for its claim when its host is told to leave. The claim comes, the
-# host sends the letter to a registry that needs longer than the host has left, and
-# goes. Its callers were told that the letter was accepted, and hear "unknown" (301).
-# In the hosts' logs the letter is "taken over", then "its claim is held by" the host
-# that has gone; the registry has it begun after the notice.
-def test_a_leaving_host_sends_no_letter() -> None:
+# A call waits for its claim when its host is told to leave. The host acquired the
+# claim, sent the call to a server that needed longer than the notice, and departed, so
+# the caller of an accepted call got "unknown" (301). The other hosts then logged that
+# they took the call over and that its claim was held by the departed host; the server
+# logged the start of the call after the notice.
+def test_leaving_host_sends_no_call() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.04
         cluster.workers.plain_duration = 3.0
         keys = [await submit(cluster, "host-0", "issue_letter") for _ in range(5)]
         assert not any(cluster.workers.count(key) for key in keys)
-        await reclaim(cluster, "host-0", notice=2.0, drain=1.3)
+        await reclaim_host(cluster, "host-0", notice=2.0, drain=1.3)
         for key in keys:
             assert (await read_end(cluster, "host-1", key)).code is ResultCode.OK
             assert cluster.workers.count(key) == 1
@@ -76,20 +84,20 @@
     run_cluster(scenario)
 
 
-# A host writes a letter's claim and is told to leave. The claim lands; the word that
-# it is given up is lost on its way to the host that writes claims now, and the first
-# host is gone before it writes that itself. Whoever went on with the letter was
-# refused its claim, and the caller heard "unknown" (301) of a letter that was never
-# sent. The log of the host that left has "draining" and then no line for the letter.
-def test_a_letter_is_handed_off_before_its_claim_is_given_up() -> None:
+# A host writes a call's claim and is told to leave. The release of the claim is lost
+# on its way to the host that now writes claims, and the first host departs before it
+# writes the release itself. The call's next owner was denied the claim, and the caller
+# got "unknown" (301) for a call never sent. The departed host logged "draining" and
+# then nothing about the call.
+def test_call_is_handed_off_before_its_claim_is_released() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.6
         submission = cluster.make_submission("issue_letter")
-        host, next_one, other, *_ = rank_committers(cluster, submission.key)
+        host, next_host, other, *_ = rank_committers(cluster, submission.key)
         await cluster.nodes[host].service.submit(submission)
         await trio.sleep(0.9)
-        cluster.blocked_links.add((host, next_one))
-        await reclaim(cluster, host, notice=0.7, drain=0.3)
+        cluster.blocked_links.add((host, next_host))
+        await reclaim_host(cluster, host, notice=0.7, drain=0.3)
         ended = await read_end(cluster, other, submission.key)
         assert ended.code is ResultCode.OK
         assert cluster.workers.count(submission.key) == 1
@@ -97,17 +105,17 @@
     run_cluster(scenario)
 
 
-# Callers that have not heard of a host's leaving go on sending to it, and slow
-# peers make it take a while to refuse each. Handing off waited for the last of
-# them: in a reclaim's two seconds of notice nothing was handed off at all. The
-# host's log has "draining" and "drained" just two seconds apart.
-def test_handing_off_does_not_wait_for_callers_that_go_on_sending() -> None:
+# Callers that do not know that a host is leaving continue to submit requests to it,
+# and slow peers delay each rejection. The handoff waited for the last submission, so
+# that in a reclaim's notice of 2 s no request was handed off. The host logged
+# "draining" and "drained" just 2 s apart.
+def test_handoff_does_not_wait_for_new_submissions() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.6
         await submit(cluster, "host-0", "issue_letter")
         cluster.delay = 0.1
 
-        async def go_on_sending() -> None:
+        async def keep_submitting() -> None:
             while True:
                 submission = cluster.make_submission("draft_finding")
                 service = cluster.nodes["host-0"].service
@@ -115,8 +123,8 @@
                 await trio.sleep(0.05)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(go_on_sending)
-            nursery.start_soon(reclaim, cluster, "host-0", 2.0, 1.3)
+            nursery.start_soon(keep_submitting)
+            nursery.start_soon(reclaim_host, cluster, "host-0", 2.0, 1.3)
             await trio.sleep(1.0)
             metrics = cluster.nodes["host-0"].metrics
             assert metrics.read("requests_handed_off") >= 1
@@ -125,11 +133,11 @@
     run_cluster(scenario)
 
 
-# A letter was sent before its host was told to leave, and the registry answers when
-# the time for handing off is over but the host is still there. It closed without
-# waiting, and the answer was lost with it: the caller heard "unknown" (301) of a
-# letter that was issued while its host had half a second left.
-def test_an_answer_that_comes_after_the_handing_off_is_waited_for() -> None:
+# A call was sent before its host was told to leave, and its answer arrives after the
+# time for handing off but before the host departs. The host stopped without waiting
+# and lost the answer: the caller got "unknown" (301) for a call that had run while the
+# host had 0.5 s left.
+def test_drain_waits_for_answer_after_handoff_time() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.plain_duration = 0.6
         key = await submit(cluster, "host-0", "issue_letter")
@@ -143,13 +151,13 @@
     run_cluster(scenario)
 
 
-# A letter is issued and one of its two copies hears of it; then its host goes.
-# The other copy's host takes the letter over while the first one stands still.
-# It is refused the claim, the claim's holder is gone, and it told the caller
-# "unknown" though the whole answer lay on a host that was merely slow.
-def test_an_answer_on_a_slow_host_is_waited_for() -> None:
+# The answer of a call reaches one of its two replicas, then its owner crashes. The
+# other replica takes the call over while the first one is paused. It is denied the
+# claim, whose holder has crashed, and it reported "unknown" although the complete
+# answer was stored on a host that was merely slow.
+def test_takeover_waits_for_answer_on_paused_replica() -> None:
     async def scenario(cluster: Cluster) -> None:
-        key, first, second = await leave_answer_with_second(cluster)
+        key, first, second = await leave_answer_on_second_replica(cluster)
         await trio.sleep(2.5)
         cluster.resume(second)
         ended = await read_end(cluster, first, key)
@@ -159,12 +167,12 @@
     run_cluster(scenario)
 
 
-# The same, but the host with the answer stands still for so long that the caller
-# has heard "unknown" before it wakes. Whoever asks later, at whichever host, must
-# get the answer; the word "unknown" stuck at the host that had said it.
-def test_unknown_gives_way_to_an_answer_that_is_found_later() -> None:
+# As above, but the replica with the answer is paused until the caller has got
+# "unknown". Callers that ask any host later must get the answer; the host that had
+# reported "unknown" continued to do so.
+def test_late_answer_replaces_unknown() -> None:
     async def scenario(cluster: Cluster) -> None:
-        key, first, second = await leave_answer_with_second(cluster)
+        key, first, second = await leave_answer_on_second_replica(cluster)
         ended = await read_end(cluster, first, key)
         assert ended.code is ResultCode.HOLDER_LOST
         cluster.resume(second)
@@ -176,40 +184,40 @@
     run_cluster(scenario)
 
 
-# A letter's copies are stored, but all word of it is lost, also of its refusal to one
-# of them. Its caller hears that nobody knows whether it runs, and sends it again to
-# another host. That one found the copy and joined the caller to it: "accepted", and
-# then "unknown" each time that the caller asked, though nothing ran or ever would.
-# The owner's log has the refusal, and no host's log has an attempt.
-# It is the same at the host that holds the copy.
+# The replicas of a call store it, but their replies are lost, and so is the refusal
+# that the owner sends to one of them. The caller gets "unknown" and retries at another
+# host. That host found the replica and attached the caller to it: the retry was
+# accepted and then ended "unknown" on every query, though nothing ran or ever would.
+# The owner logged the refusal, and no host logged an attempt. A retry at the host that
+# stores the replica (holds_copy) failed in the same way.
 @pytest.mark.parametrize("holds_copy", [False, True])
-def test_a_letter_sent_again_after_an_unconfirmed_refusal_runs(
+def test_retry_after_unconfirmed_refusal_runs(
     holds_copy: bool,
 ) -> None:
     async def scenario(cluster: Cluster) -> None:
         submission = cluster.make_submission("issue_letter")
-        silent: list[str] = []
+        replicas: list[str] = []
 
-        def lose(source: Node, target: Node, message: Any) -> None:
+        def block_replies(source: Node, target: Node, message: Any) -> None:
             if isinstance(message, wire.Replicate) and message.record.pending:
-                silent.append(target.member.host)
+                replicas.append(target.member.host)
                 cluster.blocked_links.add((target.member.host, "host-0"))
 
-        async def lose_refusal() -> None:
-            await wait_until(lambda: len(silent) == 2, 0.01)
+        async def block_refusal() -> None:
+            await wait_until(lambda: len(replicas) == 2, 0.01)
             await trio.sleep(0.2)
-            cluster.blocked_links.add(("host-0", silent[0]))
+            cluster.blocked_links.add(("host-0", replicas[0]))
 
-        cluster.on_message = lose
-        cluster.nursery.start_soon(lose_refusal)
+        cluster.on_message = block_replies
+        cluster.nursery.start_soon(block_refusal)
         first = await cluster.nodes["host-0"].service.submit(submission)
         assert isinstance(first, Failure) and not first.is_not_run
         cluster.on_message = lambda *_: None
         cluster.blocked_links.clear()
-        again = cluster.make_submission("issue_letter", number=2, key=submission.key)
-        other = next(n for n in cluster.nodes if n not in ("host-0", *silent))
-        other = silent[0] if holds_copy else other
-        accepted = await cluster.nodes[other].service.submit(again)
+        retry = cluster.make_submission("issue_letter", number=2, key=submission.key)
+        other = next(n for n in cluster.nodes if n not in ("host-0", *replicas))
+        other = replicas[0] if holds_copy else other
+        accepted = await cluster.nodes[other].service.submit(retry)
         assert isinstance(accepted, Accepted), accepted
         ended = await read_end(cluster, other, submission.key)
         assert (ended.code, ended.body) == (ResultCode.OK, f'"{submission.key}"')
@@ -218,12 +226,12 @@
     run_cluster(scenario)
 
 
-# A letter is taken over from a host that died, and the key-value service is so slow
-# that its claim is not recorded in time. It is given up as "unknown", since the dead
-# host may have sent it; then the claim lands after all. Nobody gave it up, so the
-# letter sent again was refused by a holder that had never sent it, and by the time
-# that one was gone too, by a lost one (301).
-def test_a_claim_that_lands_after_its_call_was_given_up_holds_nobody_up() -> None:
+# A call is taken over from a crashed host, and the key-value service is too slow to
+# record its claim in time. The call is abandoned as "unknown", since the crashed host
+# may have sent it; then the claim is recorded after all. It was never released, so a
+# retry was denied the claim because of a holder that had not sent the call and, once
+# that holder had departed as well, ended because its holder was lost (301).
+def test_late_claim_of_abandoned_call_is_released() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 2.0
         key = await submit(cluster, "host-0", "issue_letter")
@@ -234,8 +242,8 @@
         await trio.sleep(5.0)
         cluster.key_value.delay = 0.002
         await trio.sleep(5.0)
-        again = cluster.make_submission("issue_letter", number=2, key=key)
-        accepted = await cluster.nodes["host-2"].service.submit(again)
+        retry = cluster.make_submission("issue_letter", number=2, key=key)
+        accepted = await cluster.nodes["host-2"].service.submit(retry)
         assert isinstance(accepted, Accepted), accepted
         ended = await read_end(cluster, "host-2", key)
         assert (ended.code, ended.body) == (ResultCode.OK, f'"{key}"')
