--- a/dewridge/requests/handlers.py
+++ b/dewridge/requests/handlers.py
@@ -101,7 +101,7 @@
     async def close(
         self, peer: PeerIdentity, message: wire.CloseSubmission
     ) -> wire.CloseSubmissionReply:
-        """Record a refusal unless the request runs, or has run, under another owner.
+        """Record a refusal, unless another owner runs the request or it may have run.
 
         A message with `withdraw` removes the replica of a withdrawn ownership.
         """
@@ -144,9 +144,9 @@
         )
 
     def find_record(self, request: RequestId) -> Record | None:
-        """Return the stored record of a request, or that of an attempt without ownership.
+        """Return the stored record of a request, or that of an orphaned attempt.
 
-        Such an attempt continues although another host has become the owner.
+        An orphaned attempt continues here although another host owns the request now.
         """
         attempt = self._attempts.find_orphan(request)
         if attempt is not None:
--- a/dewridge/requests/replicas.py
+++ b/dewridge/requests/replicas.py
@@ -297,7 +297,7 @@
         return max(record.ballot.epoch if record else 0, closed.epoch if closed else 0)
 
     def prune(self, now: float, retention: float, limit: int) -> int:
-        """Remove what ended before the retention period or exceeds a size limit.
+        """Remove what ended longer ago than the retention, or exceeds a size limit.
 
         The limit bounds memory: 100 answers of 1 kB a second over 15 minutes are
         90 MB, more than a host's entire allowance. Answers of idempotent requests
@@ -308,7 +308,7 @@
         Args:
             now: seconds since 1970.
             retention: seconds for which ended records are stored.
-            limit: bytes that ended records may take in total.
+            limit: bytes that ended records may use in total.
 
         Returns:
             The number of answers that were evicted to keep to the limit.
--- a/dewridge/requests/replication.py
+++ b/dewridge/requests/replication.py
@@ -47,7 +47,7 @@
         self.on_superseded: Callable[[Record], None] = lambda _: None
 
     def find(self, request: RequestId) -> Answer | None:
-        """Return the answer to a request that is replicated from here, if it is one."""
+        """Return the answer to a request, or None if it is not replicated from here."""
         return self._answers.get(request)
 
     def add(self, answer: Answer) -> None:
