--- a/dewridge/requests/acceptance.py
+++ b/dewridge/requests/acceptance.py
@@ -148,7 +148,7 @@
             earlier_result = await self._close_earlier(submission, record)
             if earlier_result is not None:
                 return earlier_result
-        self._replicator.choose(record)
+        self._replicator.assign_replicas(record)
         if not record.replicas:
             failure = Failure(ResultCode.NO_REPLICA, "no other entry host", RETRY_AFTER)
             return await self._refuse(submission, request, failure)
@@ -235,7 +235,7 @@
     def _check_preconditions(
         self, submission: Submission, request: RequestId
     ) -> Failure | None:
-        closed = self._shared.table.find_closed(request)
+        closed = self._shared.table.find_closed_submissions(request)
         if closed is not None and submission.number <= closed.number:
             return make_submission_closed(closed.ended)
         if self._shared.leaving:
@@ -385,7 +385,7 @@
         """Undo an acceptance that is superseded by another ownership."""
         record = answer.record
         self._remove(answer)
-        self._shared.table.lose(record, self._shared.clock())
+        self._shared.table.drop_superseded(record, self._shared.clock())
         self._shared.jobs.start(
             self._refusals.withdraw,
             record.request,
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -34,7 +34,7 @@
 from dewridge.requests.replication import Replicator
 from dewridge.requests.scheduling import Scheduling, Servers
 from dewridge.requests.shared import Shared
-from dewridge.requests.stopping import Attempt, StopCause, Stopping
+from dewridge.requests.stopping import Attempt, AttemptStopper, StopCause
 from dewridge.requests.suspects import SuspectRequests
 from dewridge.sentinels import Failure
 
@@ -67,7 +67,7 @@
         ender: Ender,
         servers: Servers,
         dispatch: Dispatch,
-        stopping: Stopping,
+        stopping: AttemptStopper,
         suspects: SuspectRequests,
     ) -> None:
         self._shared = shared
@@ -167,7 +167,7 @@
             if isinstance(result, Failure) and await self._confirm_stopped(
                 attempt, result
             ):
-                attempt.cause = attempt.cause or StopCause.LEAVING
+                attempt.stop_cause = attempt.stop_cause or StopCause.LEAVING
         except Exception as error:  # otherwise the caller would wait forever
             log.opt(exception=error).error("attempt failed with an internal fault")
             result = Failure(ResultCode.BACKEND_SERVER_FAILED, "an internal fault")
@@ -176,13 +176,17 @@
                 if attempts.get(request) is attempt:
                     del attempts[request]
             attempt.finished.set()
-        if isinstance(result, Failure) and attempt.dispatched and not attempt.cause:
+        if (
+            isinstance(result, Failure)
+            and attempt.dispatched
+            and not attempt.stop_cause
+        ):
             server = self._servers.find(attempt.server)
             await self._suspects.handle_lost_attempt(attempt, result, server)
         charge_attempt(attempt, self._servers.find(attempt.server))
-        if attempt.cause == StopCause.LEAVING:
+        if attempt.stop_cause == StopCause.LEAVING:
             self._record_end(attempt, AttemptOutcome.LEAVING)
-        elif result is not None and not attempt.cause:
+        elif result is not None and not attempt.stop_cause:
             self._handle_result(attempt, result)
 
     async def _claim_and_send(
@@ -314,7 +318,7 @@
         attempt.dispatched = True
         record.maybe_run = True
         record.attempts += 1
-        attempt.started = trio.current_time()
+        attempt.dispatched_at = trio.current_time()
         result = await self._receive_answer(attempt, server, order)
         is_not_started = (
             isinstance(result, Failure) and result.code in NOT_STARTED_CODES
@@ -345,7 +349,7 @@
 
     def _append_tokens(self, attempt: Attempt, event: AttemptTokens) -> None:
         record = attempt.record
-        scheduler = attempt.entry.scheduler
+        scheduler = attempt.service_scheduler.scheduler
         now = self._shared.clock()
         record.tokens.extend(event.tokens)
         new_count = len(event.tokens)
@@ -356,19 +360,19 @@
         if new_count > 0:
             scheduler.record_tokens(record.request, attempt.server, new_count, now)
         attempt.tokens += len(event.tokens)
-        self._replicator.note(attempt.answer)
+        self._replicator.queue_update(attempt.answer)
 
     async def _confirm_stopped(self, attempt: Attempt, failure: Failure) -> bool:
         """Ask the engine to stop a failed non-idempotent call; whether it confirmed.
 
         Only after a confirmed stop may the call continue on another server.
         """
-        if attempt.record.idempotent or not attempt.dispatched or attempt.cause:
+        if attempt.record.idempotent or not attempt.dispatched or attempt.stop_cause:
             return False
         outcome = classify_failure(failure, attempt.tokens > 0)
         if outcome not in (AttemptOutcome.LOST, AttemptOutcome.LEAVING):
             return False
-        return await self.stopping.stop_surely(attempt)
+        return await self.stopping.stop_with_confirmation(attempt)
 
     def _handle_result(self, attempt: Attempt, result: AttemptEnd | Failure) -> None:
         record = attempt.record
@@ -385,7 +389,7 @@
             not record.idempotent and outcome is not AttemptOutcome.NOT_STARTED
         ):
             now = self._shared.clock()
-            entry = attempt.entry
+            entry = attempt.service_scheduler
             entry.scheduler.record_attempt_end(
                 record.request, attempt.server, outcome, len(record.tokens), now
             )
@@ -412,7 +416,7 @@
         failure: Failure | None = None,
     ) -> None:
         record = attempt.record
-        decision = attempt.entry.scheduler.record_attempt_end(
+        decision = attempt.service_scheduler.scheduler.record_attempt_end(
             record.request,
             attempt.server,
             outcome,
@@ -445,7 +449,7 @@
         if export_cache:
             await self.stopping.export_cache(attempt)
         may_move = attempt.record.idempotent or not attempt.dispatched
-        if not may_move and not await self.stopping.stop_surely(attempt):
+        if not may_move and not await self.stopping.stop_with_confirmation(attempt):
             return
         self._shared.metrics.add("attempts_moved")
         attempt.stop(StopCause.LEAVING)
--- a/dewridge/requests/ordering.py
+++ b/dewridge/requests/ordering.py
@@ -51,7 +51,7 @@
     """Add the price of the server time that an attempt used to the request's cost."""
     if server is None or not attempt.dispatched:
         return
-    duration = trio.current_time() - attempt.started
+    duration = trio.current_time() - attempt.dispatched_at
     listed = server.listed
     hourly_slot_price = listed.price / max(1, listed.capacity)
     attempt.record.cost += duration * hourly_slot_price / SECONDS_PER_HOUR
--- a/dewridge/requests/refusals.py
+++ b/dewridge/requests/refusals.py
@@ -106,7 +106,9 @@
         """
         ended = EndedEvent(failure.code, failure.reason, failure.retry_after)
         now = self._shared.clock()
-        record = self._shared.table.close(request, number, ended, ballot, now)
+        record = self._shared.table.close_submissions(
+            request, number, ended, ballot, now
+        )
         if record is not None:
             return record
         replies = await self._send_refusal(request, number, ended, ballot, extra_hosts)
--- a/dewridge/requests/shared.py
+++ b/dewridge/requests/shared.py
@@ -104,7 +104,7 @@
 
     def make_ballot(self, request: RequestId, above_epoch: int = 0) -> Ballot:
         """Return a ballot of this host with an epoch above all known ones."""
-        epoch = max(self.table.find_epoch(request), above_epoch) + 1
+        epoch = max(self.table.find_max_epoch(request), above_epoch) + 1
         return Ballot(epoch, self.local_member.host, self.local_member.incarnation)
 
     def is_local_ballot(self, ballot: Ballot) -> bool:
