--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -179,7 +179,7 @@
     """HolderElection of the host `HOLDER_ID`, which always holds the duties."""
 
     def __init__(self) -> None:
-        self._given = DutyTerm(HOLDER_ID, 5)
+        self._fixed_term = DutyTerm(HOLDER_ID, 5)
 
 
 async def report_one_window(
--- a/dewridge/tests/requests/claims_tests.py
+++ b/dewridge/tests/requests/claims_tests.py
@@ -70,12 +70,12 @@
     figures: list[float] = []
 
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_duration = 0.0
+        cluster.workers.plain_time = 0.0
         count = 3 * rate + 20
         waits: list[float] = []
 
         async def pull(place: int) -> None:
-            letter = cluster.make_submission("issue_letter")
+            letter = cluster.make("issue_letter")
             host = f"host-{place % 4}"
             began = trio.current_time()
             await cluster.nodes[host].service.submit(letter)
@@ -105,7 +105,7 @@
 
 def test_accounts_do_not_share_keys() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make_submission("check_status")
+        submission = cluster.make("check_status")
         await cluster.nodes["host-0"].service.submit(submission)
         stranger = ClientAccount("importer")
         service = cluster.nodes["host-0"].service
--- a/dewridge/tests/requests/failures_tests.py
+++ b/dewridge/tests/requests/failures_tests.py
@@ -24,7 +24,7 @@
 
 
 async def submit(cluster: Cluster, host: str, operation: str) -> RequestKey:
-    submission = cluster.make_submission(operation)
+    submission = cluster.make(operation)
     accepted = await cluster.nodes[host].service.submit(submission)
     assert isinstance(accepted, Accepted), accepted
     return submission.key
@@ -109,7 +109,7 @@
 # receive "unknown" with a retry time, and no second letter may be issued.
 def test_letter_in_flight_ends_unknown_after_owner_crash() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_duration = 5.0
+        cluster.workers.plain_time = 5.0
         key = await submit(cluster, "host-0", "issue_letter")
         await trio.sleep(0.5)
         assert cluster.workers.count(key) == 1
@@ -154,7 +154,7 @@
         assert ended.code is ResultCode.HOLDER_LOST
         cluster.resume("host-0")
         await trio.sleep(5)
-        retry = cluster.make_submission("issue_letter", number=2, key=key)
+        retry = cluster.make("issue_letter", number=2, key=key)
         await cluster.nodes["host-2"].service.submit(retry)
         ended = await read_end(cluster, "host-1", key)
         assert (ended.code, ended.body) == (ResultCode.OK, f'"{key}"')
@@ -168,7 +168,7 @@
 # continues: when resumed, the old owner must yield to the new one and follow it.
 def test_paused_owner_yields_to_successor() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.token_delay = 0.05
+        cluster.workers.step = 0.05
         key = await submit(cluster, "host-0", "draft_finding")
         seen = ReceivedAnswer()
         async with trio.open_nursery() as nursery:
@@ -190,7 +190,7 @@
 def test_key_submitted_to_three_hosts_runs_once() -> None:
     async def scenario(cluster: Cluster) -> None:
         for operation in ("issue_letter", "draft_finding"):
-            submission = cluster.make_submission(operation)
+            submission = cluster.make(operation)
             await submit_to_three_hosts(cluster, submission)
             for host in ("host-0", "host-1", "host-2", "host-3"):
                 seen = await cluster.follow(host, submission.key)
@@ -207,7 +207,7 @@
 # deliver it to the replicas, since no other answer can exist.
 def test_paused_claim_holder_delivers_late_answer() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_duration = 1.0
+        cluster.workers.plain_time = 1.0
         key = await submit(cluster, "host-0", "issue_letter")
         await trio.sleep(0.5)
         cluster.pause("host-0")
@@ -255,7 +255,7 @@
         await trio.sleep(5)
         assert not any(cluster.workers.count(key) for key in letters)
         cluster.key_value.is_down = False
-        retry = cluster.make_submission("issue_letter", number=2, key=letters[0])
+        retry = cluster.make("issue_letter", number=2, key=letters[0])
         assert isinstance(await service.submit(retry), Accepted)
         assert (await read_end(cluster, "host-3", retry.key)).code is ResultCode.OK
         assert cluster.workers.count(retry.key) == 1
@@ -268,17 +268,17 @@
 # elsewhere, so the duplicate must not run. The next submission may.
 def test_delayed_duplicate_of_refused_submission() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make_submission("issue_letter", deadline=-1.0)
+        submission = cluster.make("issue_letter", deadline=-1.0)
         service = cluster.nodes["host-0"].service
         refused = await service.submit(submission)
         assert isinstance(refused, Failure) and refused.is_not_run
-        duplicate = cluster.make_submission("issue_letter", key=submission.key)
+        duplicate = cluster.make("issue_letter", key=submission.key)
         for host in cluster.nodes:
             result = await cluster.nodes[host].service.submit(duplicate)
             assert isinstance(result, Failure) and result.is_not_run, result
         await trio.sleep(1)
         assert cluster.workers.count(submission.key) == 0
-        retry = cluster.make_submission("issue_letter", number=2, key=submission.key)
+        retry = cluster.make("issue_letter", number=2, key=submission.key)
         accepted = await cluster.nodes["host-3"].service.submit(retry)
         assert isinstance(accepted, Accepted)
 
@@ -290,12 +290,10 @@
 # to the running request.
 def test_refusal_attaches_to_request_running_elsewhere() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_duration = 2.0
+        cluster.workers.plain_time = 2.0
         key = await submit(cluster, "host-0", "issue_letter")
         for host in ("host-1", "host-2", "host-3"):
-            retry = cluster.make_submission(
-                "issue_letter", number=2, key=key, deadline=-1.0
-            )
+            retry = cluster.make("issue_letter", number=2, key=key, deadline=-1.0)
             result = await cluster.nodes[host].service.submit(retry)
             assert isinstance(result, Accepted) and result.attached, result
 
@@ -307,7 +305,7 @@
 # this host crashes, so the caller must receive "unknown".
 def test_unconfirmed_refusal_is_unknown() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make_submission("draft_finding")
+        submission = cluster.make("draft_finding")
         for other in ("host-1", "host-2", "host-3"):
             cluster.blocked_links.add((other, "host-0"))
         result = await cluster.nodes["host-0"].service.submit(submission)
@@ -346,7 +344,7 @@
         assert ended.code is ResultCode.OUTCOME_UNKNOWN
         assert trio.current_time() - started_at < 0.5
         for host in cluster.nodes:
-            retry = cluster.make_submission("issue_letter", number=2, key=key)
+            retry = cluster.make("issue_letter", number=2, key=key)
             await cluster.nodes[host].service.submit(retry)
         await trio.sleep(5)
         assert cluster.workers.count(key) == 1
@@ -373,7 +371,7 @@
 # the stored tokens; callers see one answer without a restart.
 def test_drafts_move_off_leaving_backend_servers() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.token_delay = 0.1
+        cluster.workers.step = 0.1
         keys = [await submit(cluster, "host-0", "draft_finding") for _ in range(8)]
         await trio.sleep(0.5)
         for index in range(3):
@@ -394,10 +392,10 @@
 # caller receives one complete answer.
 def test_certificate_moves_after_engine_confirms_stop() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.token_delay = 0.2
-        cluster.workers.is_nondeterministic = True
+        cluster.workers.step = 0.2
+        cluster.workers.is_salted = True
         for confirms in (True, False):
-            cluster.workers.confirms_cancellation = confirms
+            cluster.workers.confirms = confirms
             key = await submit(cluster, "host-0", "draft_certificate")
             await trio.sleep(0.5)
             attempts = cluster.nodes["host-0"].service._attempts
@@ -415,8 +413,8 @@
 # only after the engine confirmed the stop; then the successor continues.
 def test_certificate_survives_a_drain() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.token_delay = 0.5
-        cluster.workers.is_nondeterministic = True
+        cluster.workers.step = 0.5
+        cluster.workers.is_salted = True
         key = await submit(cluster, "host-0", "draft_certificate")
         await trio.sleep(2.2)
         cluster.announce_leaving("host-0")
@@ -435,8 +433,8 @@
 # neither be lost nor issued twice.
 def test_drain_interrupts_no_stream() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.token_delay = 0.5
-        cluster.workers.plain_duration = 4.0
+        cluster.workers.step = 0.5
+        cluster.workers.plain_time = 4.0
         keys = [await submit(cluster, "host-0", "draft_finding") for _ in range(4)]
         letter = await submit(cluster, "host-0", "issue_letter")
         seen = {key: ReceivedAnswer() for key in [*keys, letter]}
@@ -483,7 +481,7 @@
 # resumed with stale state. They must not reach the caller.
 def test_tokens_from_non_owner_are_rejected() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.token_delay = 0.1
+        cluster.workers.step = 0.1
         key = await submit(cluster, "host-0", "draft_finding")
         await trio.sleep(0.5)
         owner = cluster.nodes["host-0"]
@@ -511,11 +509,11 @@
 # would attach to it and wait forever.
 def test_caller_disconnects_during_acceptance() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make_submission("check_status")
+        submission = cluster.make("check_status")
         service = cluster.nodes["host-0"].service
         with trio.move_on_after(0.0005):
             await service.submit(submission)
-        retry = cluster.make_submission("check_status", number=2, key=submission.key)
+        retry = cluster.make("check_status", number=2, key=submission.key)
         assert isinstance(await service.submit(retry), Accepted)
         ended = await read_end(cluster, "host-0", submission.key)
         assert ended.code is ResultCode.OK
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -314,30 +314,30 @@
 
     Attributes:
         executions: all attempts that were started.
-        token_delay: seconds for each token of a draft.
-        plain_duration: seconds that a plain service takes to answer.
+        step: seconds for each token of a draft.
+        plain_time: seconds that a plain service takes to answer.
         failures: results of the next attempts, which then are not executed.
         lose_answers: number of plain answers still to lose with the connection.
         lose_ends: number of drafts still to interrupt after their last token.
         computed_tokens: tokens computed in all attempts.
-        is_nondeterministic: whether each attempt computes different tokens.
+        is_salted: whether each attempt computes different tokens.
         complete_answers: all answers computed to the end, by key.
-        confirms_cancellation: whether engines answer to cancellations.
+        confirms: whether engines answer to cancellations.
         crashing_inputs: inputs that crash the backend server that gets them.
         crashed_servers: backend servers that have crashed.
     """
 
     def __init__(self) -> None:
         self.executions: list[Execution] = []
-        self.token_delay = 0.01
-        self.plain_duration = 0.02
+        self.step = 0.01
+        self.plain_time = 0.02
         self.failures: list[ResultCode] = []
         self.lose_answers = 0
         self.lose_ends = 0
         self.computed_tokens = 0
-        self.is_nondeterministic = False
+        self.is_salted = False
         self.complete_answers: dict[RequestKey, list[list[str]]] = {}
-        self.confirms_cancellation = True
+        self.confirms = True
         self.cancelled_attempts: set[AttemptId] = set()
         self.finished_attempts: set[AttemptId] = set()
         self.crashing_inputs: set[str] = set()
@@ -353,7 +353,7 @@
             if server_id in self.crashed_servers:
                 yield self._fail(ResultCode.NOT_STARTED)
             elif order.input in self.crashing_inputs:
-                await trio.sleep(self.token_delay)
+                await trio.sleep(self.step)
                 self.crashed_servers.add(server_id)
                 yield self._fail(ResultCode.CONNECTION_LOST)
             else:
@@ -373,7 +373,7 @@
         execution = Execution(order.key, order.operation, read_clock())
         self.executions.append(execution)
         if order.service == REGISTRY:
-            await trio.sleep(self.plain_duration)
+            await trio.sleep(self.plain_time)
             await node.wait_until_running()
             if self.lose_answers:
                 self.lose_answers -= 1
@@ -382,11 +382,11 @@
             yield AttemptEnd(body=f'"{order.key}"')
             return
         tokens = make_tokens(order.key, order.max_tokens)
-        if self.is_nondeterministic:
+        if self.is_salted:
             tokens = [f"{token}{order.attempt} " for token in tokens]
         tokens[: order.first_sequence] = order.tokens_done
         for index in range(order.first_sequence, len(tokens)):
-            await trio.sleep(self.token_delay)
+            await trio.sleep(self.step)
             await node.wait_until_running()
             if order.attempt in self.cancelled_attempts:
                 yield Failure(ResultCode.BACKEND_SERVER_FAILED)
@@ -405,7 +405,7 @@
         self, server: BackendServer, attempt: AttemptId, /
     ) -> Cancellation | Failure:
         await trio.sleep(0.002)
-        if not self.confirms_cancellation:
+        if not self.confirms:
             return Failure(ResultCode.BACKEND_SERVER_SILENT)
         if attempt in self.finished_attempts:
             return Cancellation.DONE
@@ -636,7 +636,7 @@
         for other in self.nodes:
             self.blocked_links |= {(name, other), (other, name)}
 
-    def make_submission(
+    def make(
         self,
         operation: str = "draft_finding",
         number: int = 1,
--- a/dewridge/tests/requests/history_tests.py
+++ b/dewridge/tests/requests/history_tests.py
@@ -67,7 +67,7 @@
         story = self._story
         await trio.sleep(self._rng.random() * 0.01)
         with trio.move_on_after(PATIENCE):
-            submission = self._cluster.make_submission(
+            submission = self._cluster.make(
                 story.operation, story.number, story.key, deadline=20
             )
             service = self._cluster.nodes[self._choose_host()].service
@@ -208,15 +208,15 @@
 ) -> None:
     async def scenario(cluster: Cluster) -> None:
         rng = random.Random(seed)
-        cluster.workers.is_nondeterministic = True
-        cluster.workers.confirms_cancellation = rng.random() < 0.8
-        cluster.workers.token_delay = 0.05
-        cluster.workers.plain_duration = 0.1
+        cluster.workers.is_salted = True
+        cluster.workers.confirms = rng.random() < 0.8
+        cluster.workers.step = 0.05
+        cluster.workers.plain_time = 0.1
         stories: list[Story] = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Faults(cluster, rng).run, faults)
             for place in range(24):
-                key = cluster.make_submission().key
+                key = cluster.make().key
                 story = Story(key, OPERATIONS[place % 4])
                 stories.append(story)
                 caller = Caller(cluster, story, seed * 100 + place)
--- a/dewridge/tests/requests/leaving_tests.py
+++ b/dewridge/tests/requests/leaving_tests.py
@@ -55,7 +55,7 @@
 
     The second replica is then paused. Returns the key and the two replicas.
     """
-    cluster.workers.plain_duration = 0.2
+    cluster.workers.plain_time = 0.2
     key = await submit(cluster, "host-0", "issue_letter")
     first, second = find_record(cluster, "host-0", key).replicas
     cluster.blocked_links.add(("host-0", first))
@@ -73,7 +73,7 @@
 def test_leaving_host_sends_no_call() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.04
-        cluster.workers.plain_duration = 3.0
+        cluster.workers.plain_time = 3.0
         keys = [await submit(cluster, "host-0", "issue_letter") for _ in range(5)]
         assert not any(cluster.workers.count(key) for key in keys)
         await reclaim_host(cluster, "host-0", notice=2.0, drain=1.3)
@@ -92,7 +92,7 @@
 def test_call_is_handed_off_before_its_claim_is_released() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.6
-        submission = cluster.make_submission("issue_letter")
+        submission = cluster.make("issue_letter")
         host, next_host, other, *_ = rank_committers(cluster, submission.key)
         await cluster.nodes[host].service.submit(submission)
         await trio.sleep(0.9)
@@ -117,7 +117,7 @@
 
         async def keep_submitting() -> None:
             while True:
-                submission = cluster.make_submission("draft_finding")
+                submission = cluster.make("draft_finding")
                 service = cluster.nodes["host-0"].service
                 cluster.nursery.start_soon(service.submit, submission)
                 await trio.sleep(0.05)
@@ -139,7 +139,7 @@
 # host had 0.5 s left.
 def test_drain_waits_for_answer_after_handoff_time() -> None:
     async def scenario(cluster: Cluster) -> None:
-        cluster.workers.plain_duration = 0.6
+        cluster.workers.plain_time = 0.6
         key = await submit(cluster, "host-0", "issue_letter")
         await wait_until(lambda: cluster.workers.count(key) == 1, 0.01)
         cluster.announce_leaving("host-0")
@@ -195,7 +195,7 @@
     holds_copy: bool,
 ) -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make_submission("issue_letter")
+        submission = cluster.make("issue_letter")
         replicas: list[str] = []
 
         def block_replies(source: Node, target: Node, message: Any) -> None:
@@ -214,7 +214,7 @@
         assert isinstance(first, Failure) and not first.is_not_run
         cluster.on_message = lambda *_: None
         cluster.blocked_links.clear()
-        retry = cluster.make_submission("issue_letter", number=2, key=submission.key)
+        retry = cluster.make("issue_letter", number=2, key=submission.key)
         other = next(n for n in cluster.nodes if n not in ("host-0", *replicas))
         other = replicas[0] if holds_copy else other
         accepted = await cluster.nodes[other].service.submit(retry)
@@ -242,7 +242,7 @@
         await trio.sleep(5.0)
         cluster.key_value.delay = 0.002
         await trio.sleep(5.0)
-        retry = cluster.make_submission("issue_letter", number=2, key=key)
+        retry = cluster.make("issue_letter", number=2, key=key)
         accepted = await cluster.nodes["host-2"].service.submit(retry)
         assert isinstance(accepted, Accepted), accepted
         ended = await read_end(cluster, "host-2", key)
--- a/dewridge/tests/requests/service_tests.py
+++ b/dewridge/tests/requests/service_tests.py
@@ -18,8 +18,8 @@
 def test_answers_are_complete_and_distinct() -> None:
     async def scenario(cluster: Cluster) -> None:
         service = cluster.nodes["host-0"].service
-        draft = cluster.make_submission("draft_finding")
-        letter = cluster.make_submission("issue_letter")
+        draft = cluster.make("draft_finding")
+        letter = cluster.make("issue_letter")
         for submission in (draft, letter):
             accepted = await service.submit(submission)
             assert isinstance(accepted, Accepted), accepted
@@ -39,7 +39,7 @@
 # showed no cost for the profile.
 def test_report_includes_recent_work_of_other_hosts() -> None:
     async def scenario(cluster: Cluster) -> None:
-        submission = cluster.make_submission("draft_finding")
+        submission = cluster.make("draft_finding")
         await cluster.nodes["host-0"].service.submit(submission)
         await cluster.follow("host-0", submission.key)
         profile = next(iter(make_configuration().profiles.values())).name
@@ -56,13 +56,11 @@
     async def scenario(cluster: Cluster) -> None:
         for index in range(4, 16):
             cluster.servers.add(f"engine-{index}", FINDINGS, ServerKind.ENGINE)
-        cluster.workers.crashing_inputs.add(
-            cluster.make_submission("draft_finding").input
-        )
+        cluster.workers.crashing_inputs.add(cluster.make("draft_finding").input)
         results = []
         for number in range(12):
             service = cluster.nodes[f"host-{number % 4}"].service
-            submission = cluster.make_submission("draft_finding")
+            submission = cluster.make("draft_finding")
             result = await service.submit(submission)
             results.append(result)
             if isinstance(result, Accepted):
