--- a/dewridge/requests/acceptance.py
+++ b/dewridge/requests/acceptance.py
@@ -285,8 +285,8 @@
         supersedes = 0
         for _ in range(CONFLICT_LIMIT):
             copies = await offer_copies(self._shared, answer, supersedes)
-            if copies.known:
-                known = max(copies.known, key=lambda found: found.ballot)
+            if copies.conflicting:
+                known = max(copies.conflicting, key=lambda found: found.ballot)
                 settled = await self._settle(answer, known)
                 if settled is not None:
                     return settled
@@ -364,7 +364,7 @@
         record.maybe_run = record.maybe_run or known.maybe_run
         record.ballot = self._shared.make_ballot(record.request, known.ballot.epoch)
         record.generation = make_generation(record.ballot)
-        answer.acked.clear()
+        answer.acked_tokens.clear()
         self._shared.metrics.add("requests_supersede")
 
     async def _take_back(self, answer: Answer) -> None:
@@ -382,7 +382,7 @@
     def _forget(self, answer: Answer) -> None:
         self._scheduling.withdraw(answer.record)
         self._replicator.remove(answer)
-        answer.lose()
+        answer.mark_lost()
 
     async def _give_up(self, answer: Answer) -> Accepted | Failure:
         record = answer.record
--- a/dewridge/requests/answers.py
+++ b/dewridge/requests/answers.py
@@ -19,7 +19,7 @@
 sent it in one piece, and all other streams of the host would wait for that."""
 
 
-class Close(Enum):
+class CloseReason(Enum):
     """Why following an answer here came to its end."""
 
     ENDED = "ended"
@@ -33,13 +33,13 @@
     """The answer to one request that this host owns, or holds whole.
 
     Attributes:
-        visible: tokens that a replica has acknowledged. Callers see no more,
+        visible_tokens: tokens that a replica has acknowledged. Callers see no more,
             so that whoever takes over has all that a caller saw.
         trusted: replicas whose acknowledgement counts. A successor must learn of
             each of them from the others, or it would go on without the tokens
             that only that one has.
         holders: hosts that may hold a copy, also ones replaced since.
-        former: replicas of earlier owners; they may hold an end that this one missed.
+        former_replicas: replicas of earlier owners; they may hold an end that this one missed.
         accepted: set once a replica holds the record, or the answer is lost.
         detached: no replica can be had; tokens are shown as they come, under a
             generation that nobody else continues.
@@ -47,23 +47,23 @@
 
     def __init__(self, record: Record) -> None:
         self.record = record
-        self.acked: dict[HostId, int] = {}
+        self.acked_tokens: dict[HostId, int] = {}
         self.end_acked: set[HostId] = set()
         self.holders: set[HostId] = set()
-        self.former: set[HostId] = set()
+        self.former_replicas: set[HostId] = set()
         self.trusted = set(record.replicas)
-        self.visible = 0
+        self.visible_tokens = 0
         self.end_visible = False
         self.lost = False
         self.detached = False
         self.accepted = trio.Event()
         self._changed = trio.Event()
 
-    async def wait_change(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until something changes."""
         await self._changed.wait()
 
-    def note_change(self) -> None:
+    def notify_followers(self) -> None:
         """Wake the followers."""
         changed, self._changed = self._changed, trio.Event()
         changed.set()
@@ -74,7 +74,7 @@
         """Record what a replica holds."""
         if self.lost or generation != self.record.generation:
             return
-        self.acked[host] = max(tokens, self.acked.get(host, 0))
+        self.acked_tokens[host] = max(tokens, self.acked_tokens.get(host, 0))
         if ended:
             self.end_acked.add(host)
         self._show()
@@ -91,17 +91,17 @@
             return True
         return False
 
-    def trust(self, host: HostId, replicas: set[HostId]) -> None:
+    def extend_trusted(self, host: HostId, replicas: set[HostId]) -> None:
         """Count all of a record's replicas, since one that counts knows them."""
         if host in self.trusted:
             self.trusted |= replicas
             self._show()
 
     def _show(self) -> None:
-        counted = [n for host, n in self.acked.items() if host in self.trusted]
-        self.visible = max([self.visible, *counted])
+        counted = [n for host, n in self.acked_tokens.items() if host in self.trusted]
+        self.visible_tokens = max([self.visible_tokens, *counted])
         self._show_end()
-        self.note_change()
+        self.notify_followers()
 
     def _show_end(self) -> None:
         """Let callers see the end as soon as that is safe.
@@ -116,29 +116,29 @@
         if record.outcome is Outcome.NOT_RUN:
             self.end_visible = self.end_acked >= self.holders
         elif self.end_acked & self.trusted:
-            self.visible = len(record.tokens)
+            self.visible_tokens = len(record.tokens)
             self.end_visible = True
 
     def show_all(self) -> None:
         """Show everything now, acknowledged or not."""
-        self.visible = len(self.record.tokens)
+        self.visible_tokens = len(self.record.tokens)
         self.end_visible = self.record.ended is not None
-        self.note_change()
+        self.notify_followers()
 
     def detach(self) -> None:
         """Go on without replicas, under a generation of this process alone."""
         if not self.detached:
             self.detached = True
             renew_generation(self.record)
-            self.acked.clear()
+            self.acked_tokens.clear()
         self.show_all()
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Tell followers that another host owns the request."""
         if not self.end_visible:
             self.lost = True
             self.accepted.set()
-            self.note_change()
+            self.notify_followers()
 
     async def stream(
         self,
@@ -146,7 +146,7 @@
         offset: int,
         emit: Callable[[AnswerEvent], Awaitable[None]],
         is_leaving: Callable[[], bool],
-    ) -> tuple[Close, Generation, int]:
+    ) -> tuple[CloseReason, Generation, int]:
         """Send events from a place on; returns why it stopped, and the place."""
         record = self.record
         if not generation:
@@ -154,20 +154,20 @@
         while True:
             changed = self._changed
             if self.lost:
-                return Close.LOST, generation, offset
+                return CloseReason.LOST, generation, offset
             if generation != record.generation:
                 generation, offset = record.generation, 0
                 await emit(RestartEvent(generation))
-            elif offset < self.visible:
-                last = min(self.visible, offset + TOKENS_PER_EVENT)
+            elif offset < self.visible_tokens:
+                last = min(self.visible_tokens, offset + TOKENS_PER_EVENT)
                 tokens = tuple(record.tokens[offset:last])
                 await emit(TokensEvent(generation, offset, tokens))
                 offset += len(tokens)
             elif self.end_visible and record.ended is not None:
                 await emit(record.ended)
-                return Close.ENDED, generation, offset
+                return CloseReason.ENDED, generation, offset
             elif is_leaving():
-                return Close.LEAVING, generation, offset
+                return CloseReason.LEAVING, generation, offset
             else:
                 await changed.wait()
 
@@ -178,7 +178,7 @@
     record.generation = make_generation(record.ballot, record.renewals)
 
 
-def make_whole(record: Record) -> Answer:
+def make_complete_answer(record: Record) -> Answer:
     """Return an answer that is followed on a host that merely holds it."""
     answer = Answer(record)
     answer.show_all()
@@ -186,7 +186,7 @@
     return answer
 
 
-def adopt(record: Record, ballot: Ballot, *, keep_generation: bool) -> None:
+def take_ownership(record: Record, ballot: Ballot, *, keep_generation: bool) -> None:
     """Make a record this host's own, under a new ballot."""
     record.ballot = ballot
     record.renewals = 0
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -27,7 +27,7 @@
 from dewridge.requests.answers import Answer, renew_generation
 from dewridge.requests.claiming import Claimer, make_unavailable
 from dewridge.requests.claims import Grant
-from dewridge.requests.ending import Ender
+from dewridge.requests.ending import RequestFinisher
 from dewridge.requests.ordering import charge, make_order, name_attempt
 from dewridge.requests.outcomes import PROVES_NOT_STARTED, judge_failure
 from dewridge.requests.records import Ballot, Record
@@ -63,7 +63,7 @@
         replicator: Replicator,
         scheduling: Scheduling,
         claims: Claimer,
-        ender: Ender,
+        ender: RequestFinisher,
         servers: Servers,
         dispatch: Dispatch,
         stopping: Stopping,
@@ -91,7 +91,7 @@
         """Queue an accepted request, or end it if its service is gone."""
         if not self._scheduling.restore(answer.record):
             failure = Failure(ResultCode.UNKNOWN_SERVICE, "the service is gone")
-            self._ender.give_up(answer, failure)
+            self._ender.fail(answer, failure)
 
     def find(self, request: RequestId) -> Attempt | None:
         """Return the attempt under way for a request."""
@@ -144,9 +144,9 @@
         record.cache_handle = None
         del record.tokens[keep:]
         renew_generation(record)
-        answer.acked.clear()
-        answer.visible = 0
-        answer.note_change()
+        answer.acked_tokens.clear()
+        answer.visible_tokens = 0
+        answer.notify_followers()
 
     async def _carry_out(self, attempt: Attempt, priority: Priority) -> None:
         request = attempt.record.request
@@ -279,13 +279,13 @@
         """
         self._scheduling.withdraw(answer.record)
         self.release(answer.record)
-        self._ender.give_up(answer, failure)
+        self._ender.fail(answer, failure)
 
     def release(self, record: Record) -> None:
         """Give up the claim of a call that was never sent, if it has one."""
         if record.claim_asked:
             record.claim_asked = False
-            self._claims.give_up(record)
+            self._claims.start_release(record)
 
     async def _send(
         self, attempt: Attempt, server: BackendServer, priority: Priority
@@ -316,7 +316,7 @@
         return result
 
     def _may_send(self, record: Record) -> bool:
-        too_late = self._claims.is_too_late(record.request)
+        too_late = self._claims.is_past_retention(record.request)
         return record.claimed and not too_late and not self._claims.is_released(record)
 
     async def _receive(
@@ -379,7 +379,7 @@
                 record.request, attempt.server, outcome, len(record.tokens), now
             )
             self._scheduling.withdraw(record)
-            self._ender.give_up(attempt.answer, result)
+            self._ender.fail(attempt.answer, result)
         else:
             if result.code is ResultCode.BACKEND_SERVER_LEAVING:
                 self._servers.note_leaving(attempt.server, None, "engine")
@@ -392,7 +392,7 @@
         self._note_ended(attempt, AttemptOutcome.DONE)
         server = self._servers.find(attempt.server)
         domain = server.listed.failure_domain if server else ""
-        self._ender.finish(attempt.answer, end.body, attempt.server, domain)
+        self._ender.complete(attempt.answer, end.body, attempt.server, domain)
 
     def _note_ended(
         self,
@@ -410,7 +410,7 @@
         )
         self._scheduling.wake()
         if isinstance(decision, Abandoned):
-            self._ender.give_up(attempt.answer, failure or decision.failure, decision)
+            self._ender.fail(attempt.answer, failure or decision.failure, decision)
         elif outcome is not AttemptOutcome.DONE and not isinstance(decision, Retry):
             self._scheduling.restore(record)
 
--- a/dewridge/requests/claiming.py
+++ b/dewridge/requests/claiming.py
@@ -9,7 +9,7 @@
 from dewridge.peers.model import PeerIdentity
 from dewridge.peers.wire import ttypes as wire
 from dewridge.requests.claims import ClaimIntent, Grant, find_bucket
-from dewridge.requests.committer import Committer, Verdict
+from dewridge.requests.committer import CommitResult, Committer
 from dewridge.requests.keys import read_request_time
 from dewridge.requests.records import Ballot, Record
 from dewridge.requests.shared import Shared
@@ -41,14 +41,14 @@
         released = self._released.get(record.request)
         return released is not None and released[0] == record.ballot
 
-    def forget(self) -> None:
+    def expire_releases(self) -> None:
         """Forget releases of keys that are refused as too old."""
         limit = self._shared.clock() - 2 * self._shared.settings.retention
         for request, (_, at) in list(self._released.items()):
             if at < limit:
                 del self._released[request]
 
-    def is_too_late(self, request: RequestId) -> bool:
+    def is_past_retention(self, request: RequestId) -> bool:
         """Whether a claim may have been forgotten with its window.
 
         A process that was paused between a claim and its dispatch could wake
@@ -58,27 +58,27 @@
         last = read_request_time(request) + settings.retention + settings.clock_skew
         return self._shared.clock() > last
 
-    async def acquire(self, record: Record, deadline: float) -> Verdict:
+    async def acquire(self, record: Record, deadline: float) -> CommitResult:
         """Claim a call until a time, or say why not."""
         intent = ClaimIntent(record.request, record.ballot)
         started = self._shared.clock()
-        verdict: Verdict = make_unavailable("no time is left")
+        verdict: CommitResult = make_unavailable("no time is left")
         while self._shared.clock() < deadline:
-            if self.is_too_late(record.request) or self.is_released(record):
+            if self.is_past_retention(record.request) or self.is_released(record):
                 return make_unavailable("the claim can't be used any more")
             left = deadline - self._shared.clock()
             verdict = await self._ask(intent, left)
             if not isinstance(verdict, Failure):
                 break
             await trio.sleep(min(0.05, max(0.0, left)))
-        if self.is_too_late(record.request) or self.is_released(record):
+        if self.is_past_retention(record.request) or self.is_released(record):
             return make_unavailable("the claim can't be used any more")
         name = "granted" if isinstance(verdict, Grant) and verdict.granted else "not"
         self._shared.metrics.add("claims", result=name)
         self._shared.metrics.observe("claim_seconds", self._shared.clock() - started)
         return verdict
 
-    def give_up(self, record: Record) -> None:
+    def start_release(self, record: Record) -> None:
         """Promise to send nothing under a record's ownership, and release its claim.
 
         The promise holds at once, so the call can be handed off without waiting
@@ -86,9 +86,9 @@
         """
         request, ballot = record.request, record.ballot
         self._released[request] = ballot, self._shared.clock()
-        self._shared.jobs.start(self.void, request, ballot)
+        self._shared.jobs.start(self.write_release, request, ballot)
 
-    async def void(self, request: RequestId, ballot: Ballot) -> None:
+    async def write_release(self, request: RequestId, ballot: Ballot) -> None:
         """Mark an ownership that sends nothing as given up, whether it claimed or not.
 
         Only for an ownership whose own host has promised that it sends nothing.
@@ -102,7 +102,7 @@
             await trio.sleep(RELEASE_PAUSE)
         log.warning("request {}: its claim could not be given up", request)
 
-    async def _ask(self, intent: ClaimIntent, timeout: float) -> Verdict:
+    async def _ask(self, intent: ClaimIntent, timeout: float) -> CommitResult:
         """Ask the committer of the bucket; commit here if it does not answer.
 
         Both may write the same intent: it names its ownership, and applying it
@@ -165,7 +165,7 @@
     return ClaimIntent(RequestId(message.request), ballot, message.release)
 
 
-def encode_result(verdict: Verdict) -> wire.ClaimResult:
+def encode_result(verdict: CommitResult) -> wire.ClaimResult:
     """Return a verdict as a wire structure."""
     if isinstance(verdict, Failure):
         return wire.ClaimResult(
@@ -183,7 +183,7 @@
     )
 
 
-def decode_result(message: wire.ClaimResult) -> Verdict:
+def decode_result(message: wire.ClaimResult) -> CommitResult:
     """Return the verdict of a wire structure."""
     if message.code == ResultCode.OK:
         return Grant(granted=True)
--- a/dewridge/requests/claims.py
+++ b/dewridge/requests/claims.py
@@ -15,7 +15,7 @@
 from dewridge.requests.keys import read_request_time
 from dewridge.requests.records import Ballot
 
-VALUE_LIMIT = 900_000
+MAX_BUCKET_BYTES = 900_000
 """Bytes of a bucket's value; the service holds a megabyte, and a write that it
 refuses for its size would stop every claim of the bucket."""
 
@@ -93,7 +93,7 @@
     return msgspec.msgpack.encode(bucket)
 
 
-def merge(
+def apply_intents(
     bucket: BucketValue, intents: Sequence[ClaimIntent]
 ) -> tuple[BucketValue, list[Grant]]:
     """Apply intents in their order; the first to ask for a request has it.
--- a/dewridge/requests/committer.py
+++ b/dewridge/requests/committer.py
@@ -11,13 +11,13 @@
 from dewridge.membership.ranking import has_duty
 from dewridge.providers.model import Entry, KeyValue
 from dewridge.requests.claims import (
-    VALUE_LIMIT,
+    MAX_BUCKET_BYTES,
     ClaimIntent,
     Grant,
+    apply_intents,
     decode_bucket,
     encode_bucket,
     find_bucket,
-    merge,
 )
 from dewridge.requests.shared import Shared
 from dewridge.sentinels import Failure
@@ -34,7 +34,7 @@
 BURST = 5.0
 """Writes that may follow each other at once after a quiet time."""
 
-Verdict = Grant | Failure
+CommitResult = Grant | Failure
 
 
 @dataclass
@@ -85,7 +85,7 @@
         """Return the key of a bucket's value."""
         return self._prefix + bucket
 
-    async def commit(self, intent: ClaimIntent, timeout: float) -> Verdict:
+    async def commit(self, intent: ClaimIntent, timeout: float) -> CommitResult:
         """Have an intent written with the next write of its bucket."""
         settings = self._shared.settings
         bucket = find_bucket(
@@ -161,11 +161,11 @@
         except msgspec.DecodeError:
             log.error("claims bucket {} is malformed", bucket)
             return Failure(ResultCode.CLAIM_UNAVAILABLE, "the bucket is malformed")
-        merged, grants = merge(value, intents)
+        merged, grants = apply_intents(value, intents)
         if merged.claims == value.claims:
             return self._confirm(bucket, grants)
         encoded = encode_bucket(merged)
-        if len(encoded) > VALUE_LIMIT:
+        if len(encoded) > MAX_BUCKET_BYTES:
             self._shared.metrics.add("claims_bucket_full")
             return Failure(ResultCode.CLAIM_UNAVAILABLE, "the bucket is full", 5.0)
         return await self._swap(bucket, encoded, entry.revision, grants)
@@ -213,7 +213,7 @@
             state = "down" if self.is_down else "reachable"
             log.info("key-value service is {} for claims", state)
 
-    async def clean(self) -> None:
+    async def delete_expired_windows(self) -> None:
         """Delete windows whose keys are refused everywhere as too old.
 
         A window goes after the retention, the clocks' skew twice over and the
--- a/dewridge/requests/copying.py
+++ b/dewridge/requests/copying.py
@@ -28,7 +28,7 @@
     supersedes: int = 0
     stored: set[HostId] = field(default_factory=set)
     timed_out: set[HostId] = field(default_factory=set)
-    known: list[Record] = field(default_factory=list)
+    conflicting: list[Record] = field(default_factory=list)
     changed: trio.Event = field(default_factory=trio.Event)
 
 
@@ -38,10 +38,10 @@
     for host in answer.record.replicas:
         shared.jobs.start(_copy_to, shared, answer, host, copies)
     with trio.move_on_after(shared.settings.replica_timeout):
-        while copies.waiting and not copies.stored and not copies.known:
+        while copies.waiting and not copies.stored and not copies.conflicting:
             await copies.changed.wait()
     with trio.move_on_after(ACCEPT_GRACE):
-        while copies.waiting and not copies.known:
+        while copies.waiting and not copies.conflicting:
             await copies.changed.wait()
     copies.timed_out |= copies.waiting
     return copies
@@ -77,7 +77,7 @@
     if reply.known is not None:
         known = decode_record(reply.known)
         known.ended = decode_end(reply.ended) if reply.ended is not None else None
-        copies.known.append(known)
+        copies.conflicting.append(known)
     elif reply.ended is not None:
         closed = decode_end(reply.ended)
-        copies.known.append(replace(record, ended=closed))
+        copies.conflicting.append(replace(record, ended=closed))
--- a/dewridge/requests/ending.py
+++ b/dewridge/requests/ending.py
@@ -22,11 +22,11 @@
 LATE_PAUSE = 0.5
 
 
-class Ender:
+class RequestFinisher:
     """Gives requests of this host their final word.
 
     Attributes:
-        on_refused: told of a record that ended without ever being sent.
+        on_not_run: told of a record that ended without ever being sent.
     """
 
     def __init__(
@@ -35,10 +35,10 @@
         self._shared = shared
         self._replicator = replicator
         self._usage = usage
-        self.on_refused: Callable[[Record], None] = lambda _: None
+        self.on_not_run: Callable[[Record], None] = lambda _: None
         replicator.on_superseded = self._bring_answer
 
-    def finish(
+    def complete(
         self, answer: Answer, body: str, backend_server: str, failure_domain: str
     ) -> None:
         """End a request whose whole answer has come."""
@@ -51,7 +51,7 @@
             self._usage.add(record.profile, "tokens_recomputed", record.recomputed)
         self._end(answer, event)
 
-    def give_up(
+    def fail(
         self, answer: Answer, failure: Failure, abandoned: Abandoned | None = None
     ) -> None:
         """End a request without a whole answer, at once and in true words."""
@@ -85,7 +85,7 @@
         elif outcome is Outcome.FAILED:
             self._usage.add(record.profile, "lost")
         elif outcome is Outcome.NOT_RUN:
-            self.on_refused(record)
+            self.on_not_run(record)
         if answer.lost:
             record.end(event, self._shared.clock())
             self._bring_answer(record)
--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -8,11 +8,11 @@
 from dewridge.membership.model import Member, MemberState
 from dewridge.membership.ranking import find_home
 from dewridge.peers.wire import ttypes as wire
-from dewridge.requests.answers import Answer, adopt, renew_generation
+from dewridge.requests.answers import Answer, renew_generation, take_ownership
 from dewridge.requests.attempts import Attempts
 from dewridge.requests.codec import decode_end, decode_record
-from dewridge.requests.ending import Ender
-from dewridge.requests.locating import Located, Locator, decode_found
+from dewridge.requests.ending import RequestFinisher
+from dewridge.requests.locating import Located, Locator, decode_find_reply
 from dewridge.requests.records import Ballot, Record
 from dewridge.requests.replication import Replicator, make_copy
 from dewridge.requests.shared import Shared
@@ -47,13 +47,13 @@
         replicator: Replicator,
         locator: Locator,
         attempts: Attempts,
-        ender: Ender,
+        finisher: RequestFinisher,
     ) -> None:
         self._shared = shared
         self._replicator = replicator
         self._locator = locator
         self._attempts = attempts
-        self._ender = ender
+        self._ender = finisher
         self._wake = trio.Event()
         self._busy: set[RequestId] = set()
         self._limit = trio.CapacityLimiter(TAKEOVERS_AT_ONCE)
@@ -156,7 +156,7 @@
         member = self._shared.find_live(host)
         if member is None or member.incarnation != incarnation:
             return True
-        return await self._locator.ask(host, record.request) is None
+        return await self._locator.query_host(host, record.request) is None
 
     async def _take_over(self, record: Record, is_orphan: bool = False) -> None:
         try:
@@ -173,7 +173,7 @@
         if self._is_owner_live(record.ballot) and not is_orphan:
             return
         before = record.ballot.host
-        adopt(
+        take_ownership(
             record,
             self._shared.make_ballot(record.request),
             keep_generation=answered,
@@ -186,8 +186,8 @@
             return
         self._replicator.choose(record)
         answer = Answer(record)
-        answer.former = set(others)
-        answer.visible = len(record.tokens) if answered else 0
+        answer.former_replicas = set(others)
+        answer.visible_tokens = len(record.tokens) if answered else 0
         if answered and answer.replace_replicas(set(others)):
             renew_generation(record)
         self._replicator.add(answer)
@@ -254,7 +254,7 @@
             reply = await self._shared.call(host, message)
             if not isinstance(reply, Failure) and reply.found:
                 answered.add(host)
-                self._learn(record, decode_found(host, reply), others)
+                self._learn(record, decode_find_reply(host, reply), others)
 
         while hosts:
             asked |= hosts
@@ -300,7 +300,7 @@
         record.maybe_run = True
         while not answer.lost and record.ended is None:
             if self._shared.clock() > record.deadline + HOLDER_PATIENCE:
-                self._ender.give_up(answer, make_holder_lost("does not answer"))
+                self._ender.fail(answer, make_holder_lost("does not answer"))
                 return
             member = self._shared.find_live(holder.host)
             if member is None or member.incarnation != holder.incarnation:
@@ -313,7 +313,7 @@
                 await trio.sleep(HOLDER_POLL)
                 self._attempts.park(answer)
                 return
-            found = await self._locator.ask(holder.host, record.request, True)
+            found = await self._locator.query_host(holder.host, record.request, True)
             if found is not None and found.record.outcome is Outcome.DONE:
                 self._take_answer(answer, found.record)
                 return
@@ -333,14 +333,14 @@
         """
         record = answer.record
         limit = min(record.deadline, self._shared.clock() + COPY_PATIENCE)
-        hosts = frozenset(answer.former.union(record.replicas))
+        hosts = frozenset(answer.former_replicas.union(record.replicas))
         while not answer.lost and record.ended is None:
-            whole = await self._locator.find_whole(record.request, hosts)
+            whole = await self._locator.find_complete_answer(record.request, hosts)
             if whole.record is not None:
                 log.info("request {}: its answer was found", record.request)
                 self._take_answer(answer, whole.record)
-            elif whole.is_sure or self._shared.clock() > limit:
-                self._ender.give_up(answer, make_holder_lost("is gone"))
+            elif whole.is_conclusive or self._shared.clock() > limit:
+                self._ender.fail(answer, make_holder_lost("is gone"))
             else:
                 await trio.sleep(HOLDER_POLL)
 
@@ -354,8 +354,8 @@
             return
         record.tokens = theirs.tokens
         renew_generation(record)
-        answer.acked.clear()
-        answer.visible = 0
+        answer.acked_tokens.clear()
+        answer.visible_tokens = 0
         self._ender.adopt_end(answer, theirs.ended)
 
 
--- a/dewridge/requests/following.py
+++ b/dewridge/requests/following.py
@@ -14,7 +14,7 @@
 from dewridge.membership.ranking import find_home, rank_members
 from dewridge.peers.model import PeerIdentity
 from dewridge.peers.wire import ttypes as wire
-from dewridge.requests.answers import Answer, Close, make_whole
+from dewridge.requests.answers import Answer, CloseReason, make_complete_answer
 from dewridge.requests.codec import decode_end, encode_end
 from dewridge.requests.locating import Located, Locator
 from dewridge.requests.model import (
@@ -70,7 +70,7 @@
     """Follows answers here and elsewhere, and serves other hosts' followers.
 
     Attributes:
-        moving: followers are told to go on at another entry host.
+        is_redirecting: followers are told to go on at another entry host.
     """
 
     def __init__(
@@ -82,8 +82,8 @@
         self._numbers = count(1)
         self._incoming: dict[int, Mailbox[Any]] = {}
         self._served: dict[tuple[HostId, int, int], ServedStream] = {}
-        self.moving = False
-        self.open = 0
+        self.is_redirecting = False
+        self.open_streams = 0
 
     @asynccontextmanager
     async def follow(
@@ -91,7 +91,7 @@
     ) -> AsyncIterator["trio.MemoryReceiveChannel[AnswerEvent]"]:
         """Stream an answer from a place on."""
         send, receive = trio.open_memory_channel[AnswerEvent](EVENTS_WAITING)
-        self.open += 1
+        self.open_streams += 1
         try:
             async with trio.open_nursery() as nursery:
                 place = Place(generation, offset)
@@ -100,7 +100,7 @@
                     yield receive
                 nursery.cancel_scope.cancel()
         finally:
-            self.open -= 1
+            self.open_streams -= 1
 
     async def _feed(
         self,
@@ -119,7 +119,7 @@
         was_known = place.generation != 0
         since = trio.current_time()
         while True:
-            if self.moving and not self._has_end(request):
+            if self.is_redirecting and not self._has_end(request):
                 await emit(MovedEvent(self.find_addresses(request)))
                 return
             before = place.generation, place.offset
@@ -130,7 +130,7 @@
             if before != (place.generation, place.offset):
                 since = trio.current_time()
             limit = LOST_AFTER if was_known else UNKNOWN_AFTER
-            if trio.current_time() > since + limit and not self.moving:
+            if trio.current_time() > since + limit and not self.is_redirecting:
                 await emit(make_lost(was_known))
                 return
             await trio.sleep(SEARCH_PAUSE)
@@ -141,7 +141,7 @@
 
     async def _follow_once(self, request: RequestId, place: Place, emit: Emit) -> bool:
         """Follow at one place while it lasts; whether the request was known."""
-        await self.look_for_answer(request)
+        await self.fetch_late_answer(request)
         answer = self.find_answer(request)
         if answer is not None:
             await self._follow_here(answer, place, emit)
@@ -171,9 +171,9 @@
             return None
         if record.outcome is Outcome.NOT_RUN:
             return None
-        return make_whole(record)
+        return make_complete_answer(record)
 
-    async def look_for_answer(self, request: RequestId) -> None:
+    async def fetch_late_answer(self, request: RequestId) -> None:
         """Ask other hosts for the answer of a call that ended unknown here.
 
         A host that was slow or asleep when this one gave the call up may have the
@@ -185,16 +185,18 @@
             return
         if record.outcome is not Outcome.UNKNOWN:
             return
-        whole = await self._locator.find_whole(request, frozenset(record.replicas))
+        whole = await self._locator.find_complete_answer(
+            request, frozenset(record.replicas)
+        )
         if whole.record is not None:
             log.info("request {}: its answer was found late", request)
             self._shared.table.store(whole.record, self._shared.clock())
 
     async def _follow_here(self, answer: Answer, place: Place, emit: Emit) -> None:
         close, place.generation, place.offset = await answer.stream(
-            place.generation, place.offset, emit, lambda: self.moving
+            place.generation, place.offset, emit, lambda: self.is_redirecting
         )
-        place.ended = close is Close.ENDED
+        place.ended = close is CloseReason.ENDED
 
     async def _follow_there(self, located: Located, place: Place, emit: Emit) -> None:
         stream = next(self._numbers)
@@ -205,7 +207,7 @@
             while await self._ask_follow(located.host, request, place, stream):
                 going = True
                 while going:
-                    if self.moving:
+                    if self.is_redirecting:
                         return
                     frame = None
                     with trio.move_on_after(LIVENESS):
@@ -250,7 +252,7 @@
         """Begin a stream for a follower on another host, or confirm it."""
         request = RequestId(message.request)
         answer = self.find_answer(request)
-        if answer is None or (self.moving and not answer.end_visible):
+        if answer is None or (self.is_redirecting and not answer.end_visible):
             return wire.FollowReply(found=False, generation=0)
         name = (peer.host, peer.incarnation, message.stream)
         running = self._served.get(name)
@@ -287,9 +289,9 @@
         try:
             with served.scope:
                 close, _, _ = await answer.stream(
-                    generation, served.offset, emit, lambda: self.moving
+                    generation, served.offset, emit, lambda: self.is_redirecting
                 )
-                if close is not Close.ENDED:
+                if close is not CloseReason.ENDED:
                     await emit(MovedEvent(()))
         finally:
             if self._served.get(name) is served:
@@ -316,7 +318,7 @@
     def describe(self) -> dict[str, int]:
         """Return sizes for a dump."""
         return {
-            "following": self.open,
+            "following": self.open_streams,
             "following_elsewhere": len(self._incoming),
             "served_to_peers": len(self._served),
         }
--- a/dewridge/requests/handlers.py
+++ b/dewridge/requests/handlers.py
@@ -115,7 +115,7 @@
         answer = self._replicator.find(request)
         is_hidden = answer is not None and not answer.end_visible
         ended = None if is_hidden else record.ended
-        visible = len(record.tokens) if answer is None else answer.visible
+        visible = len(record.tokens) if answer is None else answer.visible_tokens
         return wire.FindReply(
             found=True,
             record=encode_record(record),
--- a/dewridge/requests/handoff.py
+++ b/dewridge/requests/handoff.py
@@ -8,7 +8,7 @@
 
 from dewridge.ids import HostId, RequestId
 from dewridge.peers.wire import ttypes as wire
-from dewridge.requests.answers import Answer, adopt
+from dewridge.requests.answers import Answer, take_ownership
 from dewridge.requests.attempts import Attempts
 from dewridge.requests.claiming import Claimer
 from dewridge.requests.codec import encode_record
@@ -76,9 +76,9 @@
         limit = trio.current_time() + timeout
         log.info("draining the requests of this host within {:.1f} s", timeout)
         await self._hand_off_all(limit, is_accepting)
-        self._followers.moving = True
+        self._followers.is_redirecting = True
         for answer in self._replicator.list_answers():
-            answer.note_change()
+            answer.notify_followers()
         with trio.move_on_at(limit + patience):
             await wait_until(lambda: self._is_over(limit), POLL)
         log.info("drained; {} requests left", len(self._list_live()))
@@ -133,7 +133,7 @@
         return [a for a in answers if not a.lost and not a.end_visible]
 
     def _is_quiet(self) -> bool:
-        return not self._followers.open and not self._list_unsettled()
+        return not self._followers.open_streams and not self._list_unsettled()
 
     def _is_over(self, limit: float) -> bool:
         """Whether nothing is left that this host must wait for."""
@@ -190,7 +190,7 @@
         self._scheduling.withdraw(record)
         self._attempts.unpark(record.request)
         if record.claim_asked:
-            self._claims.give_up(record)
+            self._claims.start_release(record)
         return True
 
     def _renew_ownership(self, answer: Answer) -> None:
@@ -202,9 +202,9 @@
         record = answer.record
         log.info("request {}: nobody took it; it goes on here", record.request)
         ballot = self._shared.make_ballot(record.request, record.ballot.epoch)
-        adopt(record, ballot, keep_generation=False)
-        answer.acked.clear()
-        answer.visible = 0
+        take_ownership(record, ballot, keep_generation=False)
+        answer.acked_tokens.clear()
+        answer.visible_tokens = 0
         for host in record.replicas:
             self._replicator.send_whole(host, record.request)
         self._failover.resume(answer)
@@ -232,7 +232,7 @@
             return False
         self._shared.metrics.add("requests_handed_off")
         log.info("request {}: handed off to {}", record.request, host)
-        answer.lose()
+        answer.mark_lost()
         self._replicator.remove(answer)
         self._shared.table.lose(record, self._shared.clock())
         return True
@@ -240,4 +240,4 @@
 
 def describe_drain(shared: Shared, followers: Followers) -> dict[str, Any]:
     """Return how far a drain is, for a dump."""
-    return {"leaving": shared.leaving, "moving": followers.moving}
+    return {"leaving": shared.leaving, "moving": followers.is_redirecting}
--- a/dewridge/requests/locating.py
+++ b/dewridge/requests/locating.py
@@ -33,16 +33,16 @@
 
 
 @dataclass(slots=True)
-class Whole:
+class AnswerSearch:
     """What a search for a whole answer brought.
 
     Attributes:
         record: the record with the answer, if one was found.
-        is_sure: whether no host that is up stayed silent.
+        is_conclusive: whether no host that is up stayed silent.
     """
 
     record: Record | None = None
-    is_sure: bool = True
+    is_conclusive: bool = True
 
 
 class Locator:
@@ -71,7 +71,7 @@
         owner = record.ballot.host
         if owner == self._shared.me.host:
             return None
-        found = await self.ask(owner, record.request)
+        found = await self.query_host(owner, record.request)
         return found if found is not None and found.is_owner else None
 
     async def _ask_home(self, request: RequestId) -> list[Located]:
@@ -80,7 +80,7 @@
         found: list[Located] = []
 
         async def ask(host: HostId) -> None:
-            reply = await self.ask(host, request)
+            reply = await self.query_host(host, request)
             if reply is not None:
                 found.append(reply)
 
@@ -90,9 +90,9 @@
                     nursery.start_soon(ask, host)
         return found
 
-    async def find_whole(
+    async def find_complete_answer(
         self, request: RequestId, also: frozenset[HostId] = frozenset()
-    ) -> "Whole":
+    ) -> "AnswerSearch":
         """Look for a whole answer at every host that may hold a copy.
 
         Made for a call whose holder is gone. One slow host may be the only one
@@ -106,15 +106,15 @@
         home = find_home(request, members)
         hosts = {m.host for m in home[: self._shared.reach]} | also
         hosts.discard(self._shared.me.host)
-        whole = Whole()
+        whole = AnswerSearch()
 
         async def ask(host: HostId) -> None:
             message = wire.Find(request=request, with_tokens=True)
             reply = await self._shared.call(host, message)
             if isinstance(reply, Failure):
-                whole.is_sure &= self._shared.find_live(host) is None
+                whole.is_conclusive &= self._shared.find_live(host) is None
             elif reply.found:
-                located = decode_found(host, reply)
+                located = decode_find_reply(host, reply)
                 if located.record.outcome is Outcome.DONE:
                     whole.record = located.record
 
@@ -123,7 +123,7 @@
                 nursery.start_soon(ask, host)
         return whole
 
-    async def ask(
+    async def query_host(
         self, host: HostId, request: RequestId, with_tokens: bool = False
     ) -> Located | None:
         """Ask one host; None if it does not know the request or is silent."""
@@ -131,10 +131,10 @@
         reply = await self._shared.call(host, message)
         if isinstance(reply, Failure) or not reply.found:
             return None
-        return decode_found(host, reply)
+        return decode_find_reply(host, reply)
 
 
-def decode_found(host: HostId, reply: Any) -> Located:
+def decode_find_reply(host: HostId, reply: Any) -> Located:
     """Return what a host said of a request that it knows."""
     record = decode_record(reply.record, reply.token_list)
     if reply.ended is not None:
--- a/dewridge/requests/replication.py
+++ b/dewridge/requests/replication.py
@@ -111,7 +111,7 @@
         if set(after) != set(before):
             self._shared.metrics.add("requests_rereplicated")
             for host in set(before) - set(after):
-                answer.acked.pop(host, None)
+                answer.acked_tokens.pop(host, None)
             if answer.replace_replicas(set(after)):
                 self.renew(answer)
             for host in after:
@@ -120,9 +120,9 @@
     def renew(self, answer: Answer) -> None:
         """Begin a new generation where a replica has more of the present one."""
         renew_generation(answer.record)
-        answer.acked.clear()
-        answer.visible = 0
-        answer.note_change()
+        answer.acked_tokens.clear()
+        answer.visible_tokens = 0
+        answer.notify_followers()
         for host in answer.record.replicas:
             self._find_sender(host).note_whole(answer.record.request)
 
@@ -136,7 +136,7 @@
         self.note(answer)
         with trio.move_on_after(self._shared.settings.replica_timeout):
             while not answer.end_visible and not answer.lost:
-                await answer.wait_change()
+                await answer.wait_for_change()
         if answer.end_visible or answer.lost:
             return
         record = answer.record
@@ -227,10 +227,10 @@
             answer = self._replicator.find(request)
             if answer is None or answer.lost:
                 continue
-            if self._host not in answer.acked:
+            if self._host not in answer.acked_tokens:
                 self._whole[request] = None
                 continue
-            run = make_run(answer.record, answer.acked[self._host])
+            run = make_run(answer.record, answer.acked_tokens[self._host])
             count += len(run.tokens)
             sent.append((answer, run))
         return sent
@@ -266,7 +266,7 @@
             tokens = len(message.tokens)
             ended = message.ended is not None
             answer.acknowledge(self._host, generation, tokens, ended)
-            answer.trust(self._host, set(message.record.replicas))
+            answer.extend_trusted(self._host, set(message.record.replicas))
             self._dirty[answer.record.request] = None
         else:
             self._give_up(answer, reply)
@@ -294,7 +294,7 @@
             self._host,
         )
         self._shared.metrics.add("requests_superseded")
-        answer.lose()
+        answer.mark_lost()
         self._replicator.remove(answer)
         self._shared.table.lose(answer.record, self._shared.clock())
         self._replicator.on_superseded(answer.record)
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -34,7 +34,7 @@
 from dewridge.requests.claiming import Claimer
 from dewridge.requests.codec import encode_end
 from dewridge.requests.committer import Committer
-from dewridge.requests.ending import Ender
+from dewridge.requests.ending import RequestFinisher
 from dewridge.requests.failover import Failover
 from dewridge.requests.following import Followers
 from dewridge.requests.handlers import ReplicaHandlers
@@ -126,7 +126,7 @@
             writes_per_second=writes_per_second,
         )
         self._claims = Claimer(shared, self._committer)
-        self._ender = Ender(shared, self._replicator, self._usage)
+        self._ender = RequestFinisher(shared, self._replicator, self._usage)
         self._attempts = Attempts(
             shared,
             replicator=self._replicator,
@@ -155,7 +155,7 @@
             replicator=self._replicator,
             locator=self._locator,
             attempts=self._attempts,
-            ender=self._ender,
+            finisher=self._ender,
         )
         self._handoff = Handoff(
             shared,
@@ -184,7 +184,7 @@
     def _connect(self) -> None:
         self._shared.table.on_replaced = self._note_replaced
         self._scheduling.on_abandoned = self._note_abandoned
-        self._ender.on_refused = self._attempts.release
+        self._ender.on_not_run = self._attempts.release
         peers = self._shared.peers
         for kind, handler in self._handlers.list_handlers():
             peers.handle(kind, handler)
@@ -201,7 +201,7 @@
             ("jobs", self._shared.jobs.run),
             ("scheduling", self._scheduling.run),
             ("failover", self._failover.run),
-            ("claims-cleaning", self._committer.clean),
+            ("claims-cleaning", self._committer.delete_expired_windows),
             ("forgetting", self._forget),
             ("usage", self._spread_usage),
         ]
@@ -226,7 +226,7 @@
     ) -> RequestStatus | Failure:
         """Say how far a request has come."""
         request = make_request_id(account, key)
-        await self._followers.look_for_answer(request)
+        await self._followers.fetch_late_answer(request)
         answer = self._followers.find_answer(request)
         if answer is not None:
             return make_status(answer)
@@ -277,10 +277,10 @@
                 attempt.stop(StopCause.CANCELLED)
             self._scheduling.withdraw(record)
             cancelled = Failure(code, "cancelled by the caller")
-            self._ender.give_up(answer, cancelled)
+            self._ender.fail(answer, cancelled)
         with trio.move_on_after(2 * self._shared.settings.replica_timeout):
             while not answer.end_visible and not answer.lost:
-                await answer.wait_change()
+                await answer.wait_for_change()
 
     async def _serve_cancel(
         self, peer: PeerIdentity, message: wire.Cancel
@@ -298,7 +298,7 @@
     def _note_abandoned(self, request: RequestId, failure: Failure) -> None:
         answer = self._replicator.find(request)
         if answer is not None:
-            self._ender.give_up(answer, failure)
+            self._ender.fail(answer, failure)
 
     def _note_replaced(self, old: Record, new: Record | None) -> None:
         """Stop this host's work on a record that another ownership replaced."""
@@ -308,7 +308,7 @@
             return
         answer = self._replicator.find(old.request)
         if answer is not None and answer.record is old:
-            answer.lose()
+            answer.mark_lost()
             self._replicator.remove(answer)
         attempt = self._attempts.find(old.request)
         if attempt is not None and attempt.record is old:
@@ -341,7 +341,7 @@
             evicted = table.forget(
                 self._shared.clock(), self._shared.settings.retention, ANSWER_BYTES
             )
-            self._claims.forget()
+            self._claims.expire_releases()
             if evicted:
                 self._shared.metrics.add("answers_evicted", evicted)
             for answer in self._replicator.list_answers():
@@ -418,5 +418,5 @@
     ended = record.ended if answer.end_visible else None
     state = find_state(ended.code) if ended else record.state
     return RequestStatus(
-        record.request, state, record.generation, answer.visible, ended
+        record.request, state, record.generation, answer.visible_tokens, ended
     )
--- a/dewridge/requests/taking.py
+++ b/dewridge/requests/taking.py
@@ -2,7 +2,7 @@
 
 from dewridge.peers.model import PeerIdentity
 from dewridge.peers.wire import ttypes as wire
-from dewridge.requests.answers import Answer, adopt, renew_generation
+from dewridge.requests.answers import Answer, renew_generation, take_ownership
 from dewridge.requests.attempts import Attempts
 from dewridge.requests.claiming import Claimer
 from dewridge.requests.codec import decode_record
@@ -53,7 +53,7 @@
                 has promised to send nothing.
         """
         ballot = self._shared.make_ballot(record.request, record.ballot.epoch)
-        adopt(record, ballot, keep_generation=True)
+        take_ownership(record, ballot, keep_generation=True)
         before = set(record.replicas)
         self._shared.table.put(record)
         self._replicator.choose(record)
@@ -80,6 +80,6 @@
         gone and tell the caller "unknown" of a call that was never sent.
         """
         record = answer.record
-        await self._claims.void(record.request, voided)
+        await self._claims.write_release(record.request, voided)
         if not answer.lost and record.ended is None:
             self._attempts.queue(answer)
--- a/dewridge/slopes/tables.py
+++ b/dewridge/slopes/tables.py
@@ -43,9 +43,9 @@
 from dewridge.requests.claims import (
     BucketValue,
     ClaimIntent,
+    apply_intents,
     decode_bucket,
     encode_bucket,
-    merge,
 )
 from dewridge.requests.records import Ballot, Record, make_generation
 
@@ -152,11 +152,11 @@
         account = ClientAccount(f"account-{random.randrange(5)}")
         return ClaimIntent(make_request_id(account, key), ballot)
 
-    bucket, _ = merge(BucketValue(), [make_intent() for _ in range(size)])
+    bucket, _ = apply_intents(BucketValue(), [make_intent() for _ in range(size)])
     value = encode_bucket(bucket)
     fresh = [make_intent() for _ in range(10)]
     started = time.process_time()
-    merged, _ = merge(decode_bucket(value), fresh)
+    merged, _ = apply_intents(decode_bucket(value), fresh)
     encoded = encode_bucket(merged)
     return encoded, time.process_time() - started
 
--- a/dewridge/tests/requests/claims_tests.py
+++ b/dewridge/tests/requests/claims_tests.py
@@ -5,7 +5,7 @@
 
 from dewridge.codes import ResultCode
 from dewridge.ids import ClientAccount, HostId, Incarnation, RequestId, RequestKey
-from dewridge.requests.claims import BucketValue, ClaimIntent, merge
+from dewridge.requests.claims import BucketValue, ClaimIntent, apply_intents
 from dewridge.requests.keys import check_key
 from dewridge.requests.records import Ballot
 from dewridge.tests.requests.fakes import Cluster, run_cluster
@@ -19,24 +19,24 @@
 # and a claim that was released comes again late. A caller would get two letters
 # if any order of these gave the call to both.
 def test_one_holder_whatever_the_order() -> None:
-    value, grants = merge(BucketValue(), [ClaimIntent(REQUEST, FIRST)])
+    value, grants = apply_intents(BucketValue(), [ClaimIntent(REQUEST, FIRST)])
     assert grants[0].granted
-    again, grants = merge(
+    again, grants = apply_intents(
         value, [ClaimIntent(REQUEST, FIRST), ClaimIntent(REQUEST, SECOND)]
     )
     assert again == value
     assert [grant.granted for grant in grants] == [True, False]
     assert grants[1].holder == FIRST
-    foreign, _ = merge(value, [ClaimIntent(REQUEST, SECOND, release=True)])
-    _, grants = merge(
+    foreign, _ = apply_intents(value, [ClaimIntent(REQUEST, SECOND, release=True)])
+    _, grants = apply_intents(
         foreign, [ClaimIntent(REQUEST, FIRST), ClaimIntent(REQUEST, SECOND)]
     )
     assert [grant.granted for grant in grants] == [True, False]
     assert grants[1].holder == FIRST
-    released, _ = merge(value, [ClaimIntent(REQUEST, FIRST, release=True)])
-    late, grants = merge(released, [ClaimIntent(REQUEST, FIRST)])
+    released, _ = apply_intents(value, [ClaimIntent(REQUEST, FIRST, release=True)])
+    late, grants = apply_intents(released, [ClaimIntent(REQUEST, FIRST)])
     assert late == released and not grants[0].granted
-    _, grants = merge(released, [ClaimIntent(REQUEST, SECOND)])
+    _, grants = apply_intents(released, [ClaimIntent(REQUEST, SECOND)])
     assert grants[0].granted
 
 
--- a/dewridge/tests/requests/delayed_claims_tests.py
+++ b/dewridge/tests/requests/delayed_claims_tests.py
@@ -1,7 +1,7 @@
 """Claims and releases of a bucket that land late."""
 
 from dewridge.ids import HostId, Incarnation, RequestId
-from dewridge.requests.claims import BucketValue, ClaimIntent, merge
+from dewridge.requests.claims import BucketValue, ClaimIntent, apply_intents
 from dewridge.requests.records import Ballot
 
 LETTER = RequestId("oficina/01890a5d-ac96-774b-bcce-b302099a8057")
@@ -16,7 +16,7 @@
     """Apply intents one write at a time, as delayed writes do."""
     value, granted = BucketValue(), []
     for intent in intents:
-        value, grants = merge(value, [intent])
+        value, grants = apply_intents(value, [intent])
         granted.append(grants[0].granted)
     return granted
 
