--- a/dewridge/requests/__init__.py
+++ b/dewridge/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests from acceptance to answer: records, replicas, claims, takeover."""
+"""Request processing on entry hosts: records, replicas, claims and failover."""
--- a/dewridge/requests/answers.py
+++ b/dewridge/requests/answers.py
@@ -1,4 +1,4 @@
-"""Answers on their owner: what callers may see of them, and who follows them."""
+"""Answers on their owner: which tokens callers may see, and streams of them."""
 
 from collections.abc import Awaitable, Callable
 from enum import Enum
@@ -14,35 +14,40 @@
 )
 from dewridge.requests.records import Ballot, Record, make_generation
 
-TOKENS_PER_EVENT = 256
-"""Tokens in one event; a caller that resumes a long answer would otherwise be
-sent it in one piece, and all other streams of the host would wait for that."""
+MAX_TOKENS_PER_EVENT = 256
+"""Maximum tokens in one event. Without a limit, a caller that resumes a long answer
+would be sent all of it at once, and all other streams of the host would wait."""
 
 
 class CloseReason(Enum):
-    """Why following an answer here came to its end."""
+    """Why streaming an answer on this host stopped."""
 
     ENDED = "ended"
     LOST = "lost"
     """Another host owns the request now."""
     LEAVING = "leaving"
-    """This host goes."""
+    """This host is leaving the cluster."""
 
 
 class Answer:
-    """The answer to one request that this host owns, or holds whole.
+    """The answer to one request that this host owns, or holds completely.
 
     Attributes:
-        visible_tokens: tokens that a replica has acknowledged. Callers see no more,
-            so that whoever takes over has all that a caller saw.
-        trusted: replicas whose acknowledgement counts. A successor must learn of
-            each of them from the others, or it would go on without the tokens
-            that only that one has.
-        holders: hosts that may hold a copy, also ones replaced since.
-        former_replicas: replicas of earlier owners; they may hold an end that this one missed.
+        acked_tokens: number of tokens that each replica has acknowledged.
+        end_acked: replicas that have acknowledged the end.
+        holders: hosts that may hold a copy, including replicas replaced since.
+        former_replicas: replicas of earlier owners. They may hold an end that this
+            host has not received.
+        trusted: replicas whose acknowledgement counts. A successor must be able to
+            find each of them through the others, or it would continue without the
+            tokens that only that replica holds.
+        visible_tokens: number of tokens that a replica has acknowledged. Callers see
+            no more, so that the next owner has everything that a caller saw.
+        end_visible: whether callers may see the end.
+        lost: whether another host owns the request now.
+        detached: whether no replica is available. Tokens are then shown at once,
+            under a generation that no other host continues.
         accepted: set once a replica holds the record, or the answer is lost.
-        detached: no replica can be had; tokens are shown as they come, under a
-            generation that nobody else continues.
     """
 
     def __init__(self, record: Record) -> None:
@@ -60,55 +65,58 @@
         self._changed = trio.Event()
 
     async def wait_for_change(self) -> None:
-        """Wait until something changes."""
+        """Wait for the next change of the answer."""
         await self._changed.wait()
 
     def notify_followers(self) -> None:
-        """Wake the followers."""
+        """Wake the tasks that wait for a change."""
         changed, self._changed = self._changed, trio.Event()
         changed.set()
 
     def acknowledge(
         self, host: HostId, generation: Generation, tokens: int, ended: bool
     ) -> None:
-        """Record what a replica holds."""
+        """Record how many tokens, and whether the end, a replica has stored."""
         if self.lost or generation != self.record.generation:
             return
         self.acked_tokens[host] = max(tokens, self.acked_tokens.get(host, 0))
         if ended:
             self.end_acked.add(host)
-        self._show()
+        self._update_visibility()
 
-    def replace_replicas(self, after: set[HostId]) -> bool:
-        """Note other replicas; whether the answer needs a new generation.
+    def replace_replicas(self, replicas: set[HostId]) -> bool:
+        """Update the trusted replicas after a change of replicas.
 
-        It does if none of the old ones stays: a successor among those would go
-        on without ever hearing of the new ones, under the same generation.
+        Returns:
+            Whether the answer needs a new generation. That is so if no trusted
+            replica remains: a successor among the old ones would not know the new
+            ones and would continue without them under the same generation.
         """
-        self.trusted &= after
+        self.trusted &= replicas
         if not self.trusted:
             self.trusted = set(self.record.replicas)
             return True
         return False
 
     def extend_trusted(self, host: HostId, replicas: set[HostId]) -> None:
-        """Count all of a record's replicas, since one that counts knows them."""
+        """Trust all of a record's replicas once a trusted replica has stored them."""
         if host in self.trusted:
             self.trusted |= replicas
-            self._show()
+            self._update_visibility()
 
-    def _show(self) -> None:
-        counted = [n for host, n in self.acked_tokens.items() if host in self.trusted]
-        self.visible_tokens = max([self.visible_tokens, *counted])
-        self._show_end()
+    def _update_visibility(self) -> None:
+        counts = [n for host, n in self.acked_tokens.items() if host in self.trusted]
+        self.visible_tokens = max([self.visible_tokens, *counts])
+        self._update_end_visibility()
         self.notify_followers()
 
-    def _show_end(self) -> None:
+    def _update_end_visibility(self) -> None:
         """Let callers see the end as soon as that is safe.
 
-        "Not run" needs the word of all that hold a copy: one that has not heard
-        it would take the request over after this host's death and run what the
-        caller was told was not run. Any other end needs one.
+        "Not run" must be acknowledged by all hosts that may hold a copy: one
+        without it would take the request over after this host's crash and run it,
+        although the caller was sent "not run". Any other end needs one trusted
+        replica's acknowledgement.
         """
         record = self.record
         if record.ended is None or self.end_visible:
@@ -120,13 +128,13 @@
             self.end_visible = True
 
     def show_all(self) -> None:
-        """Show everything now, acknowledged or not."""
+        """Make all tokens and the end visible, acknowledged or not."""
         self.visible_tokens = len(self.record.tokens)
         self.end_visible = self.record.ended is not None
         self.notify_followers()
 
     def detach(self) -> None:
-        """Go on without replicas, under a generation of this process alone."""
+        """Continue without replicas, under a generation that only this process uses."""
         if not self.detached:
             self.detached = True
             renew_generation(self.record)
@@ -134,7 +142,10 @@
         self.show_all()
 
     def mark_lost(self) -> None:
-        """Tell followers that another host owns the request."""
+        """Record that another host owns the request, and wake its followers.
+
+        An answer whose end is already visible stays unchanged.
+        """
         if not self.end_visible:
             self.lost = True
             self.accepted.set()
@@ -147,7 +158,17 @@
         emit: Callable[[AnswerEvent], Awaitable[None]],
         is_leaving: Callable[[], bool],
     ) -> tuple[CloseReason, Generation, int]:
-        """Send events from a place on; returns why it stopped, and the place."""
+        """Emit the answer's events from a position on, until it ends or must stop.
+
+        Args:
+            generation: generation of the position; 0 starts at the beginning.
+            offset: number of tokens of the generation to skip.
+            emit: called with each event.
+            is_leaving: whether to stop when no further event is available.
+
+        Returns:
+            Why the stream stopped, and the position reached.
+        """
         record = self.record
         if not generation:
             generation, offset = record.generation, 0
@@ -159,8 +180,8 @@
                 generation, offset = record.generation, 0
                 await emit(RestartEvent(generation))
             elif offset < self.visible_tokens:
-                last = min(self.visible_tokens, offset + TOKENS_PER_EVENT)
-                tokens = tuple(record.tokens[offset:last])
+                end = min(self.visible_tokens, offset + MAX_TOKENS_PER_EVENT)
+                tokens = tuple(record.tokens[offset:end])
                 await emit(TokensEvent(generation, offset, tokens))
                 offset += len(tokens)
             elif self.end_visible and record.ended is not None:
@@ -173,13 +194,13 @@
 
 
 def renew_generation(record: Record) -> None:
-    """Begin a new token sequence that keeps the tokens already computed."""
+    """Start a new token sequence that retains the tokens already computed."""
     record.renewals += 1
     record.generation = make_generation(record.ballot, record.renewals)
 
 
 def make_complete_answer(record: Record) -> Answer:
-    """Return an answer that is followed on a host that merely holds it."""
+    """Return a fully visible answer for a host that holds a copy but is not the owner."""
     answer = Answer(record)
     answer.show_all()
     answer.accepted.set()
@@ -187,7 +208,13 @@
 
 
 def take_ownership(record: Record, ballot: Ballot, *, keep_generation: bool) -> None:
-    """Make a record this host's own, under a new ballot."""
+    """Make a new ballot the owner of a record, and reset the state of the old owner.
+
+    Args:
+        record: the request's record.
+        ballot: the new ownership.
+        keep_generation: whether the new owner continues the same token sequence.
+    """
     record.ballot = ballot
     record.renewals = 0
     record.claimed = False
--- a/dewridge/requests/claiming.py
+++ b/dewridge/requests/claiming.py
@@ -1,4 +1,4 @@
-"""Claims as an owner asks for them: through the bucket's committer, or itself."""
+"""Acquires and releases claims, through the bucket's committer or directly."""
 
 import trio
 from loguru import logger as log
@@ -15,17 +15,17 @@
 from dewridge.requests.shared import Shared
 from dewridge.sentinels import Failure
 
-RELEASE_TRIES = 20
-RELEASE_PAUSE = 0.2
-"""Seconds between them; with the timeout of each they outlast an outage of the
-key-value service of 10 s."""
-COMMITTER_SHARE = 0.5
-"""Part of the claim's time that the bucket's committer has before the owner writes
-the claim itself; a committer that is paused must not cost the whole of it."""
+MAX_RELEASE_ATTEMPTS = 20
+RELEASE_RETRY_DELAY = 0.2
+"""Seconds between attempts to release a claim. Together with the timeout of each,
+the attempts outlast a key-value service outage of 10 s."""
+COMMITTER_TIMEOUT_SHARE = 0.5
+"""Fraction of the claim timeout to wait for the bucket's committer. After that the
+owner writes the claim itself, so a paused committer can't use up the whole timeout."""
 
 
 class Claimer:
-    """Acquires and releases claims for this host's calls."""
+    """Acquires and releases the claims of this host's non-idempotent requests."""
 
     def __init__(self, shared: Shared, committer: Committer) -> None:
         self._shared = shared
@@ -33,92 +33,99 @@
         self._released: dict[RequestId, tuple[Ballot, float]] = {}
 
     def is_released(self, record: Record) -> bool:
-        """Whether this process gave up the claim of a record's ownership.
+        """Whether this process released the claim under the record's ballot.
 
-        A grant that was on its way when the claim was released says nothing
-        any more: another host may hold the claim by now and send the call too.
+        A grant that arrives after the release is void: another host may hold the
+        claim by now and send the request too.
         """
         released = self._released.get(record.request)
         return released is not None and released[0] == record.ballot
 
     def expire_releases(self) -> None:
-        """Forget releases of keys that are refused as too old."""
+        """Delete the releases of request keys that are rejected as too old."""
         limit = self._shared.clock() - 2 * self._shared.settings.retention
         for request, (_, at) in list(self._released.items()):
             if at < limit:
                 del self._released[request]
 
     def is_past_retention(self, request: RequestId) -> bool:
-        """Whether a claim may have been forgotten with its window.
+        """Whether the request's claim may have been deleted with its time window.
 
-        A process that was paused between a claim and its dispatch could wake
-        after the window was deleted and another host had run the call.
+        A process that is paused between claim and dispatch may resume after the
+        window was deleted and another host has run the request.
         """
         settings = self._shared.settings
-        last = read_request_time(request) + settings.retention + settings.clock_skew
-        return self._shared.clock() > last
+        expires = read_request_time(request) + settings.retention + settings.clock_skew
+        return self._shared.clock() > expires
 
     async def acquire(self, record: Record, deadline: float) -> CommitResult:
-        """Claim a call until a time, or say why not."""
+        """Acquire the claim of a request, retrying until the deadline.
+
+        Returns:
+            The grant or denial, or a Failure if no claim could be recorded.
+        """
         intent = ClaimIntent(record.request, record.ballot)
         started = self._shared.clock()
-        verdict: CommitResult = make_unavailable("no time is left")
+        result: CommitResult = make_unavailable("no time is left")
         while self._shared.clock() < deadline:
             if self.is_past_retention(record.request) or self.is_released(record):
                 return make_unavailable("the claim can't be used any more")
-            left = deadline - self._shared.clock()
-            verdict = await self._ask(intent, left)
-            if not isinstance(verdict, Failure):
+            remaining = deadline - self._shared.clock()
+            result = await self._commit_intent(intent, remaining)
+            if not isinstance(result, Failure):
                 break
-            await trio.sleep(min(0.05, max(0.0, left)))
+            await trio.sleep(min(0.05, max(0.0, remaining)))
         if self.is_past_retention(record.request) or self.is_released(record):
             return make_unavailable("the claim can't be used any more")
-        name = "granted" if isinstance(verdict, Grant) and verdict.granted else "not"
-        self._shared.metrics.add("claims", result=name)
+        label = "granted" if isinstance(result, Grant) and result.granted else "not"
+        self._shared.metrics.add("claims", result=label)
         self._shared.metrics.observe("claim_seconds", self._shared.clock() - started)
-        return verdict
+        return result
 
     def start_release(self, record: Record) -> None:
-        """Promise to send nothing under a record's ownership, and release its claim.
+        """Stop using the claim of a record's ballot, and release it in the background.
 
-        The promise holds at once, so the call can be handed off without waiting
-        for the key-value service: a reclaimed host may have less time than that.
+        From now on this process sends nothing under that ballot. The request can
+        thus be handed off without waiting for the key-value service, for which a
+        reclaimed host may not have enough time.
         """
         request, ballot = record.request, record.ballot
         self._released[request] = ballot, self._shared.clock()
         self._shared.jobs.start(self.write_release, request, ballot)
 
     async def write_release(self, request: RequestId, ballot: Ballot) -> None:
-        """Mark an ownership that sends nothing as given up, whether it claimed or not.
+        """Mark a ballot as released in its bucket, whether it holds the claim or not.
 
-        Only for an ownership whose own host has promised that it sends nothing.
+        Only for a ballot under which its host is known to send nothing any more.
         """
         intent = ClaimIntent(request, ballot, release=True)
-        for _ in range(RELEASE_TRIES):
-            verdict = await self._ask(intent, self._shared.settings.claim_timeout)
-            if not isinstance(verdict, Failure):
+        for _ in range(MAX_RELEASE_ATTEMPTS):
+            result = await self._commit_intent(
+                intent, self._shared.settings.claim_timeout
+            )
+            if not isinstance(result, Failure):
                 self._shared.metrics.add("claims", result="released")
                 return
-            await trio.sleep(RELEASE_PAUSE)
+            await trio.sleep(RELEASE_RETRY_DELAY)
         log.warning("request {}: its claim could not be given up", request)
 
-    async def _ask(self, intent: ClaimIntent, timeout: float) -> CommitResult:
-        """Ask the committer of the bucket; commit here if it does not answer.
+    async def _commit_intent(self, intent: ClaimIntent, timeout: float) -> CommitResult:
+        """Have the bucket's committer write an intent, or write it here on no reply.
 
-        Both may write the same intent: it names its ownership, and applying it
-        twice is the same as once.
+        Both may write the same intent: it carries its ballot, and applying it is
+        idempotent.
         """
         settings = self._shared.settings
         bucket = find_bucket(
             intent.request, settings.claim_window, settings.claim_buckets
         )
         members = [m for m in self._shared.membership.members() if m.takes_work]
-        ranked = rank_members(f"claims/{bucket}", members)
-        if ranked and ranked[0].host != self._shared.me.host:
+        candidates = rank_members(f"claims/{bucket}", members)
+        if candidates and candidates[0].host != self._shared.me.host:
             message = wire.Claim(bucket=bucket, requests=[encode_intent(intent)])
-            limit = min(timeout, settings.claim_timeout * COMMITTER_SHARE)
+            limit = min(timeout, settings.claim_timeout * COMMITTER_TIMEOUT_SHARE)
             with trio.move_on_after(limit):
-                reply = await self._shared.call(ranked[0].host, message, limit)
+                reply = await self._shared.call(candidates[0].host, message, limit)
                 if not isinstance(reply, Failure):
                     return decode_result(reply.results[0])
             self._shared.metrics.add("claims_committed_by_owner")
@@ -127,18 +134,18 @@
         )
 
     async def serve(self, peer: PeerIdentity, message: wire.Claim) -> wire.ClaimReply:
-        """Commit the claims that another host asks for."""
+        """Commit the claim intents that another host sent."""
         results: dict[int, wire.ClaimResult] = {}
-        limit = self._shared.settings.claim_timeout * COMMITTER_SHARE
+        limit = self._shared.settings.claim_timeout * COMMITTER_TIMEOUT_SHARE
 
-        async def commit(place: int, intent: ClaimIntent) -> None:
-            verdict = await self._committer.commit(intent, limit)
-            results[place] = encode_result(verdict)
+        async def commit(index: int, intent: ClaimIntent) -> None:
+            result = await self._committer.commit(intent, limit)
+            results[index] = encode_result(result)
 
         async with trio.open_nursery() as nursery:
-            for place, request in enumerate(message.requests):
-                nursery.start_soon(commit, place, decode_intent(request))
-        return wire.ClaimReply(results=[results[n] for n in sorted(results)])
+            for index, request in enumerate(message.requests):
+                nursery.start_soon(commit, index, decode_intent(request))
+        return wire.ClaimReply(results=[results[i] for i in sorted(results)])
 
 
 def make_unavailable(reason: str) -> Failure:
@@ -165,18 +172,18 @@
     return ClaimIntent(RequestId(message.request), ballot, message.release)
 
 
-def encode_result(verdict: CommitResult) -> wire.ClaimResult:
-    """Return a verdict as a wire structure."""
-    if isinstance(verdict, Failure):
+def encode_result(result: CommitResult) -> wire.ClaimResult:
+    """Return a commit result as a wire structure."""
+    if isinstance(result, Failure):
         return wire.ClaimResult(
-            code=int(verdict.code),
+            code=int(result.code),
             holder="",
             holder_incarnation=0,
-            reason=verdict.reason,
+            reason=result.reason,
         )
-    holder = verdict.holder
+    holder = result.holder
     return wire.ClaimResult(
-        code=int(ResultCode.OK if verdict.granted else ResultCode.PEER_REFUSED),
+        code=int(ResultCode.OK if result.granted else ResultCode.PEER_REFUSED),
         holder=holder.host if holder else "",
         holder_incarnation=holder.incarnation if holder else 0,
         reason=str(holder.epoch) if holder else "",
@@ -184,7 +191,7 @@
 
 
 def decode_result(message: wire.ClaimResult) -> CommitResult:
-    """Return the verdict of a wire structure."""
+    """Return the commit result of a wire structure."""
     if message.code == ResultCode.OK:
         return Grant(granted=True)
     if message.code != ResultCode.PEER_REFUSED:
--- a/dewridge/requests/claims.py
+++ b/dewridge/requests/claims.py
@@ -1,8 +1,8 @@
-"""Claims of calls that may not be repeated, as values of buckets. Pure.
+"""Claims of non-idempotent requests, stored in buckets of a key-value service.
 
-The compare-and-swap of a bucket's value decides which host, and which start of
-it, may send a call to a backend server. Nothing else gives that right: no
-lease, no clock, no view of the membership.
+A compare-and-swap on a bucket's value decides which host incarnation may send a
+request to a backend server. No lease, clock or membership view grants that right.
+The functions here do no I/O.
 """
 
 from collections.abc import Sequence
@@ -16,19 +16,19 @@
 from dewridge.requests.records import Ballot
 
 MAX_BUCKET_BYTES = 900_000
-"""Bytes of a bucket's value; the service holds a megabyte, and a write that it
-refuses for its size would stop every claim of the bucket."""
+"""Size limit of a bucket's value. The key-value service accepts a megabyte; a write
+that it rejects for its size would block every claim of the bucket."""
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True):
-    """A claim as it stands in a bucket.
+class StoredClaim(msgspec.Struct, frozen=True, array_like=True):
+    """The claim of a request as stored in a bucket.
 
     Attributes:
-        released: the holder gave it up without having sent the call. It stays
-            as a mark, so that a delayed write of the same claim is not granted.
-        voided: other ownerships that gave the call up, as marks likewise. Without
-            them a claim that was on its way when its owner gave up would land
-            later and stand for good, held by nobody.
+        released: the holder released the claim without having sent the request. The
+            entry remains, so that a delayed write of the same claim is not granted.
+        voided: other ballots that were released. Without them, a claim still in
+            transit at its release would be written later and remain forever,
+            although no host uses it.
     """
 
     host: str
@@ -39,19 +39,19 @@
 
     @property
     def ballot(self) -> Ballot:
-        """Return the ownership that holds the claim."""
+        """Return the ballot that holds the claim."""
         return Ballot(self.epoch, HostId(self.host), Incarnation(self.incarnation))
 
 
 class BucketValue(msgspec.Struct, frozen=True):
-    """A bucket's value: the claims by request."""
+    """The value of a bucket: claims by request id."""
 
-    claims: dict[str, Held] = {}
+    claims: dict[str, StoredClaim] = {}
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimIntent:
-    """An ownership that wants a claim, or gives it up."""
+    """A ballot's intent to acquire or to release the claim of a request."""
 
     request: RequestId
     ballot: Ballot
@@ -60,28 +60,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Whether an intent is fulfilled, and who holds the claim if not."""
+    """Whether an intent was granted, and who holds the claim if not."""
 
     granted: bool
     holder: Ballot | None = None
 
 
 def find_window(request: RequestId, window: float) -> int:
-    """Return the window of time that a request's key falls in."""
+    """Return the number of the time window in which a request's key was created."""
     return int(read_request_time(request) / window)
 
 
 def find_bucket(request: RequestId, window: float, buckets: int) -> str:
-    """Name the bucket of a request, `window/bucket`."""
-    place = xxhash.xxh3_64_intdigest(request.encode()) % buckets
-    return f"{find_window(request, window)}/{place}"
+    """Return the name of a request's bucket, `window/bucket`."""
+    index = xxhash.xxh3_64_intdigest(request.encode()) % buckets
+    return f"{find_window(request, window)}/{index}"
 
 
 def decode_bucket(value: bytes) -> BucketValue:
-    """Return a bucket's value; empty bytes are an empty bucket.
+    """Decode a bucket's value; empty bytes are an empty bucket.
 
     Raises:
-        msgspec.DecodeError: the value is not one of ours.
+        msgspec.DecodeError: the bytes are not the value of a bucket.
     """
     if not value:
         return BucketValue()
@@ -89,65 +89,65 @@
 
 
 def encode_bucket(bucket: BucketValue) -> bytes:
-    """Return the bytes of a bucket's value."""
+    """Encode a bucket's value."""
     return msgspec.msgpack.encode(bucket)
 
 
 def apply_intents(
     bucket: BucketValue, intents: Sequence[ClaimIntent]
 ) -> tuple[BucketValue, list[Grant]]:
-    """Apply intents in their order; the first to ask for a request has it.
+    """Apply intents in order; the first one to claim a request is granted it.
 
-    Applying the same intents to a value that holds them already changes
-    nothing, so a write whose answer was lost is settled by reading back.
+    Intents that the value already contains change nothing, so the outcome of a
+    write whose reply was lost is found by reading the value back.
     """
     claims = dict(bucket.claims)
     grants = [_apply(claims, intent) for intent in intents]
     return BucketValue(claims), grants
 
 
-def _apply(claims: dict[str, Held], intent: ClaimIntent) -> Grant:
-    held = claims.get(intent.request)
+def _apply(claims: dict[str, StoredClaim], intent: ClaimIntent) -> Grant:
+    stored = claims.get(intent.request)
     if intent.release:
-        claims[intent.request] = _release(held, intent.ballot)
+        claims[intent.request] = _release(stored, intent.ballot)
         return Grant(granted=True)
-    if held is None:
-        claims[intent.request] = _hold(intent.ballot)
+    if stored is None:
+        claims[intent.request] = _make_claim(intent.ballot)
         return Grant(granted=True)
-    if held.ballot == intent.ballot and not held.released:
+    if stored.ballot == intent.ballot and not stored.released:
         return Grant(granted=True)
-    if held.released and not _is_void(held, intent.ballot):
-        voided = (*held.voided, _mark(held.ballot))
-        claims[intent.request] = _hold(intent.ballot, voided)
+    if stored.released and not _has_released(stored, intent.ballot):
+        voided = (*stored.voided, _to_tuple(stored.ballot))
+        claims[intent.request] = _make_claim(intent.ballot, voided)
         return Grant(granted=True)
-    return Grant(granted=False, holder=held.ballot)
+    return Grant(granted=False, holder=stored.ballot)
 
 
-def _release(held: Held | None, ballot: Ballot) -> Held:
-    """Return what stands after an ownership gave a call up."""
-    if held is None:
-        return _hold(ballot, released=True)
-    if held.ballot == ballot:
-        return _hold(ballot, held.voided, released=True)
-    if _is_void(held, ballot):
-        return held
-    voided = (*held.voided, _mark(ballot))
-    return _hold(held.ballot, voided, held.released)
+def _release(stored: StoredClaim | None, ballot: Ballot) -> StoredClaim:
+    """Return the stored claim after a ballot was released."""
+    if stored is None:
+        return _make_claim(ballot, released=True)
+    if stored.ballot == ballot:
+        return _make_claim(ballot, stored.voided, released=True)
+    if _has_released(stored, ballot):
+        return stored
+    voided = (*stored.voided, _to_tuple(ballot))
+    return _make_claim(stored.ballot, voided, stored.released)
 
 
-def _is_void(held: Held, ballot: Ballot) -> bool:
-    """Whether an ownership gave the call up before."""
-    given_up = held.released and held.ballot == ballot
-    return given_up or _mark(ballot) in held.voided
+def _has_released(stored: StoredClaim, ballot: Ballot) -> bool:
+    """Whether a ballot was released before."""
+    is_released = stored.released and stored.ballot == ballot
+    return is_released or _to_tuple(ballot) in stored.voided
 
 
-def _hold(
+def _make_claim(
     ballot: Ballot,
     voided: tuple[tuple[str, int, int], ...] = (),
     released: bool = False,
-) -> Held:
-    return Held(ballot.host, ballot.incarnation, ballot.epoch, released, voided)
+) -> StoredClaim:
+    return StoredClaim(ballot.host, ballot.incarnation, ballot.epoch, released, voided)
 
 
-def _mark(ballot: Ballot) -> tuple[str, int, int]:
+def _to_tuple(ballot: Ballot) -> tuple[str, int, int]:
     return ballot.host, ballot.incarnation, ballot.epoch
--- a/dewridge/requests/committer.py
+++ b/dewridge/requests/committer.py
@@ -1,4 +1,4 @@
-"""Commits claims: many calls' intents in one compare-and-swap of their bucket."""
+"""Commits claims: batches the intents of a bucket into one compare-and-swap."""
 
 from dataclasses import dataclass, field
 
@@ -23,23 +23,25 @@
 from dewridge.sentinels import Failure
 from dewridge.supervision.mailbox import Promise
 
-RETRY_PAUSE = 0.05
-"""Seconds between tries while the service is down; longer ones would add to the
-outage that callers see, shorter ones would meet its return with a burst."""
-LAST_RETRY_PAUSE = 0.5
-CLAIM_SHARE = 0.4
-"""Part of the deployment's writes that claims may use; operators' changes and the
-clean-up of windows need the rest. At 200 writes a second that is 80 for claims,
-and with more calls than that each write carries several."""
-BURST = 5.0
-"""Writes that may follow each other at once after a quiet time."""
+MIN_RETRY_DELAY = 0.05
+"""Seconds before the first retry while the key-value service is down. A longer delay
+would extend the outage for callers, a shorter one would cause a burst of writes when
+the service returns."""
+MAX_RETRY_DELAY = 0.5
+"""Seconds at which the exponential backoff of retries stops growing."""
+CLAIM_WRITE_SHARE = 0.4
+"""Fraction of the deployment's write rate that claims may use; operators' changes and
+the deletion of expired windows need the rest. Of 200 writes per second, claims get 80;
+at higher request rates each write carries several intents."""
+MAX_WRITE_BURST = 5.0
+"""Writes that may follow each other without delay after an idle period."""
 
 CommitResult = Grant | Failure
 
 
 @dataclass
-class Waiting:
-    """A intent that waits for the next write of its bucket."""
+class PendingIntent:
+    """An intent that waits for the next write of its bucket."""
 
     intent: ClaimIntent
     expires: float
@@ -47,22 +49,28 @@
 
 
 class WriteBudget:
-    """Spaces this host's writes so that the deployment keeps to its rate."""
+    """Limits this host's writes to its share of the deployment's write rate."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
         self._free_at = 0.0
 
-    async def wait(self, sharers: int) -> None:
-        """Wait for the next write's turn, with `sharers` hosts writing."""
+    async def wait(self, writers: int) -> None:
+        """Wait until the next write is allowed; `writers` hosts share the rate."""
         now = trio.current_time()
-        step = max(1, sharers) / self._rate
-        self._free_at = max(self._free_at, now - BURST * step) + step
+        interval = max(1, writers) / self._rate
+        self._free_at = max(self._free_at, now - MAX_WRITE_BURST * interval) + interval
         await trio.sleep(max(0.0, self._free_at - now))
 
 
 class Committer:
-    """Writes the buckets that fall to this host, and others' when asked."""
+    """Writes claims to the buckets that this host is responsible for.
+
+    It also writes other buckets, when their committer does not reply.
+
+    Attributes:
+        is_down: whether the last access to the key-value service failed.
+    """
 
     def __init__(
         self,
@@ -75,83 +83,87 @@
         self._shared = shared
         self._key_value = key_value
         self._prefix = f"{prefix}claims/"
-        self._budget = WriteBudget(writes_per_second * CLAIM_SHARE)
-        self._batches: dict[str, list[Waiting]] = {}
+        self._budget = WriteBudget(writes_per_second * CLAIM_WRITE_SHARE)
+        self._batches: dict[str, list[PendingIntent]] = {}
         self._entries: dict[str, Entry] = {}
         self._busy: set[str] = set()
         self.is_down = False
 
     def find_key(self, bucket: str) -> str:
-        """Return the key of a bucket's value."""
+        """Return the key under which a bucket's value is stored."""
         return self._prefix + bucket
 
     async def commit(self, intent: ClaimIntent, timeout: float) -> CommitResult:
-        """Have an intent written with the next write of its bucket."""
+        """Add an intent to the next write of its bucket, and wait for the result."""
         settings = self._shared.settings
         bucket = find_bucket(
             intent.request, settings.claim_window, settings.claim_buckets
         )
-        waiting = Waiting(intent, trio.current_time() + timeout)
-        self._batches.setdefault(bucket, []).append(waiting)
+        pending = PendingIntent(intent, trio.current_time() + timeout)
+        self._batches.setdefault(bucket, []).append(pending)
         if bucket not in self._busy:
             self._busy.add(bucket)
-            self._shared.jobs.start(self._work, bucket)
-        late = Failure(
+            self._shared.jobs.start(self._write_batches, bucket)
+        timed_out = Failure(
             ResultCode.CLAIM_UNAVAILABLE, "the claim was not recorded in time", 1.0
         )
-        return await waiting.promise.wait(timeout, late)
+        return await pending.promise.wait(timeout, timed_out)
 
-    async def _work(self, bucket: str) -> None:
+    async def _write_batches(self, bucket: str) -> None:
         try:
             while bucket in self._batches:
                 await trio.sleep(self._shared.settings.claim_batch)
                 batch = self._batches.pop(bucket)
-                await self._write(bucket, batch)
+                await self._write_batch(bucket, batch)
         finally:
             self._busy.discard(bucket)
 
-    async def _write(self, bucket: str, batch: list[Waiting]) -> None:
+    async def _write_batch(self, bucket: str, batch: list[PendingIntent]) -> None:
         limit = trio.current_time() + self._shared.settings.claim_timeout
-        pause = RETRY_PAUSE
+        delay = MIN_RETRY_DELAY
         while trio.current_time() < limit:
-            batch = [waiting for waiting in batch if self._is_wanted(waiting)]
+            batch = [pending for pending in batch if self._is_current(pending)]
             if not batch:
                 return
-            verdict = await self._try(bucket, [waiting.intent for waiting in batch])
-            if verdict is not None:
-                fulfil(batch, verdict)
+            result = await self._try_write(bucket, [p.intent for p in batch])
+            if result is not None:
+                resolve_batch(batch, result)
                 return
             if self.is_down:
-                await trio.sleep(pause)
-                pause = min(LAST_RETRY_PAUSE, pause * 2)
-        down = "the key-value service is down"
-        fulfil(batch, Failure(ResultCode.CLAIM_UNAVAILABLE, down, 1.0))
-
-    def _is_wanted(self, waiting: Waiting) -> bool:
-        """Whether anybody still waits for an intent.
-
-        During an outage intents of hosts that die pile up here. Written after
-        it, they would give calls to holders that are gone: callers would hear
-        "unknown" of calls that nobody ever sent.
+                await trio.sleep(delay)
+                delay = min(MAX_RETRY_DELAY, delay * 2)
+        reason = "the key-value service is down"
+        resolve_batch(batch, Failure(ResultCode.CLAIM_UNAVAILABLE, reason, 1.0))
+
+    def _is_current(self, pending: PendingIntent) -> bool:
+        """Whether an intent has not expired and its host is still a live member.
+
+        Releases are kept regardless of their host. Claims of crashed hosts that
+        accumulate during an outage must not be written after it: the claims would
+        belong to departed holders, and callers would be sent "unknown" for requests
+        that no host ever sent.
         """
-        ballot = waiting.intent.ballot
+        ballot = pending.intent.ballot
         member = self._shared.membership.find(ballot.host)
         is_live = (
             member is not None
             and member.incarnation == ballot.incarnation
             and member.state in (MemberState.ALIVE, MemberState.LEAVING)
         )
-        on_time = trio.current_time() < waiting.expires
-        return on_time and (is_live or waiting.intent.release)
+        is_on_time = trio.current_time() < pending.expires
+        return is_on_time and (is_live or pending.intent.release)
 
-    async def _try(
+    async def _try_write(
         self, bucket: str, intents: list[ClaimIntent]
     ) -> list[Grant] | Failure | None:
-        """Try one write; None to try again.
+        """Attempt one write of a bucket.
 
-        A write whose answer was lost is settled here as well: the next try
-        reads the value, finds the claims in it, and changes nothing. A delayed
-        write that lands later meets a changed revision.
+        This also resolves a write whose reply was lost: the next attempt reads the
+        value, finds the claims in it, and changes nothing. A delayed write that
+        arrives later fails, because the revision has changed.
+
+        Returns:
+            The grants, a permanent Failure, or None if the write must be retried.
         """
         entry = await self._read(bucket)
         if entry is None:
@@ -171,9 +183,12 @@
         return await self._swap(bucket, encoded, entry.revision, grants)
 
     def _confirm(self, bucket: str, grants: list[Grant]) -> list[Grant] | None:
-        """Trust a value only if it was read just now."""
-        fresh = self._entries.pop(bucket, None) is None
-        return grants if fresh else None
+        """Return the grants if the value was read just now, None if it was cached.
+
+        A cached value is dropped, so that the next attempt reads a current one.
+        """
+        is_fresh = self._entries.pop(bucket, None) is None
+        return grants if is_fresh else None
 
     async def _read(self, bucket: str) -> Entry | None:
         cached = self._entries.get(bucket)
@@ -182,7 +197,7 @@
         await self._budget.wait(self._count_writers())
         self._shared.metrics.add("key_value_calls", kind="claim_read")
         entry = await self._key_value.get(self.find_key(bucket))
-        self._note_reachable(not isinstance(entry, Failure))
+        self._record_reachability(not isinstance(entry, Failure))
         return None if isinstance(entry, Failure) else entry
 
     async def _swap(
@@ -195,11 +210,11 @@
             self.find_key(bucket), value, revision
         )
         if isinstance(written, Failure):
-            conflict = written.code is ResultCode.KEY_VALUE_CONFLICT
-            self._note_reachable(conflict)
+            is_conflict = written.code is ResultCode.KEY_VALUE_CONFLICT
+            self._record_reachability(is_conflict)
             self._shared.metrics.add("claim_writes_failed", code=written.code.name)
             return None
-        self._note_reachable(True)
+        self._record_reachability(True)
         self._entries[bucket] = Entry(written.key, value, written.revision)
         return grants
 
@@ -207,35 +222,35 @@
         members = sum(1 for m in self._shared.membership.members() if m.takes_work)
         return min(members, self._shared.settings.claim_buckets)
 
-    def _note_reachable(self, reachable: bool) -> None:
-        if reachable == self.is_down:
-            self.is_down = not reachable
+    def _record_reachability(self, is_reachable: bool) -> None:
+        if is_reachable == self.is_down:
+            self.is_down = not is_reachable
             state = "down" if self.is_down else "reachable"
             log.info("key-value service is {} for claims", state)
 
     async def delete_expired_windows(self) -> None:
-        """Delete windows whose keys are refused everywhere as too old.
+        """Delete windows whose request keys every host rejects as too old.
 
-        A window goes after the retention, the clocks' skew twice over and the
-        longest wait for a claim, since `Claimer` grants nothing that late.
+        A window is deleted after the retention time, four times the clock skew and
+        the claim timeout, because `Claimer` acquires no claim that late.
         """
         settings = self._shared.settings
         while True:
             await trio.sleep(settings.claim_window)
             now = self._shared.clock()
-            keep = settings.retention + 4 * settings.clock_skew
-            keep += settings.claim_timeout
-            newest = int((now - keep) / settings.claim_window) - 1
+            max_age = settings.retention + 4 * settings.clock_skew
+            max_age += settings.claim_timeout
+            newest = int((now - max_age) / settings.claim_window) - 1
             for window in (newest, newest - 1):
-                for place in range(settings.claim_buckets):
-                    await self._delete(f"{window}/{place}")
+                for index in range(settings.claim_buckets):
+                    await self._delete_bucket(f"{window}/{index}")
             self._entries = {
                 name: entry
                 for name, entry in self._entries.items()
                 if int(name.split("/")[0]) > newest
             }
 
-    async def _delete(self, bucket: str) -> None:
+    async def _delete_bucket(self, bucket: str) -> None:
         if not has_duty(f"claims/{bucket}", self._shared.membership):
             return
         key = self.find_key(bucket)
@@ -248,12 +263,12 @@
 
     def describe(self) -> dict[str, object]:
         """Return the state for a dump."""
-        waiting = {name: len(batch) for name, batch in self._batches.items()}
-        return {"is_down": self.is_down, "waiting": waiting}
+        pending = {name: len(batch) for name, batch in self._batches.items()}
+        return {"is_down": self.is_down, "waiting": pending}
 
 
-def fulfil(batch: list[Waiting], verdict: list[Grant] | Failure) -> None:
-    """Give each intent of a batch its verdict."""
-    for place, waiting in enumerate(batch):
-        own = verdict if isinstance(verdict, Failure) else verdict[place]
-        waiting.promise.fulfil(own)
+def resolve_batch(batch: list[PendingIntent], results: list[Grant] | Failure) -> None:
+    """Resolve the promise of each intent of a batch with its result."""
+    for index, pending in enumerate(batch):
+        result = results if isinstance(results, Failure) else results[index]
+        pending.promise.fulfil(result)
--- a/dewridge/requests/copying.py
+++ b/dewridge/requests/copying.py
@@ -1,4 +1,4 @@
-"""Offering a new record to its replicas, as the condition of its acceptance."""
+"""Offering a new record to its replicas before the request is accepted."""
 
 from dataclasses import dataclass, field, replace
 from typing import Any
@@ -14,17 +14,22 @@
 from dewridge.requests.shared import Shared
 from dewridge.sentinels import Failure
 
-ACCEPT_GRACE = 0.05
-"""Seconds that acceptance waits for the other replicas after the first one's
-word. A silent replica must not hold up every caller; a healthy one answers in a
-few milliseconds."""
+EXTRA_REPLY_WAIT = 0.05
+"""Seconds that acceptance waits for the other replicas after the first reply. A silent
+replica must not delay every caller; a healthy one replies in a few milliseconds."""
 
 
 @dataclass
 class CopyRound:
-    """Replies of the replicas to one offer of a record."""
+    """The replies of the replicas to one offer of a record.
 
-    waiting: set[HostId]
+    Attributes:
+        pending: replicas that have not replied yet.
+        supersedes: epoch up to which live records of other owners yield to it.
+        conflicting: records on replicas that prevent the offered one from being stored.
+    """
+
+    pending: set[HostId]
     supersedes: int = 0
     stored: set[HostId] = field(default_factory=set)
     timed_out: set[HostId] = field(default_factory=set)
@@ -33,21 +38,21 @@
 
 
 async def offer_copies(shared: Shared, answer: Answer, supersedes: int) -> CopyRound:
-    """Offer a record to its replicas until enough of them have answered."""
+    """Offer a record to its replicas and wait until enough of them have replied."""
     copies = CopyRound(set(answer.record.replicas), supersedes)
     for host in answer.record.replicas:
-        shared.jobs.start(_copy_to, shared, answer, host, copies)
+        shared.jobs.start(_offer_copy, shared, answer, host, copies)
     with trio.move_on_after(shared.settings.replica_timeout):
-        while copies.waiting and not copies.stored and not copies.conflicting:
+        while copies.pending and not copies.stored and not copies.conflicting:
             await copies.changed.wait()
-    with trio.move_on_after(ACCEPT_GRACE):
-        while copies.waiting and not copies.conflicting:
+    with trio.move_on_after(EXTRA_REPLY_WAIT):
+        while copies.pending and not copies.conflicting:
             await copies.changed.wait()
-    copies.timed_out |= copies.waiting
+    copies.timed_out |= copies.pending
     return copies
 
 
-async def _copy_to(
+async def _offer_copy(
     shared: Shared, answer: Answer, host: HostId, copies: CopyRound
 ) -> None:
     record = answer.record
@@ -55,7 +60,7 @@
     answer.holders.add(host)
     message = make_copy(record, copies.supersedes)
     reply = await shared.call(host, message)
-    copies.waiting.discard(host)
+    copies.pending.discard(host)
     if isinstance(reply, Failure):
         if reply.code is ResultCode.PEER_UNREACHABLE:
             answer.holders.discard(host)
@@ -67,17 +72,17 @@
             answer.acknowledge(host, record.generation, 0, ended=False)
     else:
         answer.holders.discard(host)
-        note_standing(record, reply, copies)
+        record_conflict(record, reply, copies)
     copies.changed.set()
     copies.changed = trio.Event()
 
 
-def note_standing(record: Record, reply: Any, copies: CopyRound) -> None:
-    """Note what a replica says stands against a record."""
+def record_conflict(record: Record, reply: Any, copies: CopyRound) -> None:
+    """Store the record or the end because of which a replica rejected a record."""
     if reply.known is not None:
         known = decode_record(reply.known)
         known.ended = decode_end(reply.ended) if reply.ended is not None else None
         copies.conflicting.append(known)
     elif reply.ended is not None:
-        closed = decode_end(reply.ended)
-        copies.conflicting.append(replace(record, ended=closed))
+        ended = decode_end(reply.ended)
+        copies.conflicting.append(replace(record, ended=ended))
--- a/dewridge/requests/ending.py
+++ b/dewridge/requests/ending.py
@@ -1,4 +1,4 @@
-"""Ends requests on their owner and sees that the end is kept and told."""
+"""Completes and fails requests on their owner, and replicates their ends."""
 
 from collections.abc import Callable
 
@@ -18,15 +18,16 @@
 from dewridge.requests.usage import UsageLedger
 from dewridge.sentinels import Failure
 
-LATE_TRIES = 20
-LATE_PAUSE = 0.5
+MAX_LATE_DELIVERY_ATTEMPTS = 20
+LATE_DELIVERY_RETRY_DELAY = 0.5
+"""Seconds between two attempts to deliver a late answer."""
 
 
 class RequestFinisher:
-    """Gives requests of this host their final word.
+    """Ends the requests that this host owns.
 
     Attributes:
-        on_not_run: told of a record that ended without ever being sent.
+        on_not_run: called with a record that ended with the outcome "not run".
     """
 
     def __init__(
@@ -36,12 +37,12 @@
         self._replicator = replicator
         self._usage = usage
         self.on_not_run: Callable[[Record], None] = lambda _: None
-        replicator.on_superseded = self._bring_answer
+        replicator.on_superseded = self._start_late_delivery
 
     def complete(
         self, answer: Answer, body: str, backend_server: str, failure_domain: str
     ) -> None:
-        """End a request whose whole answer has come."""
+        """End a request whose complete answer was received."""
         record = answer.record
         summary = summarize(record, backend_server, failure_domain)
         event = EndedEvent(ResultCode.OK, body=body, summary=summary)
@@ -54,7 +55,10 @@
     def fail(
         self, answer: Answer, failure: Failure, abandoned: Abandoned | None = None
     ) -> None:
-        """End a request without a whole answer, at once and in true words."""
+        """End a request without a complete answer.
+
+        The result code depends on whether the request may have run.
+        """
         if abandoned is not None and failure.retry_after is None:
             failure = Failure(
                 failure.code, failure.reason, abandoned.failure.retry_after
@@ -62,7 +66,7 @@
         self._end(answer, choose_end(answer.record, failure))
 
     def adopt_end(self, answer: Answer, event: EndedEvent) -> None:
-        """End a request with the answer that the holder of its claim had."""
+        """End a request with the end that the holder of its claim recorded."""
         self._end(answer, event)
 
     def _end(self, answer: Answer, event: EndedEvent) -> None:
@@ -88,30 +92,30 @@
             self.on_not_run(record)
         if answer.lost:
             record.end(event, self._shared.clock())
-            self._bring_answer(record)
+            self._start_late_delivery(record)
             return
         self._shared.table.end(record, event, self._shared.clock())
         self._shared.jobs.start(self._replicator.settle_end, answer)
 
-    def _bring_answer(self, record: Record) -> None:
+    def _start_late_delivery(self, record: Record) -> None:
         if not record.idempotent and record.outcome is Outcome.DONE:
-            self._shared.jobs.start(self.deliver_late, record)
+            self._shared.jobs.start(self.deliver_late_answer, record)
 
-    async def deliver_late(self, record: Record) -> None:
-        """Bring the whole answer of a call whose callers heard "unknown".
+    async def deliver_late_answer(self, record: Record) -> None:
+        """Replicate the complete answer of a request that was reported as "unknown".
 
-        This host was taken for dead while it waited for the backend server.
-        It held the claim, so its answer is the only one there can be; callers
-        that ask again by the key get it in place of "unknown".
+        This host was considered dead while it waited for the backend server. It
+        held the claim, so no other answer can exist; callers that retry with the
+        request's key receive it instead of "unknown".
         """
         hosts = set(record.replicas)
-        home = find_home(record.request, self._shared.membership.members())
-        hosts |= {m.host for m in home[: self._shared.reach]}
+        candidates = find_home(record.request, self._shared.membership.members())
+        hosts |= {m.host for m in candidates[: self._shared.reach]}
         self._shared.metrics.add("requests_delivered_late")
         self._shared.table.store(record, self._shared.clock())
         message = make_copy(record)
         reached = {self._shared.me.host}
-        for _ in range(LATE_TRIES):
+        for _ in range(MAX_LATE_DELIVERY_ATTEMPTS):
             for host in hosts - reached:
                 reply = await self._shared.call(host, message)
                 if isinstance(reply, Failure):
@@ -121,4 +125,4 @@
                     hosts |= {HostId(name) for name in reply.known.replicas}
             if hosts <= reached:
                 return
-            await trio.sleep(LATE_PAUSE)
+            await trio.sleep(LATE_DELIVERY_RETRY_DELAY)
