--- a/dewridge/requests/answers.py
+++ b/dewridge/requests/answers.py
@@ -200,7 +200,7 @@
 
 
 def make_complete_answer(record: Record) -> Answer:
-    """Return a fully visible answer for a host that holds a copy but is not the owner."""
+    """Return a fully visible answer on a host that holds a copy but isn't the owner."""
     answer = Answer(record)
     answer.show_all()
     answer.accepted.set()
--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -1,4 +1,4 @@
-"""Taking over the requests of hosts that died or were cut off."""
+"""Takes over the requests of hosts that crashed or were partitioned."""
 
 import trio
 from loguru import logger as log
@@ -18,27 +18,28 @@
 from dewridge.requests.shared import Shared
 from dewridge.sentinels import Failure
 
-SWEEP_PERIOD = 0.5
-"""Seconds between two looks for records whose owner is gone, besides the looks on
-each change of the membership; it catches copies that arrive late."""
-ORPHAN_AFTER = 5.0
-"""Seconds without news of a record after which its live owner is asked whether it
-still knows it. An owner that gave it up without being heard would otherwise
-leave a request that nobody runs and whose caller waits for ever."""
-TAKEOVERS_AT_ONCE = 16
-"""Takeovers side by side. After a failure domain's loss a host takes over
-thousands; all at once their calls would time out and be repeated."""
-HOLDER_POLL = 0.2
-HOLDER_PATIENCE = 5.0
-"""Seconds past a call's deadline that its live holder is waited for."""
-
-COPY_PATIENCE = 5.0
-"""Seconds that a copy on a silent host is waited for; by then a host that is up has
-refuted the suspicion and one that is not counts as dead."""
+SWEEP_INTERVAL = 0.5
+"""Seconds between two searches for records whose owner has departed. Each change of
+the membership starts a search too; the interval covers copies that arrive late."""
+STALE_RECORD_TIMEOUT = 5.0
+"""Seconds without an update of a record after which its live owner is asked whether it
+still knows the request. If the owner abandoned it and the message was lost, no host
+would run the request and its caller would wait forever."""
+MAX_CONCURRENT_TAKEOVERS = 16
+"""After the loss of a failure domain a host takes over thousands of requests; all at
+once, their calls would time out and be retried."""
+HOLDER_POLL_INTERVAL = 0.2
+"""Seconds between two polls of the host that holds a request's claim."""
+HOLDER_GRACE = 5.0
+"""Seconds after a request's deadline to wait for the live holder of its claim."""
+
+COPY_TIMEOUT = 5.0
+"""Seconds to wait for a copy on a silent host. By then a running host has refuted the
+suspicion, and any other host counts as dead."""
 
 
 class Failover:
-    """Watches the owners of the records kept here."""
+    """Watches the owners of the records on this host, and takes over from lost ones."""
 
     def __init__(
         self,
@@ -53,29 +54,29 @@
         self._replicator = replicator
         self._locator = locator
         self._attempts = attempts
-        self._ender = finisher
+        self._finisher = finisher
         self._wake = trio.Event()
         self._busy: set[RequestId] = set()
-        self._limit = trio.CapacityLimiter(TAKEOVERS_AT_ONCE)
-        shared.membership.subscribe(self._note_member)
-        attempts.on_denied = self._note_denied
+        self._limit = trio.CapacityLimiter(MAX_CONCURRENT_TAKEOVERS)
+        shared.membership.subscribe(self._handle_member_change)
+        attempts.on_denied = self._handle_claim_denied
 
-    def _note_member(self, member: Member) -> None:
+    def _handle_member_change(self, member: Member) -> None:
         if member.state is not MemberState.ALIVE:
             self._repair(member.host)
         self._wake.set()
 
     def _repair(self, host: HostId) -> None:
-        """Replace a replica that no longer takes copies."""
+        """Replace a replica that no longer accepts copies."""
         for answer in self._replicator.list_answers():
             record = answer.record
             if host in record.replicas and record.ended is None:
                 self._replicator.repair(answer)
 
     async def run(self) -> None:
-        """Look for records whose owner is gone until cancelled."""
+        """Search for records whose owner has departed, until cancelled."""
         while True:
-            with trio.move_on_after(SWEEP_PERIOD):
+            with trio.move_on_after(SWEEP_INTERVAL):
                 await self._wake.wait()
             self._wake = trio.Event()
             if not self._shared.leaving:
@@ -84,29 +85,31 @@
     async def _sweep(self) -> None:
         by_owner: dict[tuple[HostId, Incarnation], list[Record]] = {}
         for record in self._shared.table.list_live():
-            if record.ended is None and self._falls_to_me(record):
+            if record.ended is None and self._is_responsible(record):
                 owner = record.ballot.host, record.ballot.incarnation
                 by_owner.setdefault(owner, []).append(record)
-        await self._check_quiet_records()
+        await self._check_stale_records()
         for (host, incarnation), records in by_owner.items():
             if await self._is_silent(host, incarnation, records[0]):
                 for record in records:
                     self._busy.add(record.request)
                     self._shared.jobs.start(self._take_over, record)
 
-    async def _check_quiet_records(self) -> None:
+    async def _check_stale_records(self) -> None:
         now = self._shared.clock()
         for record in self._shared.table.list_live():
-            is_quiet = record.ended is None and record.touched < now - ORPHAN_AFTER
-            if not is_quiet or self._shared.is_own(record.ballot):
+            is_stale = (
+                record.ended is None and record.touched < now - STALE_RECORD_TIMEOUT
+            )
+            if not is_stale or self._shared.is_own(record.ballot):
                 continue
             if record.request in self._busy:
                 continue
             record.touched = now
             self._busy.add(record.request)
-            self._shared.jobs.start(self._check_quiet, record)
+            self._shared.jobs.start(self._check_stale_record, record)
 
-    async def _check_quiet(self, record: Record) -> None:
+    async def _check_stale_record(self, record: Record) -> None:
         try:
             async with self._limit:
                 message = wire.Find(request=record.request)
@@ -116,9 +119,9 @@
         if isinstance(reply, Failure):
             return
         if reply.found and reply.record.owner == record.ballot.host:
-            # The word of the end was lost on its way here. Without it the copy would
-            # stay live, and callers who find it would wait for an answer.
-            if reply.ended is not None and self._is_mine_to_take(record):
+            # The message with the end was lost. Without it the copy would stay live,
+            # and callers that find it would wait for an answer.
+            if reply.ended is not None and self._can_take_over(record):
                 ended = decode_end(reply.ended)
                 self._shared.table.end(record, ended, self._shared.clock())
             return
@@ -129,8 +132,11 @@
         self._busy.add(record.request)
         await self._take_over(record, is_orphan=True)
 
-    def _falls_to_me(self, record: Record) -> bool:
-        """Whether this host is the first live one to take a record over."""
+    def _is_responsible(self, record: Record) -> bool:
+        """Whether this host must take a record over.
+
+        That is so if its owner and all replicas listed before this host are down.
+        """
         if record.request in self._busy or self._is_owner_live(record.ballot):
             return False
         for host in record.replicas:
@@ -152,7 +158,7 @@
     async def _is_silent(
         self, host: HostId, incarnation: Incarnation, record: Record
     ) -> bool:
-        """Ask a suspected owner once more; suspicion may be an error."""
+        """Whether an owner does not reply to a direct query; suspicion may be wrong."""
         member = self._shared.find_live(host)
         if member is None or member.incarnation != incarnation:
             return True
@@ -161,28 +167,28 @@
     async def _take_over(self, record: Record, is_orphan: bool = False) -> None:
         try:
             async with self._limit:
-                await self._take_over_one(record, is_orphan)
+                await self._take_over_record(record, is_orphan)
         finally:
             self._busy.discard(record.request)
 
-    async def _take_over_one(self, record: Record, is_orphan: bool) -> None:
+    async def _take_over_record(self, record: Record, is_orphan: bool) -> None:
         others = [h for h in record.replicas if h != self._shared.me.host]
-        answered = await self._gather(record, others)
-        if not self._is_mine_to_take(record):
+        answered = await self._collect_copies(record, others)
+        if not self._can_take_over(record):
             return
         if self._is_owner_live(record.ballot) and not is_orphan:
             return
-        before = record.ballot.host
+        previous_owner = record.ballot.host
         take_ownership(
             record,
             self._shared.make_ballot(record.request),
             keep_generation=answered,
         )
         record.maybe_run = True
-        if answered and not await self._announce(record, others):
+        if answered and not await self._announce_takeover(record, others):
             answered = False
             renew_generation(record)
-        if not self._is_mine_to_take(record):
+        if not self._can_take_over(record):
             return
         self._replicator.choose(record)
         answer = Answer(record)
@@ -195,7 +201,7 @@
         log.info(
             "request {}: taken over from {}, which is gone; {}",
             record.request,
-            before,
+            previous_owner,
             "all replicas answered" if answered else "a replica did not answer",
         )
         if not record.replicas:
@@ -204,163 +210,170 @@
         answer.accepted.set()
         self.resume(answer)
 
-    def _is_mine_to_take(self, record: Record) -> bool:
-        is_held = self._shared.table.find(record.request) is record
-        return is_held and record.ended is None and not self._shared.leaving
+    def _can_take_over(self, record: Record) -> bool:
+        is_stored = self._shared.table.find(record.request) is record
+        return is_stored and record.ended is None and not self._shared.leaving
 
-    async def _announce(self, record: Record, others: list[HostId]) -> bool:
-        """Tell the other replicas of the takeover; whether all have taken it.
+    async def _announce_takeover(self, record: Record, others: list[HostId]) -> bool:
+        """Send the takeover to the other replicas.
 
-        Until then the old owner, if it was merely paused, can leave more tokens
-        with one of them and show them to its callers; an answer that went on
-        without those under the same generation would be a mixture of two.
+        Until they have stored it, an old owner that was only paused can store more
+        tokens on one of them and show them to its callers. An answer that continued
+        without those tokens under the same generation would mix two answers.
+
+        Returns:
+            Whether all of them have stored the new ownership.
         """
-        refused: list[HostId] = []
+        missing: list[HostId] = []
 
-        async def tell(host: HostId) -> None:
+        async def announce(host: HostId) -> None:
             reply = await self._shared.call(host, make_copy(record))
             if isinstance(reply, Failure) or not reply.stored:
-                refused.append(host)
+                missing.append(host)
 
         async with trio.open_nursery() as nursery:
             for host in others:
-                nursery.start_soon(tell, host)
-        return not refused
+                nursery.start_soon(announce, host)
+        return not missing
 
     def resume(self, answer: Answer) -> None:
-        """Go on with a request that this host has come to own."""
+        """Continue a request that this host now owns: queue it, or park it for a claim."""
         record = answer.record
         if record.idempotent or record.claimed:
             self._attempts.queue(answer)
         else:
             self._attempts.park(answer)
 
-    async def _gather(self, record: Record, others: list[HostId]) -> bool:
-        """Collect what other hosts have; whether all the replicas answered.
+    async def _collect_copies(self, record: Record, others: list[HostId]) -> bool:
+        """Merge the copies of other hosts into a record.
+
+        A caller is sent a token after one replica has acknowledged it, so only all
+        replicas together are certain to have what callers saw. If one is missing,
+        the answer continues under a new generation. The other candidate hosts of
+        the key are queried as well: the request may have ended long ago under an
+        owner that this copy's owner, partitioned or paused, never learned of.
 
-        A token went to a caller after one replica's acknowledgement, so only
-        all of them together surely have what callers saw. If one is missing
-        the answer goes on under a new generation. The rest of the key's home
-        is asked as well: the request may have ended long ago under an owner of
-        which this copy's owner, cut off or paused, never heard.
+        Returns:
+            Whether all the replicas sent their copy.
         """
-        home = find_home(record.request, self._shared.membership.members())
-        asked = {self._shared.me.host}
+        candidates = find_home(record.request, self._shared.membership.members())
+        queried = {self._shared.me.host}
         answered: set[HostId] = set()
-        hosts = {*others, *(m.host for m in home[: self._shared.reach])} - asked
+        hosts = {*others, *(m.host for m in candidates[: self._shared.reach])} - queried
 
-        async def ask(host: HostId) -> None:
+        async def query(host: HostId) -> None:
             message = wire.Find(request=record.request, with_tokens=True)
             reply = await self._shared.call(host, message)
             if not isinstance(reply, Failure) and reply.found:
                 answered.add(host)
-                self._learn(record, decode_find_reply(host, reply), others)
+                self._merge_copy(record, decode_find_reply(host, reply), others)
 
         while hosts:
-            asked |= hosts
+            queried |= hosts
             async with trio.open_nursery() as nursery:
                 for host in hosts:
-                    nursery.start_soon(ask, host)
-            hosts = set(others) - asked
+                    nursery.start_soon(query, host)
+            hosts = set(others) - queried
         return answered >= set(others)
 
-    def _learn(self, record: Record, found: Located, others: list[HostId]) -> None:
-        theirs = found.record
-        if theirs.ballot == record.ballot:
+    def _merge_copy(self, record: Record, found: Located, others: list[HostId]) -> None:
+        """Merge a found copy into a record, and its unknown replicas into `others`."""
+        remote = found.record
+        if remote.ballot == record.ballot:
             known = {*others, self._shared.me.host, record.ballot.host}
-            others += [host for host in theirs.replicas if host not in known]
+            others += [host for host in remote.replicas if host not in known]
         now = self._shared.clock()
-        if theirs.ballot > record.ballot:
-            self._shared.table.store(theirs, now)
-        elif theirs.ballot < record.ballot:
+        if remote.ballot > record.ballot:
+            self._shared.table.store(remote, now)
+        elif remote.ballot < record.ballot:
             return
-        elif theirs.ended is not None and record.ended is None:
-            record.tokens = theirs.tokens
-            record.generation = theirs.generation
-            self._shared.table.end(record, theirs.ended, now)
-        elif theirs.generation == record.generation:
-            record.tokens.extend(theirs.tokens[len(record.tokens) :])
-
-    def _note_denied(self, answer: Answer, holder: Ballot) -> None:
+        elif remote.ended is not None and record.ended is None:
+            record.tokens = remote.tokens
+            record.generation = remote.generation
+            self._shared.table.end(record, remote.ended, now)
+        elif remote.generation == record.generation:
+            record.tokens.extend(remote.tokens[len(record.tokens) :])
+
+    def _handle_claim_denied(self, answer: Answer, holder: Ballot) -> None:
         log.info(
             "request {}: its claim is held by {}, epoch {}",
             answer.record.request,
             holder.host,
             holder.epoch,
         )
-        self._shared.jobs.start(self._await_holder, answer, holder)
+        self._shared.jobs.start(self._wait_for_holder, answer, holder)
 
-    async def _await_holder(self, answer: Answer, holder: Ballot) -> None:
-        """Wait for the answer of the host that holds a call's claim.
+    async def _wait_for_holder(self, answer: Answer, holder: Ballot) -> None:
+        """Wait for the answer from the host that holds a request's claim.
 
-        Only the holder may have sent the call. While it lives its answer can
-        come; once it is gone nobody can say whether the call ran.
+        Only the holder may have sent the request. While it is live its answer can
+        still arrive; after it has departed, no host knows whether the request ran.
         """
         record = answer.record
         record.maybe_run = True
         while not answer.lost and record.ended is None:
-            if self._shared.clock() > record.deadline + HOLDER_PATIENCE:
-                self._ender.fail(answer, make_holder_lost("does not answer"))
+            if self._shared.clock() > record.deadline + HOLDER_GRACE:
+                self._finisher.fail(answer, make_holder_lost_failure("does not answer"))
                 return
             member = self._shared.find_live(holder.host)
             if member is None or member.incarnation != holder.incarnation:
-                await self._settle_without_holder(answer)
+                await self._resolve_without_holder(answer)
                 return
             if self._shared.is_own(holder):
-                # An earlier ownership of ours gave the call up; its release is
-                # on its way. Asking without a pause would use up the budget of
-                # writes that the release needs.
-                await trio.sleep(HOLDER_POLL)
+                # An earlier ballot of this process released the claim, but the release
+                # is not written yet. Claiming without a pause would use up the write
+                # budget that the release needs.
+                await trio.sleep(HOLDER_POLL_INTERVAL)
                 self._attempts.park(answer)
                 return
             found = await self._locator.query_host(holder.host, record.request, True)
             if found is not None and found.record.outcome is Outcome.DONE:
-                self._take_answer(answer, found.record)
+                self._adopt_answer(answer, found.record)
                 return
             if found is not None and self._shared.is_own(found.record.ballot):
                 found = None
             if found is None and not await self._is_holder_silent(holder):
                 self._attempts.park(answer)
                 return
-            await trio.sleep(HOLDER_POLL)
+            await trio.sleep(HOLDER_POLL_INTERVAL)
 
-    async def _settle_without_holder(self, answer: Answer) -> None:
-        """Find the answer that a holder left before it went, or say that none is there.
+    async def _resolve_without_holder(self, answer: Answer) -> None:
+        """Search for the answer of a departed claim holder, or fail the request.
 
-        Its copy may lie on a host that is slow just now, while this host's copy
-        never heard of it. A word of "unknown" is believed by callers, so it waits
-        until every host that may know better has answered or is gone.
+        The answer may be stored on a host that is slow at the moment, although this
+        host never received it. Callers act on "unknown", so it is sent only when
+        every host that may have the answer has replied or departed.
         """
         record = answer.record
-        limit = min(record.deadline, self._shared.clock() + COPY_PATIENCE)
+        limit = min(record.deadline, self._shared.clock() + COPY_TIMEOUT)
         hosts = frozenset(answer.former_replicas.union(record.replicas))
         while not answer.lost and record.ended is None:
-            whole = await self._locator.find_complete_answer(record.request, hosts)
-            if whole.record is not None:
+            search = await self._locator.find_complete_answer(record.request, hosts)
+            if search.record is not None:
                 log.info("request {}: its answer was found", record.request)
-                self._take_answer(answer, whole.record)
-            elif whole.is_conclusive or self._shared.clock() > limit:
-                self._ender.fail(answer, make_holder_lost("is gone"))
+                self._adopt_answer(answer, search.record)
+            elif search.is_conclusive or self._shared.clock() > limit:
+                self._finisher.fail(answer, make_holder_lost_failure("is gone"))
             else:
-                await trio.sleep(HOLDER_POLL)
+                await trio.sleep(HOLDER_POLL_INTERVAL)
 
     async def _is_holder_silent(self, holder: Ballot) -> bool:
         member = self._shared.find_live(holder.host)
         return member is None or member.state is not MemberState.ALIVE
 
-    def _take_answer(self, answer: Answer, theirs: Record) -> None:
+    def _adopt_answer(self, answer: Answer, remote: Record) -> None:
         record = answer.record
-        if answer.lost or record.ended is not None or theirs.ended is None:
+        if answer.lost or record.ended is not None or remote.ended is None:
             return
-        record.tokens = theirs.tokens
+        record.tokens = remote.tokens
         renew_generation(record)
         answer.acked_tokens.clear()
         answer.visible_tokens = 0
-        self._ender.adopt_end(answer, theirs.ended)
+        self._finisher.adopt_end(answer, remote.ended)
 
 
-def make_holder_lost(reason: str) -> Failure:
-    """Return the failure of a call whose claim another host holds."""
+def make_holder_lost_failure(reason: str) -> Failure:
+    """Return the failure of a request whose claim is held by another, lost host."""
     return Failure(
         ResultCode.HOLDER_LOST, f"the host that holds the call {reason}", 2.0
     )
--- a/dewridge/requests/following.py
+++ b/dewridge/requests/following.py
@@ -1,4 +1,4 @@
-"""Following answers from any entry host, through the death of their owners."""
+"""Streams answers from any entry host, also when their owners crash."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -31,26 +31,28 @@
 from dewridge.sentinels import Failure
 from dewridge.supervision.mailbox import Mailbox
 
-LIVENESS = 1.0
-"""Seconds of silence after which a follower asks the owner whether the stream is
-still there. A connection can go silent for good without an error; the caller
-would wait on an answer that has long ended."""
-SEARCH_PAUSE = 0.05
-UNKNOWN_AFTER = 0.3
-"""Seconds of searching before a key that nobody knows is called unknown."""
-LOST_AFTER = 8.0
-"""Seconds of searching for a request that was known once: suspicion, a takeover
-and a second one fit in it."""
-EVENTS_WAITING = 16
-FRAMES_WAITING = 256
-MOVED_ADDRESSES = 3
+STREAM_CHECK_INTERVAL = 1.0
+"""Seconds without a frame after which a follower asks the owner whether the stream
+still exists. A connection can go silent forever without an error; the caller would
+wait for an answer that has long ended."""
+SEARCH_INTERVAL = 0.05
+"""Seconds between two searches for the host to follow."""
+UNKNOWN_KEY_TIMEOUT = 0.3
+"""Seconds of searching after which a key that no host knows is reported unknown."""
+LOST_REQUEST_TIMEOUT = 8.0
+"""Seconds of searching for a request that was known before. That is enough for a
+failure suspicion and two successive takeovers."""
+MAX_BUFFERED_EVENTS = 16
+MAX_BUFFERED_FRAMES = 256
+MAX_MOVED_ADDRESSES = 3
+"""Addresses of other entry hosts that a caller is sent when this host leaves."""
 
 Emit = Callable[[AnswerEvent], Awaitable[None]]
 
 
 @dataclass
-class Place:
-    """How far a follower has come."""
+class StreamPosition:
+    """How far a follower has read an answer."""
 
     generation: Generation
     offset: int
@@ -59,7 +61,13 @@
 
 @dataclass
 class ServedStream:
-    """A stream that this host sends to another entry host."""
+    """A stream that this host sends to another entry host.
+
+    Attributes:
+        scope: cancels the task that sends the stream.
+        generation: generation of the next token to send.
+        offset: number of its tokens that were sent.
+    """
 
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     generation: int = 0
@@ -67,10 +75,11 @@
 
 
 class Followers:
-    """Follows answers here and elsewhere, and serves other hosts' followers.
+    """Follows answers on this and other hosts, and serves other hosts' followers.
 
     Attributes:
-        is_redirecting: followers are told to go on at another entry host.
+        is_redirecting: whether followers are redirected to another entry host.
+        open_streams: number of streams to callers of this host.
     """
 
     def __init__(
@@ -89,13 +98,13 @@
     async def follow(
         self, request: RequestId, generation: Generation, offset: int
     ) -> AsyncIterator["trio.MemoryReceiveChannel[AnswerEvent]"]:
-        """Stream an answer from a place on."""
-        send, receive = trio.open_memory_channel[AnswerEvent](EVENTS_WAITING)
+        """Stream the events of an answer from a position on."""
+        send, receive = trio.open_memory_channel[AnswerEvent](MAX_BUFFERED_EVENTS)
         self.open_streams += 1
         try:
             async with trio.open_nursery() as nursery:
-                place = Place(generation, offset)
-                nursery.start_soon(self._feed, request, place, send)
+                position = StreamPosition(generation, offset)
+                nursery.start_soon(self._feed, request, position, send)
                 with receive:
                     yield receive
                 nursery.cancel_scope.cancel()
@@ -105,46 +114,54 @@
     async def _feed(
         self,
         request: RequestId,
-        place: Place,
+        position: StreamPosition,
         send: "trio.MemorySendChannel[AnswerEvent]",
     ) -> None:
         with send:
             try:
-                await self._search(request, place, send.send)
+                await self._follow_until_end(request, position, send.send)
             except trio.BrokenResourceError:
                 return
 
-    async def _search(self, request: RequestId, place: Place, emit: Emit) -> None:
-        """Follow wherever the request is, until its end or this host's."""
-        was_known = place.generation != 0
+    async def _follow_until_end(
+        self, request: RequestId, position: StreamPosition, emit: Emit
+    ) -> None:
+        """Follow a request across hosts until it ends or callers are redirected."""
+        was_known = position.generation != 0
         since = trio.current_time()
         while True:
             if self.is_redirecting and not self._has_end(request):
                 await emit(MovedEvent(self.find_addresses(request)))
                 return
-            before = place.generation, place.offset
-            found = await self._follow_once(request, place, emit)
-            if place.ended:
+            start = position.generation, position.offset
+            is_found = await self._follow_once(request, position, emit)
+            if position.ended:
                 return
-            was_known = was_known or found
-            if before != (place.generation, place.offset):
+            was_known = was_known or is_found
+            if start != (position.generation, position.offset):
                 since = trio.current_time()
-            limit = LOST_AFTER if was_known else UNKNOWN_AFTER
+            limit = LOST_REQUEST_TIMEOUT if was_known else UNKNOWN_KEY_TIMEOUT
             if trio.current_time() > since + limit and not self.is_redirecting:
-                await emit(make_lost(was_known))
+                await emit(make_not_found(was_known))
                 return
-            await trio.sleep(SEARCH_PAUSE)
+            await trio.sleep(SEARCH_INTERVAL)
 
     def _has_end(self, request: RequestId) -> bool:
         answer = self._replicator.find(request)
         return answer is not None and answer.end_visible
 
-    async def _follow_once(self, request: RequestId, place: Place, emit: Emit) -> bool:
-        """Follow at one place while it lasts; whether the request was known."""
+    async def _follow_once(
+        self, request: RequestId, position: StreamPosition, emit: Emit
+    ) -> bool:
+        """Follow a request on one host until its stream stops.
+
+        Returns:
+            Whether the request was found.
+        """
         await self.fetch_late_answer(request)
         answer = self.find_answer(request)
         if answer is not None:
-            await self._follow_here(answer, place, emit)
+            await self._follow_local(answer, position, emit)
             return True
         located = await self._locator.locate(request)
         if located is None:
@@ -155,13 +172,13 @@
         if not located.is_owner and record.outcome is Outcome.NOT_RUN:
             if record.ended is not None:
                 await emit(make_unconfirmed(record.ended))
-                place.ended = True
+                position.ended = True
             return True
-        await self._follow_there(located, place, emit)
+        await self._follow_remote(located, position, emit)
         return True
 
     def find_answer(self, request: RequestId) -> Answer | None:
-        """Return an answer that can be followed on this host."""
+        """Return the answer to follow on this host, or None if it has none."""
         answer = self._replicator.find(request)
         record = self._shared.table.find(request)
         is_stale = record is not None and is_late_answer_to(answer, record)
@@ -174,82 +191,86 @@
         return make_complete_answer(record)
 
     async def fetch_late_answer(self, request: RequestId) -> None:
-        """Ask other hosts for the answer of a call that ended unknown here.
+        """Query other hosts for the answer of a request that ended as unknown here.
 
-        A host that was slow or asleep when this one gave the call up may have the
-        answer. Without asking, each caller that comes back would be told "unknown"
-        again by this host, and get the answer from another one.
+        A host that was slow or paused when this one abandoned the request may have
+        the answer. Without the query, callers that reconnect would be sent "unknown"
+        by this host, but the answer by another one.
         """
         record = self._shared.table.find(request)
         if record is None or record.idempotent:
             return
         if record.outcome is not Outcome.UNKNOWN:
             return
-        whole = await self._locator.find_complete_answer(
+        search = await self._locator.find_complete_answer(
             request, frozenset(record.replicas)
         )
-        if whole.record is not None:
+        if search.record is not None:
             log.info("request {}: its answer was found late", request)
-            self._shared.table.store(whole.record, self._shared.clock())
+            self._shared.table.store(search.record, self._shared.clock())
 
-    async def _follow_here(self, answer: Answer, place: Place, emit: Emit) -> None:
-        close, place.generation, place.offset = await answer.stream(
-            place.generation, place.offset, emit, lambda: self.is_redirecting
+    async def _follow_local(
+        self, answer: Answer, position: StreamPosition, emit: Emit
+    ) -> None:
+        reason, position.generation, position.offset = await answer.stream(
+            position.generation, position.offset, emit, lambda: self.is_redirecting
         )
-        place.ended = close is CloseReason.ENDED
+        position.ended = reason is CloseReason.ENDED
 
-    async def _follow_there(self, located: Located, place: Place, emit: Emit) -> None:
+    async def _follow_remote(
+        self, located: Located, position: StreamPosition, emit: Emit
+    ) -> None:
         stream = next(self._numbers)
-        mailbox: Mailbox[Any] = Mailbox(FRAMES_WAITING)
+        mailbox: Mailbox[Any] = Mailbox(MAX_BUFFERED_FRAMES)
         self._incoming[stream] = mailbox
         request = located.record.request
         try:
-            while await self._ask_follow(located.host, request, place, stream):
-                going = True
-                while going:
+            while await self._request_stream(located.host, request, position, stream):
+                is_contiguous = True
+                while is_contiguous:
                     if self.is_redirecting:
                         return
                     frame = None
-                    with trio.move_on_after(LIVENESS):
+                    with trio.move_on_after(STREAM_CHECK_INTERVAL):
                         frame = await mailbox.take()
                     if frame is None:
                         break
                     if frame.moved:
                         return
-                    going = await take_frame(frame, place, emit)
-                    if place.ended:
+                    is_contiguous = await apply_frame(frame, position, emit)
+                    if position.ended:
                         return
         finally:
             del self._incoming[stream]
             member = self._shared.find_live(located.host)
-            if member is not None and not place.ended:
+            if member is not None and not position.ended:
                 message = wire.StopFollow(stream=stream)
                 self._shared.peers.send(member.address, message)
 
-    async def _ask_follow(
-        self, host: HostId, request: RequestId, place: Place, stream: int
+    async def _request_stream(
+        self, host: HostId, request: RequestId, position: StreamPosition, stream: int
     ) -> bool:
         message = wire.Follow(
             request=request,
-            generation=place.generation,
-            offset=place.offset,
+            generation=position.generation,
+            offset=position.offset,
             stream=stream,
         )
         reply = await self._shared.call(host, message)
         return not isinstance(reply, Failure) and bool(reply.found)
 
     async def receive(self, peer: PeerIdentity, message: wire.FollowTokens) -> None:
-        """Take a frame of a stream that this host follows elsewhere.
+        """Receive a frame of a stream that this host follows on another host.
 
-        A frame that finds the mailbox full is dropped; the gap shows in the
-        next frame's offset and the follower asks again from its place.
+        A frame is dropped if the mailbox is full. The next frame's offset then
+        shows the gap, and the follower requests the stream again from its position.
         """
         mailbox = self._incoming.get(message.stream)
         if mailbox is not None:
             mailbox.post(message)
 
     async def serve(self, peer: PeerIdentity, message: wire.Follow) -> wire.FollowReply:
-        """Begin a stream for a follower on another host, or confirm it."""
+        """Start a stream for a follower on another host, or confirm a running one."""
         request = RequestId(message.request)
         answer = self.find_answer(request)
         if answer is None or (self.is_redirecting and not answer.end_visible):
@@ -278,45 +299,45 @@
         async def emit(event: AnswerEvent) -> None:
             frame = make_frame(name[2], event, served, answer)
             member = self._shared.find_live(peer.host)
-            refused: Failure | None = UNREACHABLE
+            failure: Failure | None = UNREACHABLE
             if member is not None:
-                refused = self._shared.peers.send(member.address, frame)
-            if refused is not None:
+                failure = self._shared.peers.send(member.address, frame)
+            if failure is not None:
                 served.scope.cancel()
             await trio.lowlevel.checkpoint()
 
         generation = Generation(served.generation)
         try:
             with served.scope:
-                close, _, _ = await answer.stream(
+                reason, _, _ = await answer.stream(
                     generation, served.offset, emit, lambda: self.is_redirecting
                 )
-                if close is not CloseReason.ENDED:
+                if reason is not CloseReason.ENDED:
                     await emit(MovedEvent(()))
         finally:
             if self._served.get(name) is served:
                 del self._served[name]
 
     async def stop(self, peer: PeerIdentity, message: wire.StopFollow) -> None:
-        """End a stream whose follower has gone."""
+        """Stop a stream that its follower no longer reads."""
         served = self._served.get((peer.host, peer.incarnation, message.stream))
         if served is not None:
             served.scope.cancel()
 
     def find_addresses(self, request: RequestId) -> tuple[str, ...]:
-        """Return where a caller goes on when this host leaves."""
+        """Return addresses where a caller can continue when this host leaves."""
         members = [
             member
             for member in self._shared.membership.members()
             if member.takes_work and member.host != self._shared.me.host
         ]
-        home = find_home(request, members)
-        rest = [m for m in rank_members(request, members) if m not in home]
-        addresses = [member.frontend_address for member in home + rest]
-        return tuple(addresses[:MOVED_ADDRESSES])
+        candidates = find_home(request, members)
+        others = [m for m in rank_members(request, members) if m not in candidates]
+        addresses = [member.frontend_address for member in candidates + others]
+        return tuple(addresses[:MAX_MOVED_ADDRESSES])
 
     def describe(self) -> dict[str, int]:
-        """Return sizes for a dump."""
+        """Return the number of open streams, for a dump."""
         return {
             "following": self.open_streams,
             "following_elsewhere": len(self._incoming),
@@ -325,14 +346,14 @@
 
 
 def is_late_answer_to(answer: Answer | None, record: Record) -> bool:
-    """Whether a record brings the whole answer of a call given up as unknown."""
+    """Whether a record has the complete answer of a request that ended as unknown."""
     if answer is None or answer.record is record:
         return False
     return is_late_answer(answer.record, record)
 
 
-def make_lost(was_known: bool) -> EndedEvent:
-    """Return the end of following a request that nobody knows."""
+def make_not_found(was_known: bool) -> EndedEvent:
+    """Return the end event for a request that no entry host knows."""
     if was_known:
         return EndedEvent(
             ResultCode.OUTCOME_UNKNOWN, "no entry host knows the request now", 2.0
@@ -365,22 +386,26 @@
     return frame
 
 
-async def take_frame(frame: Any, place: Place, emit: Emit) -> bool:
-    """Pass a frame on; False if something before it is missing."""
-    if frame.generation != place.generation:
+async def apply_frame(frame: Any, position: StreamPosition, emit: Emit) -> bool:
+    """Emit the events of a frame and advance the position.
+
+    Returns:
+        False if frames before this one are missing.
+    """
+    if frame.generation != position.generation:
         if frame.offset != 0:
             return False
-        if place.generation:
+        if position.generation:
             await emit(RestartEvent(Generation(frame.generation)))
-        place.generation = Generation(frame.generation)
-        place.offset = 0
-    if frame.offset > place.offset:
+        position.generation = Generation(frame.generation)
+        position.offset = 0
+    if frame.offset > position.offset:
         return False
-    tokens = tuple(frame.tokens[place.offset - frame.offset :])
+    tokens = tuple(frame.tokens[position.offset - frame.offset :])
     if tokens:
-        await emit(TokensEvent(place.generation, place.offset, tokens))
-        place.offset += len(tokens)
+        await emit(TokensEvent(position.generation, position.offset, tokens))
+        position.offset += len(tokens)
     if frame.ended is not None:
         await emit(decode_end(frame.ended))
-        place.ended = True
+        position.ended = True
     return True
--- a/dewridge/requests/handoff.py
+++ b/dewridge/requests/handoff.py
@@ -1,4 +1,4 @@
-"""Leaving gracefully: requests end here or go on at a replica."""
+"""Drains a departing host: its requests finish here or are handed off."""
 
 from collections.abc import Callable
 from typing import Any
@@ -22,20 +22,22 @@
 from dewridge.sentinels import Failure
 
 GRACE_SHARE = 0.3
-"""Part of the drain's time in which running work may end by itself; stopping it
-costs tokens, waiting longer leaves too little time to hand off."""
-GRACE_LIMIT = 3.0
-"""Seconds of it at most: reclaims give 2 to 5 s of notice."""
-HANDOFFS_AT_ONCE = 16
-POLL = 0.05
-ACCEPTANCE_PATIENCE = 2.0
-"""Seconds in which submissions that are being decided on are waited for; the calls to
-replicas that one needs take no longer, and callers that go on sending never end."""
-HANDOFF_TRIES = 3
+"""Fraction of the drain's time in which running attempts may finish. Stopping them
+costs tokens; a longer wait leaves too little time to hand off."""
+MAX_GRACE = 3.0
+"""Seconds that running attempts get at most: reclaims give 2 to 5 s of notice."""
+MAX_CONCURRENT_HANDOFFS = 16
+POLL_INTERVAL = 0.05
+"""Seconds between two checks for requests to hand off and for the end of the drain."""
+ACCEPTANCE_TIMEOUT = 2.0
+"""Seconds to wait for submissions whose acceptance is undecided. The calls to replicas
+that a submission needs take no longer; callers may send new ones without end."""
+MAX_EXTRA_TARGETS = 3
+"""Hosts other than the replicas to which a handoff is offered."""
 
 
 class Handoff:
-    """Drains this host, and takes what other hosts drain."""
+    """Drains this host by finishing its requests or handing them off to other hosts."""
 
     def __init__(
         self,
@@ -58,19 +60,22 @@
         self._busy: set[RequestId] = set()
 
     async def drain(
-        self, timeout: float, is_accepting: Callable[[], bool], patience: float = 0.0
+        self,
+        timeout: float,
+        is_accepting: Callable[[], bool],
+        answer_timeout: float = 0.0,
     ) -> None:
         """Finish or hand off every request, then return.
 
-        Calls that may not be repeated and were sent stay here until their
-        answer, unless their engine confirms that it stopped them: nobody else
-        may go on with them.
+        Non-idempotent requests that were sent stay here until their answer arrives,
+        because no other host may continue them, unless their engine confirms that
+        it stopped them.
 
         Args:
             timeout: seconds in which requests are handed off.
-            is_accepting: whether submissions are still being decided on.
-            patience: seconds after that in which this host still runs and answers
-                to calls that were sent may come.
+            is_accepting: whether the acceptance of submissions is still undecided.
+            answer_timeout: seconds after `timeout` during which this host still runs
+                and can receive answers to requests that were sent.
         """
         self._shared.leaving = True
         limit = trio.current_time() + timeout
@@ -79,41 +84,42 @@
         self._followers.is_redirecting = True
         for answer in self._replicator.list_answers():
             answer.notify_followers()
-        with trio.move_on_at(limit + patience):
-            await wait_until(lambda: self._is_over(limit), POLL)
+        with trio.move_on_at(limit + answer_timeout):
+            await wait_until(lambda: self._is_drained(limit), POLL_INTERVAL)
         log.info("drained; {} requests left", len(self._list_live()))
 
     async def _hand_off_all(
         self, limit: float, is_accepting: Callable[[], bool]
     ) -> None:
-        """Hand off requests until none is left or the time is over.
+        """Hand off requests until none is left or the time limit is reached.
 
-        Made for a reclaim's two seconds of notice on slow hosts. Handing off goes
-        on beside what is being accepted, since callers that have not heard of the
-        leaving go on sending, and each request by itself, since one silent peer
-        would use up the time of all.
+        A reclaim may give only two seconds of notice, also on slow hosts. Requests
+        are therefore handed off while submissions are still being accepted, since
+        callers not yet informed of the departure keep sending, and concurrently,
+        since one silent peer would otherwise use up the time of all requests.
         """
         now = trio.current_time()
-        grace_ends = now + min(GRACE_LIMIT, (limit - now) * GRACE_SHARE)
-        accepted_by = min(limit, now + ACCEPTANCE_PATIENCE)
-        at_once = trio.CapacityLimiter(HANDOFFS_AT_ONCE)
+        grace_ends = now + min(MAX_GRACE, (limit - now) * GRACE_SHARE)
+        accepted_by = min(limit, now + ACCEPTANCE_TIMEOUT)
+        limiter = trio.CapacityLimiter(MAX_CONCURRENT_HANDOFFS)
         async with trio.open_nursery() as nursery:
             while now < limit:
-                is_settled = now >= accepted_by or not is_accepting()
-                if is_settled and not self._list_live():
+                is_decided = now >= accepted_by or not is_accepting()
+                if is_decided and not self._list_live():
                     break
                 for answer in self._list_live():
-                    if self._may_go(answer, now < grace_ends):
+                    if self._should_hand_off(answer, now < grace_ends):
                         self._busy.add(answer.record.request)
-                        nursery.start_soon(self._hand_off, answer, at_once)
-                await trio.sleep(POLL)
+                        nursery.start_soon(self._hand_off, answer, limiter)
+                await trio.sleep(POLL_INTERVAL)
                 now = trio.current_time()
 
-    def _may_go(self, answer: Answer, in_grace: bool) -> bool:
+    def _should_hand_off(self, answer: Answer, in_grace: bool) -> bool:
         """Whether a request is to be handed off now.
 
-        In the grace running work ends by itself, and what is being accepted is
-        left to come to rest; a call that waits for its claim is not running.
+        During the grace period, running attempts may finish and the acceptance of
+        submissions may complete. A non-idempotent request that waits for its claim
+        doesn't count as running.
         """
         record = answer.record
         if record.request in self._busy:
@@ -121,62 +127,65 @@
         if not in_grace:
             return True
         attempt = self._attempts.find(record.request)
-        runs = attempt is not None and (record.idempotent or attempt.dispatched)
-        return not runs and not record.pending
+        is_running = attempt is not None and (record.idempotent or attempt.dispatched)
+        return not is_running and not record.pending
 
     def _list_live(self) -> list[Answer]:
         answers = self._replicator.list_answers()
         return [a for a in answers if not a.lost and a.record.ended is None]
 
-    def _list_unsettled(self) -> list[Answer]:
+    def _list_unfinished(self) -> list[Answer]:
         answers = self._replicator.list_answers()
         return [a for a in answers if not a.lost and not a.end_visible]
 
-    def _is_quiet(self) -> bool:
-        return not self._followers.open_streams and not self._list_unsettled()
+    def _is_idle(self) -> bool:
+        return not self._followers.open_streams and not self._list_unfinished()
+
+    def _is_drained(self, limit: float) -> bool:
+        """Whether no request is left that this host must wait for.
 
-    def _is_over(self, limit: float) -> bool:
-        """Whether nothing is left that this host must wait for."""
+        Once the limit is reached, only non-idempotent requests are waited for.
+        """
         if any(not a.record.idempotent for a in self._list_running()):
             return False
-        return self._is_quiet() or trio.current_time() >= limit
+        return self._is_idle() or trio.current_time() >= limit
 
     def _list_running(self) -> list[Answer]:
-        """Return what was sent to a backend server, or has an answer not yet safe."""
+        """Return requests that have an attempt, or an end that isn't replicated yet."""
         return [
             answer
-            for answer in self._list_unsettled()
+            for answer in self._list_unfinished()
             if answer.record.ended is not None
             or self._attempts.find(answer.record.request) is not None
         ]
 
-    async def _hand_off(self, answer: Answer, limit: trio.CapacityLimiter) -> None:
+    async def _hand_off(self, answer: Answer, limiter: trio.CapacityLimiter) -> None:
         record = answer.record
         try:
-            async with limit:
-                # The end of the drain's time must not cut a request off between
-                # its stop here and its start at the replica.
+            async with limiter:
+                # The end of the drain's time must not cancel a handoff between the
+                # stop of the request here and its start on the other host.
                 with trio.CancelScope(shield=True):
-                    await self._stop_and_give(answer)
+                    await self._stop_and_transfer(answer)
         finally:
             self._busy.discard(record.request)
 
-    async def _stop_and_give(self, answer: Answer) -> None:
+    async def _stop_and_transfer(self, answer: Answer) -> None:
         record = answer.record
         if not await self._stop(answer):
             return
         for host in self._find_targets(record):
-            if await self._give(answer, host):
+            if await self._transfer(answer, host):
                 return
         if answer.lost or record.ended is not None:
             return
         if record.idempotent or not self._shared.keeps_calls_back:
-            self._renew_ownership(answer)
+            self._continue_locally(answer)
         else:
             log.info("request {}: nobody has taken it yet", record.request)
 
     async def _stop(self, answer: Answer) -> bool:
-        """Stop work on a request; False if it must stay here."""
+        """Stop the work on a request; False if it must stay on this host."""
         record = answer.record
         attempt = self._attempts.find(record.request)
         if attempt is not None:
@@ -193,11 +202,11 @@
             self._claims.start_release(record)
         return True
 
-    def _renew_ownership(self, answer: Answer) -> None:
-        """Go on here under a new ownership; the old one's claim is given up.
+    def _continue_locally(self, answer: Answer) -> None:
+        """Continue on this host under a new ballot; the old one's claim is released.
 
-        A replica whose reply was lost may go on as well, so the answer gets a
-        generation of its own.
+        A host whose reply to the handoff was lost may continue as well, so the
+        answer gets a new generation.
         """
         record = answer.record
         log.info("request {}: nobody took it; it goes on here", record.request)
@@ -213,14 +222,14 @@
         members = {m.host: m for m in self._shared.membership.members()}
         replicas = [h for h in record.replicas if h in members]
         live = [h for h in replicas if members[h].takes_work]
-        rest = [
+        extra = [
             h
             for h, member in members.items()
             if member.takes_work and h not in live and h != self._shared.me.host
         ]
-        return live + rest[:HANDOFF_TRIES]
+        return live + extra[:MAX_EXTRA_TARGETS]
 
-    async def _give(self, answer: Answer, host: HostId) -> bool:
+    async def _transfer(self, answer: Answer, host: HostId) -> bool:
         record = answer.record
         message = wire.Handoff(
             record=encode_record(record),
@@ -239,5 +248,5 @@
 
 
 def describe_drain(shared: Shared, followers: Followers) -> dict[str, Any]:
-    """Return how far a drain is, for a dump."""
+    """Return the state of a drain, for a dump."""
     return {"leaving": shared.leaving, "moving": followers.is_redirecting}
--- a/dewridge/requests/locating.py
+++ b/dewridge/requests/locating.py
@@ -1,4 +1,4 @@
-"""Finding a request: its owner, or whoever holds a copy of it."""
+"""Finds the owner of a request, or a host that holds a copy of it."""
 
 from dataclasses import dataclass, replace
 from typing import Any
@@ -21,9 +21,10 @@
     """Where a request was found.
 
     Attributes:
-        host: the host that answered for it.
-        is_owner: whether that host owns it; otherwise it holds a copy.
-        tokens: tokens that callers may see there.
+        host: the host that replied.
+        record: the record of the request on that host.
+        is_owner: whether that host owns the request; otherwise it holds a copy.
+        tokens: number of tokens that callers may see there.
     """
 
     host: HostId
@@ -34,11 +35,11 @@
 
 @dataclass(slots=True)
 class AnswerSearch:
-    """What a search for a whole answer brought.
+    """The result of a search for a complete answer.
 
     Attributes:
         record: the record with the answer, if one was found.
-        is_conclusive: whether no host that is up stayed silent.
+        is_conclusive: whether every live host has replied.
     """
 
     record: Record | None = None
@@ -46,87 +47,91 @@
 
 
 class Locator:
-    """Looks for requests at their owners and in their homes."""
+    """Finds requests on their owners and on the candidate hosts of their keys."""
 
     def __init__(self, shared: Shared) -> None:
         self._shared = shared
 
     async def locate(self, request: RequestId) -> Located | None:
-        """Find the owner of a request, else the best copy; None if unknown."""
+        """Return the owner of a request, else the best copy; None if it is unknown."""
         found: list[Located] = []
         local = self._shared.table.find(request)
         if local is not None:
-            owned = await self._ask_owner(local)
+            owned = await self._query_owner(local)
             if owned is not None:
                 return owned
-            me = self._shared.me.host
-            found.append(Located(me, local, False, len(local.tokens)))
-        found += await self._ask_home(request)
-        best = max(found, key=rate, default=None)
+            host = self._shared.me.host
+            found.append(Located(host, local, False, len(local.tokens)))
+        found += await self._query_candidates(request)
+        best = max(found, key=rank_located, default=None)
         if best is None or best.is_owner:
             return best
-        return await self._ask_owner(best.record) or best
+        return await self._query_owner(best.record) or best
 
-    async def _ask_owner(self, record: Record) -> Located | None:
+    async def _query_owner(self, record: Record) -> Located | None:
         owner = record.ballot.host
         if owner == self._shared.me.host:
             return None
         found = await self.query_host(owner, record.request)
         return found if found is not None and found.is_owner else None
 
-    async def _ask_home(self, request: RequestId) -> list[Located]:
-        home = find_home(request, self._shared.membership.members())
-        reach = [m.host for m in home[: self._shared.reach]]
+    async def _query_candidates(self, request: RequestId) -> list[Located]:
+        candidates = find_home(request, self._shared.membership.members())
+        hosts = [m.host for m in candidates[: self._shared.reach]]
         found: list[Located] = []
 
-        async def ask(host: HostId) -> None:
-            reply = await self.query_host(host, request)
-            if reply is not None:
-                found.append(reply)
+        async def query(host: HostId) -> None:
+            located = await self.query_host(host, request)
+            if located is not None:
+                found.append(located)
 
         async with trio.open_nursery() as nursery:
-            for host in reach:
+            for host in hosts:
                 if host != self._shared.me.host:
-                    nursery.start_soon(ask, host)
+                    nursery.start_soon(query, host)
         return found
 
     async def find_complete_answer(
-        self, request: RequestId, also: frozenset[HostId] = frozenset()
+        self, request: RequestId, extra_hosts: frozenset[HostId] = frozenset()
     ) -> "AnswerSearch":
-        """Look for a whole answer at every host that may hold a copy.
+        """Search for a complete answer on every host that may hold a copy.
+
+        Used for a non-idempotent request whose claim holder has departed. The only
+        host with the answer may be slow and therefore suspected. It is queried too;
+        otherwise the caller would be sent "unknown" for an answered request.
 
-        Made for a call whose holder is gone. One slow host may be the only one
-        that has the answer, and it counts as suspect just then; left out, the
-        caller would hear "unknown" of a call that was answered.
+        Args:
+            request: the request.
+            extra_hosts: hosts to query besides the candidate hosts of the key.
         """
         members = [
             replace(member, state=MemberState.ALIVE)
             for member in self._shared.membership.members()
         ]
-        home = find_home(request, members)
-        hosts = {m.host for m in home[: self._shared.reach]} | also
+        candidates = find_home(request, members)
+        hosts = {m.host for m in candidates[: self._shared.reach]} | extra_hosts
         hosts.discard(self._shared.me.host)
-        whole = AnswerSearch()
+        search = AnswerSearch()
 
-        async def ask(host: HostId) -> None:
+        async def query(host: HostId) -> None:
             message = wire.Find(request=request, with_tokens=True)
             reply = await self._shared.call(host, message)
             if isinstance(reply, Failure):
-                whole.is_conclusive &= self._shared.find_live(host) is None
+                search.is_conclusive &= self._shared.find_live(host) is None
             elif reply.found:
                 located = decode_find_reply(host, reply)
                 if located.record.outcome is Outcome.DONE:
-                    whole.record = located.record
+                    search.record = located.record
 
         async with trio.open_nursery() as nursery:
             for host in hosts:
-                nursery.start_soon(ask, host)
-        return whole
+                nursery.start_soon(query, host)
+        return search
 
     async def query_host(
         self, host: HostId, request: RequestId, with_tokens: bool = False
     ) -> Located | None:
-        """Ask one host; None if it does not know the request or is silent."""
+        """Query one host; None if it does not know the request or does not reply."""
         message = wire.Find(request=request, with_tokens=with_tokens)
         reply = await self._shared.call(host, message)
         if isinstance(reply, Failure) or not reply.found:
@@ -135,14 +140,14 @@
 
 
 def decode_find_reply(host: HostId, reply: Any) -> Located:
-    """Return what a host said of a request that it knows."""
+    """Return the located request from the reply of a host that knows it."""
     record = decode_record(reply.record, reply.token_list)
     if reply.ended is not None:
         record.ended = decode_end(reply.ended)
     return Located(host, record, record.ballot.host == host, reply.tokens)
 
 
-def rate(found: Located) -> tuple[bool, bool, object]:
-    """Order findings: a whole answer first, then by ownership."""
+def rank_located(found: Located) -> tuple[bool, bool, object]:
+    """Return a sort key: complete answers rank highest, then owners, then ballots."""
     is_done = found.record.outcome is Outcome.DONE
     return is_done, found.is_owner, found.record.ballot
