--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -237,7 +237,7 @@
         return not missing
 
     def resume(self, answer: Answer) -> None:
-        """Continue a request that this host now owns: queue it, or park it for a claim."""
+        """Continue a request that this host now owns; wait for its claim if needed."""
         record = answer.record
         if record.idempotent or record.claimed:
             self._attempts.queue(answer)
--- a/dewridge/tests/requests/committer_tests.py
+++ b/dewridge/tests/requests/committer_tests.py
@@ -1,4 +1,4 @@
-"""The committer of claims: its budget of writes, in and after an outage."""
+"""The committer of claims: its write budget, also during and after an outage."""
 
 import random
 
@@ -17,12 +17,12 @@
 from dewridge.tests.requests.fakes import make_key, read_clock
 
 MEMBERS = 8
-RATE = 200.0
-OUTAGE = 60
+WRITES_PER_SECOND = 200.0
+OUTAGE_SECONDS = 60
 
 
-class Bench:
-    """A committer over a key-value service in memory."""
+class CommitterHarness:
+    """A committer that writes to an in-memory key-value service."""
 
     def __init__(self) -> None:
         self.key_value = MemoryKeyValue()
@@ -39,7 +39,10 @@
             self.jobs,
         )
         self.committer = Committer(
-            self.shared, key_value=self.key_value, prefix="", writes_per_second=RATE
+            self.shared,
+            key_value=self.key_value,
+            prefix="",
+            writes_per_second=WRITES_PER_SECOND,
         )
         self._random = random.Random(1)
 
@@ -47,53 +50,52 @@
         request: RequestId = make_request_id(
             ClientAccount("oficina"), make_key(self._random)
         )
-        me = self.shared.me
-        return ClaimIntent(request, Ballot(1, me.host, me.incarnation))
+        member = self.shared.me
+        return ClaimIntent(request, Ballot(1, member.host, member.incarnation))
 
 
-async def test_an_outage_leaves_no_debt_of_writes(
+async def test_failed_writes_do_not_delay_claims_after_an_outage(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # The key-value service is down for a minute while callers go on asking for
-    # letters. Each try that failed had been charged to the budget of writes, so
-    # that after the outage claims waited for as long again, and callers were
-    # refused though everything worked.
-    bench = Bench()
+    # The key-value service is down for a minute while requests keep arriving. If each
+    # failed attempt were charged to the write budget, claims would wait for as long
+    # again after the outage, and requests would be rejected although all works again.
+    harness = CommitterHarness()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(bench.jobs.run)
-        bench.key_value.is_down = True
-        for _ in range(OUTAGE * 10):
-            nursery.start_soon(bench.committer.commit, bench.make_intent(), 3.0)
+        nursery.start_soon(harness.jobs.run)
+        harness.key_value.is_down = True
+        for _ in range(OUTAGE_SECONDS * 10):
+            nursery.start_soon(harness.committer.commit, harness.make_intent(), 3.0)
             await trio.sleep(0.1)
-        bench.key_value.is_down = False
+        harness.key_value.is_down = False
         await trio.sleep(1.0)
         started = trio.current_time()
-        verdict = await bench.committer.commit(bench.make_intent(), 3.0)
-        assert isinstance(verdict, Grant)
+        result = await harness.committer.commit(harness.make_intent(), 3.0)
+        assert isinstance(result, Grant)
         assert trio.current_time() - started < 0.5
         nursery.cancel_scope.cancel()
 
 
-async def test_claims_keep_to_the_budget_of_writes(
+async def test_claims_stay_within_the_write_budget(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # A flood of letters reaches one host. Its writes must not use up the
-    # service's rate, which all hosts and the operators' configuration share.
-    bench = Bench()
+    # Many non-idempotent requests arrive at one host. Its writes must not use up the
+    # key-value service's write rate, which all hosts and operators' changes share.
+    harness = CommitterHarness()
     granted: list[Grant] = []
 
-    async def ask() -> None:
-        verdict = await bench.committer.commit(bench.make_intent(), 3.0)
-        if isinstance(verdict, Grant):
-            granted.append(verdict)
+    async def claim() -> None:
+        result = await harness.committer.commit(harness.make_intent(), 3.0)
+        if isinstance(result, Grant):
+            granted.append(result)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(bench.jobs.run)
+        nursery.start_soon(harness.jobs.run)
         for _ in range(2000):
-            nursery.start_soon(ask)
+            nursery.start_soon(claim)
             await trio.sleep(0.005)
         await trio.sleep(4.0)
         nursery.cancel_scope.cancel()
-    writers = min(MEMBERS, bench.shared.settings.claim_buckets)
+    writers = min(MEMBERS, harness.shared.settings.claim_buckets)
     assert len(granted) == 2000
-    assert len(bench.key_value.calls) <= RATE / writers * 14 + 10
+    assert len(harness.key_value.calls) <= WRITES_PER_SECOND / writers * 14 + 10
--- a/dewridge/tests/requests/delayed_claims_tests.py
+++ b/dewridge/tests/requests/delayed_claims_tests.py
@@ -1,19 +1,19 @@
-"""Claims and releases of a bucket that land late."""
+"""Claims and releases that are written to a bucket late."""
 
 from dewridge.ids import HostId, Incarnation, RequestId
 from dewridge.requests.claims import BucketValue, ClaimIntent, apply_intents
 from dewridge.requests.records import Ballot
 
-LETTER = RequestId("oficina/01890a5d-ac96-774b-bcce-b302099a8057")
+REQUEST = RequestId("oficina/01890a5d-ac96-774b-bcce-b302099a8057")
 
 
 def make_intent(epoch: int, release: bool = False) -> ClaimIntent:
     ballot = Ballot(epoch, HostId("host-1"), Incarnation(7))
-    return ClaimIntent(LETTER, ballot, release)
+    return ClaimIntent(REQUEST, ballot, release)
 
 
 def apply(*intents: ClaimIntent) -> list[bool]:
-    """Apply intents one write at a time, as delayed writes do."""
+    """Apply intents in separate writes; return which of them were granted."""
     value, granted = BucketValue(), []
     for intent in intents:
         value, grants = apply_intents(value, [intent])
@@ -21,12 +21,12 @@
     return granted
 
 
-def test_a_delayed_claim_does_not_come_back_after_its_release() -> None:
-    # The key-value service is down. A letter is given up twice, each time with a
-    # claim still on its way and a release sent behind it. The release of the
-    # second found the first one's mark and left none of its own, so the second
-    # claim, when it landed, stood for good: the caller's third try was denied by
-    # a claim that nobody held, until its deadline.
+def test_delayed_claim_is_not_granted_after_its_release() -> None:
+    # During a key-value service outage two ballots of a request are released, each
+    # while its claim is still in transit. If the second release found the first one's
+    # entry and stored none of its own, the second claim would be granted when it
+    # arrived and remain forever. The third attempt would then be denied until its
+    # deadline by a claim that no host holds.
     first, second, third = make_intent(1), make_intent(2), make_intent(3)
     granted = apply(
         make_intent(1, release=True), make_intent(2, release=True), second, third
@@ -36,8 +36,8 @@
     assert granted == [True, True, False, False]
 
 
-def test_a_release_of_one_ownership_leaves_anothers_claim() -> None:
-    # A host that gave a call up releases it late, when another host has claimed
-    # and sent it. Losing that claim would let the call run twice.
+def test_release_of_one_ballot_keeps_the_claim_of_another() -> None:
+    # A host releases its claim late, after another host has claimed and sent the
+    # request. If the release removed that claim, the request could run twice.
     granted = apply(make_intent(2), make_intent(1, release=True), make_intent(3))
     assert granted == [True, True, False]
--- a/dewridge/tests/requests/history_tests.py
+++ b/dewridge/tests/requests/history_tests.py
@@ -1,4 +1,4 @@
-"""Random faults against several hosts; what callers saw is checked afterwards."""
+"""Random faults on several hosts; afterwards checks what the callers received."""
 
 import os
 import random
@@ -17,24 +17,31 @@
 EXAMPLES = int(os.environ.get("EXAMPLES", "15"))
 OPERATIONS = ("draft_finding", "draft_certificate", "check_status", "issue_letter")
 IDEMPOTENT = ("draft_finding", "check_status")
-PATIENCE = 4.0
-SUBMISSIONS = 4
+CALLER_TIMEOUT = 4.0
+"""Seconds after which a caller stops a submission or a stream and reconnects."""
+MAX_SUBMISSIONS = 4
 
 
 @dataclass
 class Story:
-    """All that one caller did and heard about one key."""
+    """What one caller sent and received for one request key.
+
+    Attributes:
+        number: number of the last submission.
+        results: submission number and code of each failure or end received.
+        seen: the answer as received so far.
+    """
 
     key: RequestKey
     operation: str
     number: int = 0
-    told: list[tuple[int, ResultCode]] = field(default_factory=list)
+    results: list[tuple[int, ResultCode]] = field(default_factory=list)
     seen: Seen = field(default_factory=Seen)
-    is_over: bool = False
+    is_finished: bool = False
 
 
 class Caller:
-    """A caller with one key: it sends, follows, reconnects and sends again."""
+    """A caller with one key that submits, follows, reconnects and submits again."""
 
     def __init__(self, cluster: Cluster, story: Story, seed: int) -> None:
         self._cluster = cluster
@@ -47,26 +54,26 @@
 
     async def run(self) -> None:
         story = self._story
-        while not story.is_over and story.number < SUBMISSIONS:
+        while not story.is_finished and story.number < MAX_SUBMISSIONS:
             story.number += 1
             copies = self._rng.choice((1, 1, 2))
             results: list[Accepted | Failure] = []
             async with trio.open_nursery() as nursery:
                 for _ in range(copies):
-                    nursery.start_soon(self._send, results)
+                    nursery.start_soon(self._submit, results)
             failures = [r for r in results if isinstance(r, Failure)]
-            story.told += [(story.number, failure.code) for failure in failures]
+            story.results += [(story.number, failure.code) for failure in failures]
             if len(failures) < len(results):
                 await self._follow()
             elif len(results) == copies:
-                story.is_over = self._rng.random() < 0.5
+                story.is_finished = self._rng.random() < 0.5
             await trio.sleep(self._rng.random())
-        story.is_over = True
+        story.is_finished = True
 
-    async def _send(self, results: list[Accepted | Failure]) -> None:
+    async def _submit(self, results: list[Accepted | Failure]) -> None:
         story = self._story
         await trio.sleep(self._rng.random() * 0.01)
-        with trio.move_on_after(PATIENCE):
+        with trio.move_on_after(CALLER_TIMEOUT):
             submission = self._cluster.make(
                 story.operation, story.number, story.key, deadline=20
             )
@@ -76,21 +83,21 @@
     async def _follow(self) -> None:
         story = self._story
         for _ in range(12):
-            with trio.move_on_after(PATIENCE):
+            with trio.move_on_after(CALLER_TIMEOUT):
                 await self._cluster.follow(self._choose_host(), story.key, story.seen)
             ended = story.seen.ended
             if ended is not None:
-                story.told.append((story.number, ended.code))
+                story.results.append((story.number, ended.code))
                 outcome = TABLE[ended.code].outcome
-                story.is_over = outcome in (Outcome.DONE, Outcome.FAILED)
-                story.is_over |= self._rng.random() < 0.3
-                if not story.is_over:
+                story.is_finished = outcome in (Outcome.DONE, Outcome.FAILED)
+                story.is_finished |= self._rng.random() < 0.3
+                if not story.is_finished:
                     story.seen = Seen()
                 return
 
 
 class Faults:
-    """Carries out a schedule of faults and mends them at its end."""
+    """Injects a schedule of faults and removes them at its end."""
 
     def __init__(self, cluster: Cluster, rng: random.Random) -> None:
         self._cluster = cluster
@@ -109,7 +116,7 @@
         cluster.key_value.is_down = False
 
     def _choose(self, place: int) -> str | None:
-        """Choose a running host, if enough are left."""
+        """Return a running host, or None if too few are left to stop one."""
         names = [n for n, node in self._cluster.nodes.items() if not node.is_dead]
         name = names[place % len(names)]
         return name if len(names) > 4 and name not in self._paused else None
@@ -165,24 +172,27 @@
 
 
 def check_story(cluster: Cluster, story: Story) -> None:
-    """Check one caller's history against what the workers did."""
+    """Check one caller's history against the runs on the backend servers."""
     runs = cluster.workers.count(story.key)
     if story.operation not in IDEMPOTENT:
-        # A draft stopped for certain may go on elsewhere; it has one whole answer.
+        # A draft whose engine confirmed that it stopped may run again on another
+        # server, but it has only one complete answer.
         is_model = story.operation.startswith("draft")
-        answers = len(cluster.workers.whole.get(story.key, ()))
-        assert (answers if is_model else runs) <= 1, (
+        answer_count = len(cluster.workers.whole.get(story.key, ()))
+        assert (answer_count if is_model else runs) <= 1, (
             f"{story.operation} ran {runs} times: {story}"
         )
-    last = [code for number, code in story.told if number == story.number]
+    last = [code for number, code in story.results if number == story.number]
     if any(TABLE[code].outcome is Outcome.NOT_RUN for code in last):
-        assert runs == 0, f"told not run, ran {runs} times: {story}"
+        assert runs == 0, f"reported as not run, but ran {runs} times: {story}"
     ended = story.seen.ended
     if ended is None or ended.code is not ResultCode.OK:
         return
     if story.operation.startswith("draft"):
-        whole = cluster.workers.whole[story.key]
-        assert story.seen.tokens in whole, f"not one answer: {story}"
+        answers = cluster.workers.whole[story.key]
+        assert story.seen.tokens in answers, (
+            f"tokens are not those of one complete answer: {story}"
+        )
     else:
         assert ended.body == f'"{story.key}"'
 
@@ -195,10 +205,13 @@
 )
 
 
-# Hosts die, pause, wake, lose messages and leave in any order while callers send
-# keys, sometimes twice at once, reconnect and send again. Whatever happens, a
-# call that may not be repeated runs once at most, what was told as not run never
-# runs, and an answer is one whole answer to its own request.
+# Hosts crash, pause, resume, lose messages and leave in any order, while callers
+# submit requests, sometimes twice at once, reconnect and submit again. In all cases a
+# non-idempotent request runs at most once, a request reported as not run never runs,
+# and an answer is one complete answer to its own request.
+#
+# Hypothesis derives the examples from this function's source text: any change of its
+# name or body, also of an identifier, selects other examples.
 @settings(max_examples=EXAMPLES, derandomize=True, deadline=None)
 @given(faults=FAULTS, seed=st.integers(0, 10_000))
 def test_histories_under_faults(
