--- a/dewridge/requests/committer.py
+++ b/dewridge/requests/committer.py
@@ -41,7 +41,11 @@
 
 @dataclass
 class PendingIntent:
-    """An intent that waits for the next write of its bucket."""
+    """An intent that waits for the next write of its bucket.
+
+    Attributes:
+        expires: time on trio's clock after which the intent is not written.
+    """
 
     intent: ClaimIntent
     expires: float
@@ -138,7 +142,7 @@
     def _is_current(self, pending: PendingIntent) -> bool:
         """Whether an intent has not expired and its host is still a live member.
 
-        Releases are kept regardless of their host. Claims of crashed hosts that
+        Releases are written even if their host is down. Claims of crashed hosts that
         accumulate during an outage must not be written after it: the claims would
         belong to departed holders, and callers would be sent "unknown" for requests
         that no host ever sent.
--- a/dewridge/requests/copying.py
+++ b/dewridge/requests/copying.py
@@ -1,4 +1,4 @@
-"""Offering a new record to its replicas before the request is accepted."""
+"""Offers a new record to its replicas before the request is accepted."""
 
 from dataclasses import dataclass, field, replace
 from typing import Any
