--- a/dewridge/tests/requests/claims_tests.py
+++ b/dewridge/tests/requests/claims_tests.py
@@ -47,7 +47,7 @@
 
 # A request key is sent again after its claim was deleted with its time window. If it
 # were accepted, the request could run a second time. A retry with an old key gets
-# "unknown", because it can't be told whether the request ran.
+# "unknown", because it is not known whether the request ran.
 def test_old_and_future_keys_are_rejected() -> None:
     key = RequestKey("01a3185c-500a-7209-a29f-6fbed82c07cd")
     created = int(key.replace("-", "")[:12], 16) / 1000
--- a/dewridge/tests/requests/history_tests.py
+++ b/dewridge/tests/requests/history_tests.py
@@ -106,61 +106,61 @@
 
     async def run(self, faults: list[tuple[str, int, float]]) -> None:
         cluster = self._cluster
-        for kind, place, gap in faults:
+        for kind, index, gap in faults:
             await trio.sleep(gap)
-            getattr(self, f"do_{kind}")(place)
+            getattr(self, f"do_{kind}")(index)
         for name in self._paused:
             cluster.resume(name)
         cluster.cut.clear()
         cluster.loss = 0.0
         cluster.key_value.is_down = False
 
-    def _choose(self, place: int) -> str | None:
+    def _choose(self, index: int) -> str | None:
         """Return a running host, or None if too few are left to stop one."""
         names = [n for n, node in self._cluster.nodes.items() if not node.is_dead]
-        name = names[place % len(names)]
+        name = names[index % len(names)]
         return name if len(names) > 4 and name not in self._paused else None
 
-    def do_kill(self, place: int) -> None:
-        name = self._choose(place)
+    def do_kill(self, index: int) -> None:
+        name = self._choose(index)
         if name:
             self._cluster.kill(name)
 
-    def do_start(self, place: int) -> None:
+    def do_start(self, index: int) -> None:
         name = f"new-{len(self._cluster.nodes)}"
-        self._cluster.start(name, DOMAINS[place % 4])
+        self._cluster.start(name, DOMAINS[index % 4])
 
-    def do_pause(self, place: int) -> None:
-        name = self._choose(place)
+    def do_pause(self, index: int) -> None:
+        name = self._choose(index)
         if name and len(self._paused) < 2:
             self._paused.append(name)
             self._cluster.pause(name)
 
-    def do_resume(self, place: int) -> None:
+    def do_resume(self, index: int) -> None:
         if self._paused:
             self._cluster.resume(self._paused.pop(0))
 
-    def do_cut(self, place: int) -> None:
+    def do_cut(self, index: int) -> None:
         names = list(self._cluster.nodes)
-        self._cluster.cut.add((names[place % len(names)], self._rng.choice(names)))
+        self._cluster.cut.add((names[index % len(names)], self._rng.choice(names)))
 
-    def do_loss(self, place: int) -> None:
-        self._cluster.loss = 0.05 if place % 2 else 0.0
+    def do_loss(self, index: int) -> None:
+        self._cluster.loss = 0.05 if index % 2 else 0.0
 
-    def do_heal(self, place: int) -> None:
+    def do_heal(self, index: int) -> None:
         self._cluster.cut.clear()
 
-    def do_outage(self, place: int) -> None:
-        self._cluster.key_value.is_down = bool(place % 2)
+    def do_outage(self, index: int) -> None:
+        self._cluster.key_value.is_down = bool(index % 2)
 
-    def do_lost_answers(self, place: int) -> None:
+    def do_lost_answers(self, index: int) -> None:
         self._cluster.key_value.lose_answers += 2
 
-    def do_broken(self, place: int) -> None:
+    def do_broken(self, index: int) -> None:
         self._cluster.workers.lose_answers += 1
 
-    def do_drain(self, place: int) -> None:
-        name = self._choose(place)
+    def do_drain(self, index: int) -> None:
+        name = self._choose(index)
         if name:
             self._cluster.announce_leaving(name)
             self._cluster.nursery.start_soon(drain, self._cluster, name)
