--- a/dewridge/requests/acceptance.py
+++ b/dewridge/requests/acceptance.py
@@ -295,8 +295,8 @@
         supersedes = 0
         for _ in range(MAX_CONFLICT_ROUNDS):
             copies = await offer_copies(self._shared, answer, supersedes)
-            if copies.known:
-                known = max(copies.known, key=lambda found: found.ballot)
+            if copies.conflicting:
+                known = max(copies.conflicting, key=lambda found: found.ballot)
                 resolved = await self._resolve_conflict(answer, known)
                 if resolved is not None:
                     return resolved
@@ -378,7 +378,7 @@
         record.maybe_run = record.maybe_run or known.maybe_run
         record.ballot = self._shared.make_ballot(record.request, known.ballot.epoch)
         record.generation = make_generation(record.ballot)
-        answer.acked.clear()
+        answer.acked_tokens.clear()
         self._shared.metrics.add("requests_supersede")
 
     async def _withdraw(self, answer: Answer) -> None:
@@ -396,7 +396,7 @@
     def _remove(self, answer: Answer) -> None:
         self._scheduling.withdraw(answer.record)
         self._replicator.remove(answer)
-        answer.lose()
+        answer.mark_lost()
 
     async def _abandon(self, answer: Answer) -> Accepted | Failure:
         record = answer.record
--- a/dewridge/requests/replication.py
+++ b/dewridge/requests/replication.py
@@ -118,7 +118,7 @@
         if set(after) != set(before):
             self._shared.metrics.add("requests_rereplicated")
             for host in set(before) - set(after):
-                answer.acked.pop(host, None)
+                answer.acked_tokens.pop(host, None)
             if answer.replace_replicas(set(after)):
                 self.begin_generation(answer)
             for host in after:
@@ -130,9 +130,9 @@
         This is needed if a replica may hold more tokens of the present generation.
         """
         renew_generation(answer.record)
-        answer.acked.clear()
-        answer.visible = 0
-        answer.note_change()
+        answer.acked_tokens.clear()
+        answer.visible_tokens = 0
+        answer.notify_followers()
         for host in answer.record.replicas:
             self._get_sender(host).queue_full_record(answer.record.request)
 
@@ -146,7 +146,7 @@
         self.queue_update(answer)
         with trio.move_on_after(self._shared.settings.replica_timeout):
             while not answer.end_visible and not answer.lost:
-                await answer.wait_change()
+                await answer.wait_for_change()
         if answer.end_visible or answer.lost:
             return
         record = answer.record
@@ -237,10 +237,10 @@
             answer = self._replicator.find(request)
             if answer is None or answer.lost:
                 continue
-            if self._host not in answer.acked:
+            if self._host not in answer.acked_tokens:
                 self._pending_records[request] = None
                 continue
-            run = make_token_run(answer.record, answer.acked[self._host])
+            run = make_token_run(answer.record, answer.acked_tokens[self._host])
             count += len(run.tokens)
             batch.append((answer, run))
         return batch
@@ -276,7 +276,7 @@
             tokens = len(message.tokens)
             ended = message.ended is not None
             answer.acknowledge(self._host, generation, tokens, ended)
-            answer.trust(self._host, set(message.record.replicas))
+            answer.extend_trusted(self._host, set(message.record.replicas))
             self._pending_updates[answer.record.request] = None
         else:
             self._handle_superseded(answer, reply)
@@ -307,7 +307,7 @@
             self._host,
         )
         self._shared.metrics.add("requests_superseded")
-        answer.lose()
+        answer.mark_lost()
         self._replicator.remove(answer)
         self._shared.table.drop_superseded(answer.record, self._shared.clock())
         self._replicator.on_superseded(answer.record)
--- a/dewridge/requests/taking.py
+++ b/dewridge/requests/taking.py
@@ -2,7 +2,7 @@
 
 from dewridge.peers.model import PeerIdentity
 from dewridge.peers.wire import ttypes as wire
-from dewridge.requests.answers import Answer, adopt, renew_generation
+from dewridge.requests.answers import Answer, renew_generation, take_ownership
 from dewridge.requests.attempts import Attempts
 from dewridge.requests.claiming import Claimer
 from dewridge.requests.codec import decode_record
@@ -57,7 +57,7 @@
                 claim and has promised not to send the call.
         """
         ballot = self._shared.make_ballot(record.request, record.ballot.epoch)
-        adopt(record, ballot, keep_generation=True)
+        take_ownership(record, ballot, keep_generation=True)
         before = set(record.replicas)
         self._shared.table.put(record)
         self._replicator.assign_replicas(record)
@@ -86,6 +86,6 @@
         has departed, and the caller would get "unknown" for a call never sent.
         """
         record = answer.record
-        await self._claims.void(record.request, released)
+        await self._claims.write_release(record.request, released)
         if not answer.lost and record.ended is None:
             self._attempts.queue(answer)
