--- a/dewridge/gateway/__main__.py
+++ b/dewridge/gateway/__main__.py
@@ -24,7 +24,7 @@
     return errors, []
 
 
-def load_gateway(path: Path) -> LoadedSettings[GatewaySettings]:
+def load_gateway_settings(path: Path) -> LoadedSettings[GatewaySettings]:
     """Read a gateway's settings."""
     return load_file(path, GatewaySettings, check_gateway)
 
@@ -32,13 +32,13 @@
 def run() -> int:
     """Run a gateway; returns the status of the process."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
-    loaded = load_gateway(path)
+    loaded = load_gateway_settings(path)
     for problem in (*loaded.errors, *loaded.warnings):
         print(f"{problem.path}: {problem.text}", file=sys.stderr)
     if loaded.settings is None:
         return USAGE_STATUS
     set_up_logs(loaded.settings.log.level, loaded.settings.host.id)
-    trio.run(run_gateway, loaded.settings, path, load_gateway)
+    trio.run(run_gateway, loaded.settings, path, load_gateway_settings)
     return 0
 
 
--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -6,10 +6,10 @@
 from dewridge.codes import ResultCode
 from dewridge.gateway.events import EventSplitter
 from dewridge.gateway.forwarding import (
-    Lost,
-    OpenAnswer,
-    WholeAnswer,
-    read_whole,
+    CompleteAnswer,
+    LostAttempt,
+    StreamedAnswer,
+    read_complete_answer,
     send_request,
 )
 from dewridge.gateway.jobs import Continuation, Job, compute_engine_priority
@@ -98,7 +98,7 @@
         choice: ServerChoice,
         continuation: Continuation | None,
         out: Responder,
-    ) -> Lost | None:
+    ) -> LostAttempt | None:
         server = choice.server
         job.tried_servers.append(server.id)
         work = self._state.work
@@ -115,7 +115,9 @@
             self._record_prompt_read(job, server)
             work.remove(server.id, is_suspect=choice.is_suspect)
             seconds = trio.current_time() - job.sent_at
-            self._state.rollouts.note_attempt(job.route.name, server, seconds, result)
+            self._state.rollouts.record_attempt_end(
+                job.route.name, server, seconds, result
+            )
 
     def _record_prompt_read(self, job: Job, server: ServerRecord) -> None:
         self._state.work.record_prompt_read(server.id, job.unread_tokens)
@@ -127,28 +129,28 @@
         server: ServerRecord,
         continuation: Continuation | None,
         out: Responder,
-    ) -> Lost | None:
+    ) -> LostAttempt | None:
         answer = await self._send(job, server, continuation)
-        if isinstance(answer, Lost):
+        if isinstance(answer, LostAttempt):
             return answer
         job.may_have_run = True
         is_stream = job.route.kind is RouteKind.STREAM
         if is_stream and answer.head.status == 200:
             return await self._relay_stream(job, server, answer, out)
-        complete = await read_whole(answer)
-        if isinstance(complete, Lost):
+        complete = await read_complete_answer(answer)
+        if isinstance(complete, LostAttempt):
             return complete
-        if out.has_begun:
+        if out.has_started:
             # This server failed to continue a stream. The caller already has the head
             # of a successful answer, so only a cut connection can show the failure.
-            return Lost(
+            return LostAttempt(
                 LossReason.FAILED,
                 f"status {complete.head.status}",
                 complete.head.status,
             )
         self._count_usage(job)
         if complete.head.status >= 500 and self._may_retry(job):
-            return Lost(
+            return LostAttempt(
                 LossReason.FAILED,
                 f"status {complete.head.status}",
                 complete.head.status,
@@ -158,7 +160,7 @@
 
     async def _send(
         self, job: Job, server: ServerRecord, continuation: Continuation | None
-    ) -> OpenAnswer | Lost:
+    ) -> StreamedAnswer | LostAttempt:
         now = trio.current_time()
         job.possible_runs += 1
         job.sent_at = now
@@ -172,7 +174,7 @@
             memory=continuation.memory if continuation else None,
             keeper=job.cache_holder,
         )
-        answer: OpenAnswer | Lost = Lost(LossReason.CUT_OFF, "silent")
+        answer: StreamedAnswer | LostAttempt = LostAttempt(LossReason.CUT_OFF, "silent")
         with trio.move_on_after(self._find_silence_timeout(job)):
             answer = await send_request(
                 job.request,
@@ -181,11 +183,11 @@
                 self._state.pool,
                 must_arrive=not job.route.is_repeatable,
             )
-        if isinstance(answer, OpenAnswer):
+        if isinstance(answer, StreamedAnswer):
             seconds = trio.current_time() - now
             metrics = self._state.metrics
             metrics.observe(SERVER_ANSWER_TIME_METRIC, seconds, server=server.id)
-        if isinstance(answer, Lost) and answer.is_not_run:
+        if isinstance(answer, LostAttempt) and answer.is_not_run:
             job.possible_runs -= 1
         else:
             job.may_have_run = True
@@ -214,7 +216,7 @@
         )
 
     async def _forward_answer(
-        self, job: Job, server: ServerRecord, answer: WholeAnswer, out: Responder
+        self, job: Job, server: ServerRecord, answer: CompleteAnswer, out: Responder
     ) -> None:
         health = self._state.find_health(server.id)
         if answer.head.status >= 500:
@@ -223,11 +225,11 @@
             health.record_success(trio.current_time())
             record_answer(self._state, job)
         headers = clean_answer_headers(answer.head.headers)
-        await out.send_whole(answer.head.status, headers, answer.body)
+        await out.send_complete(answer.head.status, headers, answer.body)
 
     async def _relay_stream(
-        self, job: Job, server: ServerRecord, answer: OpenAnswer, out: Responder
-    ) -> Lost | None:
+        self, job: Job, server: ServerRecord, answer: StreamedAnswer, out: Responder
+    ) -> LostAttempt | None:
         splitter = EventSplitter()
         stream = self._open_stream(server)
         try:
@@ -239,9 +241,9 @@
                     piece = await answer.receive()
                 if scope.cancelled_caught:
                     if job.continuation is not None:
-                        return Lost(LossReason.MOVED, job.continuation.server.id)
+                        return LostAttempt(LossReason.MOVED, job.continuation.server.id)
                     if not stream.is_due(trio.current_time()):
-                        return Lost(LossReason.CUT_OFF, "silent")
+                        return LostAttempt(LossReason.CUT_OFF, "silent")
                     await self._move_stream(job, server, stream)
                     continue
                 if piece is None:
@@ -250,17 +252,17 @@
                 await self._forward_events(job, splitter, piece, answer, out)
         except ConnectionBrokenError as error:
             if job.continuation is not None:
-                return Lost(LossReason.MOVED, job.continuation.server.id)
-            return Lost(LossReason.CUT_OFF, str(error))
+                return LostAttempt(LossReason.MOVED, job.continuation.server.id)
+            return LostAttempt(LossReason.CUT_OFF, str(error))
         finally:
             self._state.streams.unregister(server.id, stream)
             answer.close()
         job.continuation = None
         self._state.find_health(server.id).record_success(trio.current_time())
         if splitter.remainder:
-            return Lost(LossReason.CUT_OFF, "ended within an event")
-        if not out.has_begun:
-            await out.begin(200, clean_answer_headers(answer.head.headers))
+            return LostAttempt(LossReason.CUT_OFF, "ended within an event")
+        if not out.has_started:
+            await out.send_head(200, clean_answer_headers(answer.head.headers))
         record_answer(self._state, job)
         await out.finish()
         return None
@@ -312,7 +314,7 @@
         job: Job,
         splitter: EventSplitter,
         piece: bytes,
-        answer: OpenAnswer,
+        answer: StreamedAnswer,
         out: Responder,
     ) -> None:
         new_events = []
@@ -332,9 +334,9 @@
         if job.first_event_at is None:
             job.first_event_at = job.last_event_at
             self._record_pace(job, job.first_event_at)
-        if not out.has_begun:
-            await out.begin(200, clean_answer_headers(answer.head.headers))
-        await out.send_piece(b"".join(new_events))
+        if not out.has_started:
+            await out.send_head(200, clean_answer_headers(answer.head.headers))
+        await out.send_body_part(b"".join(new_events))
 
     def _record_pace(self, job: Job, now: float) -> None:
         if job.pace_timed_from is not None:
@@ -346,7 +348,9 @@
             job.is_usage_counted = True
             self._state.count_usage(job.account.name if job.account else None)
 
-    def _decide_retry(self, job: Job, lost: Lost, out: Responder) -> Failure | None:
+    def _decide_retry(
+        self, job: Job, lost: LostAttempt, out: Responder
+    ) -> Failure | None:
         """Return the failure to report, or None to try another server."""
         if lost.loss is LossReason.MOVED:
             return None
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -23,18 +23,22 @@
 from dewridge.gateway.duties import HolderElection
 from dewridge.gateway.echoes import SentReportTimes
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
-from dewridge.gateway.ingress import IngressState, Serve, handle_caller
+from dewridge.gateway.ingress import IngressState, RequestHandler, serve_connection
 from dewridge.gateway.leaving import leave_fleet
 from dewridge.gateway.measures import count_store_call, observe_dependency_call
 from dewridge.gateway.model import Limits
 from dewridge.gateway.operations import Operations
 from dewridge.gateway.pool import ConnectionPool
-from dewridge.gateway.reloading import Load, SettingsFile, find_trusted_time
+from dewridge.gateway.reloading import (
+    SettingsFile,
+    SettingsLoader,
+    compute_trust_period,
+)
 from dewridge.gateway.reports import REPORTED_WINDOWS
 from dewridge.gateway.rolloutduty import RolloutDuty
 from dewridge.gateway.scaling import ScalingDuty
 from dewridge.gateway.servers import ServerTable
-from dewridge.gateway.serving import Serving
+from dewridge.gateway.serving import RequestProcessor
 from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.sharinglink import Recipients, ReportLink
 from dewridge.gateway.state import GatewayState
@@ -63,7 +67,9 @@
 Task = Callable[[], Awaitable[None]]
 
 
-async def run_gateway(settings: GatewaySettings, path: Path, load: Load) -> None:
+async def run_gateway(
+    settings: GatewaySettings, path: Path, load: SettingsLoader
+) -> None:
     """Run a gateway until it is told to leave and has left.
 
     Args:
@@ -80,7 +86,9 @@
 class _Gateway:
     """Holds the parts while they run."""
 
-    def __init__(self, settings: GatewaySettings, path: Path, load: Load) -> None:
+    def __init__(
+        self, settings: GatewaySettings, path: Path, load: SettingsLoader
+    ) -> None:
         self._settings = settings
         services = settings.services
         metrics = Metrics()
@@ -148,7 +156,7 @@
             self._tenancy.handle_restore,
             self._keeper.handle_restore,
         ]
-        self._listeners: list[tuple[trio.SocketListener, Serve]] = []
+        self._listeners: list[tuple[trio.SocketListener, RequestHandler]] = []
 
     def _make_state(self, metrics: Metrics) -> GatewayState:
         settings = self._settings
@@ -164,7 +172,7 @@
             settings=settings,
             host=host,
             boot=boot,
-            configuration=ConfigurationState(find_trusted_time(settings)),
+            configuration=ConfigurationState(compute_trust_period(settings)),
             servers=ServerTable(),
             hosts=HostTable(host),
             sharing=SharedReports(
@@ -194,12 +202,12 @@
 
     async def open(self, stack: AsyncExitStack) -> None:
         """Open what must be closed again, all on one stack."""
-        serving = Serving(self._state)
+        serving = RequestProcessor(self._state)
         directory = Directory(self._state)
         listen = self._settings.listen
         await self._socket.bind()
         stack.callback(self._socket.close)
-        places: list[tuple[str, Serve]] = [
+        places: list[tuple[str, RequestHandler]] = [
             (listen.callers, serving.serve),
             (listen.readiness, directory.serve),
         ]
@@ -225,7 +233,7 @@
                 async for number in signals:
                     if number == signal.SIGTERM:
                         break
-                    self._file.look_now()
+                    self._file.poll_now()
                 await leave_fleet(self._state, self._registration, self._tenancy)
             nursery.cancel_scope.cancel()
         log.info("stopped")
@@ -245,7 +253,7 @@
             state.rollouts.apply_order,
         )
         rollouts = RolloutDuty(state, self._tenancy, self._store)
-        self._era.on_restored.append(rollouts.note_restored)
+        self._era.on_restored.append(rollouts.handle_restore)
         state.sharing.on_outcomes = state.rollouts.add_remote_count
         state.sharing.is_outcome_open = state.rollouts.is_outcome_open
         state.sharing.on_token_demand = state.record_remote_demand
@@ -261,7 +269,7 @@
         state.on_suspects_changed = partial(
             self._link.schedule_urgent_send, Recipients.ALL
         )
-        state.hosts.on_item = fan_out(self._keeper.apply_item, rollouts.take)
+        state.hosts.on_item = fan_out(self._keeper.apply_item, rollouts.apply_item)
         hosts = HostWatcher(
             self._store,
             self._watch_store,
@@ -288,7 +296,7 @@
             *self._list_duties(rollouts),
         ]
         for number, (listener, serve) in enumerate(self._listeners):
-            handler = partial(handle_caller, shared=state.ingress, serve=serve)
+            handler = partial(serve_connection, shared=state.ingress, serve=serve)
             tasks.append((f"listener-{number}", partial(accept, listener, handler)))
         return tasks
 
--- a/dewridge/gateway/directory.py
+++ b/dewridge/gateway/directory.py
@@ -25,7 +25,7 @@
 JSON = [(b"content-type", b"application/json")]
 
 
-def find_answer_ttl(state: GatewayState) -> float:
+def find_address_ttl(state: GatewayState) -> float:
     """Return the seconds that callers may keep a list of addresses."""
     ttl = CELL_ANSWER_TTL if state.sharing.has_cells else ANSWER_TTL
     return min(ttl, state.settings.bounds.answer_ttl)
@@ -51,7 +51,7 @@
 
     async def _tell_readiness(self, out: Responder) -> None:
         is_ready = self._state.is_ready
-        await out.send_whole(200 if is_ready else 503, JSON, b"{}")
+        await out.send_complete(200 if is_ready else 503, JSON, b"{}")
 
     async def _tell_addresses(self, out: Responder) -> None:
         addresses = self.list_addresses()
@@ -59,8 +59,8 @@
             failure = Failure(ResultCode.NO_BACKEND_SERVER, "no host is ready", 0.3)
             await send_failure(out, failure)
             return
-        ttl = find_answer_ttl(self._state)
-        await out.send_whole(200, JSON, encode_addresses(addresses, ttl))
+        ttl = find_address_ttl(self._state)
+        await out.send_complete(200, JSON, encode_addresses(addresses, ttl))
 
     def list_addresses(self) -> list[str]:
         """Return the addresses of hosts that are ready and heard.
--- a/dewridge/gateway/forwarding.py
+++ b/dewridge/gateway/forwarding.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LostAttempt:
     """An attempt without an answer; `is_not_run` is proved, not guessed."""
 
     loss: LossReason
@@ -39,14 +39,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """A complete answer of a backend server."""
 
     head: ResponseHead
     body: bytes
 
 
-class OpenAnswer:
+class StreamedAnswer:
     """An answer whose body still comes; its owner must `close` it."""
 
     def __init__(
@@ -88,7 +88,7 @@
     pool: ConnectionPool,
     *,
     must_arrive: bool,
-) -> OpenAnswer | Lost:
+) -> StreamedAnswer | LostAttempt:
     """Send a request to a server and wait for the head of its answer.
 
     Args:
@@ -103,7 +103,7 @@
     if connection is None:
         connection = await pool.open(server)
     if connection is None:
-        return Lost(LossReason.NOT_CONNECTED)
+        return LostAttempt(LossReason.NOT_CONNECTED)
     is_kept = False
     try:
         head = await _exchange(connection, request, dispatch)
@@ -111,12 +111,12 @@
         if lost is not None:
             return lost
         is_kept = True
-        return OpenAnswer(head, connection, server, pool)
+        return StreamedAnswer(head, connection, server, pool)
     except ConnectionBrokenError as error:
         if is_reused:
             pool.handle_broken(server)
         loss = LossReason.MALFORMED if error.is_framing_fault else LossReason.CUT_OFF
-        return Lost(loss, str(error))
+        return LostAttempt(loss, str(error))
     finally:
         if not is_kept:
             connection.close()
@@ -157,7 +157,7 @@
 
 def judge_head(
     head: ResponseHead, request: CallerRequest, *, is_reused: bool
-) -> Lost | None:
+) -> LostAttempt | None:
     """Return why an answer can't be passed on, if so.
 
     A server may send a second answer to an earlier request; it is read where this
@@ -166,27 +166,27 @@
     """
     answered = read_answered_request(head)
     if answered is not None and answered != request.id:
-        return Lost(LossReason.MISMATCHED, f"names {answered[:40]}")
+        return LostAttempt(LossReason.MISMATCHED, f"names {answered[:40]}")
     if answered is None and is_reused:
-        return Lost(LossReason.MISMATCHED, "names no request")
+        return LostAttempt(LossReason.MISMATCHED, "names no request")
     if is_another_server(head):
-        return Lost(LossReason.OTHER_SERVER, status=head.status)
+        return LostAttempt(LossReason.OTHER_SERVER, status=head.status)
     if says_not_executed(head):
-        return Lost(LossReason.REJECTED, status=head.status)
+        return LostAttempt(LossReason.REJECTED, status=head.status)
     if 200 <= head.status < 300:
         return _judge_success(head, is_named=answered is not None)
     return None
 
 
-def _judge_success(head: ResponseHead, *, is_named: bool) -> Lost | None:
+def _judge_success(head: ResponseHead, *, is_named: bool) -> LostAttempt | None:
     if not (is_named and has_signature(head)):
-        return Lost(LossReason.MALFORMED, "a success without its marks")
+        return LostAttempt(LossReason.MALFORMED, "a success without its marks")
     if head.find(b"content-encoding") is not None:
-        return Lost(LossReason.MALFORMED, "an encoded body")
+        return LostAttempt(LossReason.MALFORMED, "an encoded body")
     return None
 
 
-async def read_whole(answer: OpenAnswer) -> WholeAnswer | Lost:
+async def read_complete_answer(answer: StreamedAnswer) -> CompleteAnswer | LostAttempt:
     """Read an answer to its end and give its connection back."""
     pieces: list[bytes] = []
     size = 0
@@ -195,10 +195,10 @@
             pieces.append(piece)
             size += len(piece)
             if size > WHOLE_ANSWER_LIMIT:
-                return Lost(LossReason.MALFORMED, "the answer is too large")
-        return WholeAnswer(answer.head, b"".join(pieces))
+                return LostAttempt(LossReason.MALFORMED, "the answer is too large")
+        return CompleteAnswer(answer.head, b"".join(pieces))
     except ConnectionBrokenError as error:
         loss = LossReason.MALFORMED if error.is_framing_fault else LossReason.CUT_OFF
-        return Lost(loss, str(error))
+        return LostAttempt(loss, str(error))
     finally:
         answer.close()
--- a/dewridge/gateway/ingress.py
+++ b/dewridge/gateway/ingress.py
@@ -10,13 +10,13 @@
 
 from dewridge.codes import TABLE, ResultCode
 from dewridge.gateway.model import AccountKey, AttemptKey, CallerRequest, Limits
-from dewridge.gateway.responder import CallerGoneError, Responder
+from dewridge.gateway.responder import CallerDisconnectedError, Responder
 from dewridge.http1.headers import find_framing_fault
 from dewridge.http1.sockets import has_input
 from dewridge.platform.headers import read_marks
 from dewridge.sentinels import Failure
 
-Serve = Callable[[CallerRequest, Responder], Awaitable[None]]
+RequestHandler = Callable[[CallerRequest, Responder], Awaitable[None]]
 
 RECEIVE_BYTES = 32_768
 PIPELINED_BYTES = 65_536
@@ -52,7 +52,7 @@
     requests: int = 0
     _waiting: set[trio.CancelScope] = field(default_factory=set)
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close all connections that wait for a request, now and from now on."""
         self.closes_idle = True
         for scope in self._waiting:
@@ -77,7 +77,7 @@
     """Owns one connection from its acceptance to its end."""
 
     def __init__(
-        self, stream: trio.SocketStream, shared: IngressState, serve: Serve
+        self, stream: trio.SocketStream, shared: IngressState, serve: RequestHandler
     ) -> None:
         self._stream = stream
         self._shared = shared
@@ -94,7 +94,7 @@
         try:
             while await self._answer_one():
                 self._state.start_next_cycle()
-        except (_EndedError, CallerGoneError):
+        except (_EndedError, CallerDisconnectedError):
             return
 
     async def _answer_one(self) -> bool:
@@ -225,7 +225,7 @@
             nursery.start_soon(self._watch_caller, nursery.cancel_scope)
             try:
                 await self._serve(request, out)
-            except CallerGoneError:
+            except CallerDisconnectedError:
                 is_gone = True
             nursery.cancel_scope.cancel()
         if is_gone:
@@ -299,11 +299,11 @@
     if failure.retry_after is not None:
         headers.append((b"retry-after", f"{failure.retry_after:.3f}".encode()))
     text = f"{failure.code.name}: {failure.reason}\n".encode("ascii", "replace")
-    await responder.send_whole(TABLE[failure.code].http_status, headers, text)
+    await responder.send_complete(TABLE[failure.code].http_status, headers, text)
 
 
-async def handle_caller(
-    stream: trio.SocketStream, shared: IngressState, serve: Serve
+async def serve_connection(
+    stream: trio.SocketStream, shared: IngressState, serve: RequestHandler
 ) -> None:
     """Run one accepted connection; a fault ends it alone."""
     if shared.connections >= shared.connection_limit:
--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger as log
 
-from dewridge.gateway.forwarding import Lost
+from dewridge.gateway.forwarding import LostAttempt
 from dewridge.gateway.jobs import Job
 from dewridge.gateway.model import ServerRecord
 from dewridge.gateway.state import GatewayState
@@ -40,7 +40,7 @@
         self._state = state
         self._probes: dict[BackendServerId, _Probe] = {}
 
-    async def handle(self, job: Job, server: ServerRecord, lost: Lost) -> None:
+    async def handle(self, job: Job, server: ServerRecord, lost: LostAttempt) -> None:
         """Apply what a lost attempt shows about its server and about its request."""
         state = self._state
         now = trio.current_time()
@@ -116,7 +116,7 @@
         self,
         job: Job,
         server: ServerRecord,
-        lost: Lost,
+        lost: LostAttempt,
         reach: ConnectResult | None,
         now: float,
     ) -> None:
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -33,7 +33,7 @@
 
 def classify_outcome(out: Responder) -> str:
     """Return the label value for the answer that a caller got."""
-    if not out.has_begun:
+    if not out.has_started:
         return "none"
     if not out.is_finished:
         return "cut"
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -11,7 +11,7 @@
 from dewridge.gateway.model import CallerRequest
 from dewridge.gateway.reports import RolloutProgress
 from dewridge.gateway.responder import Responder
-from dewridge.gateway.rollouts import describe_evidence, find_elapsed
+from dewridge.gateway.rollouts import compute_elapsed, describe_evidence
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import clear_suspect
 from dewridge.ids import RequestDigest
@@ -35,8 +35,8 @@
         if request.path == METRICS_PATH:
             await self._send_metrics(out)
         elif request.path == DUMP_PATH:
-            body = msgspec.json.encode(describe(self._state), enc_hook=str)
-            await out.send_whole(200, [(b"content-type", b"application/json")], body)
+            body = msgspec.json.encode(describe_state(self._state), enc_hook=str)
+            await out.send_complete(200, [(b"content-type", b"application/json")], body)
         elif is_let_through(request):
             await self._let_through(request, out)
         else:
@@ -46,7 +46,7 @@
     async def _let_through(self, request: CallerRequest, out: Responder) -> None:
         digest = RequestDigest(request.path.removeprefix(LET_THROUGH_PATH))
         if clear_suspect(self._state, digest, "operator"):
-            await out.send_whole(200, [], b"")
+            await out.send_complete(200, [], b"")
             return
         failure = Failure(ResultCode.UNKNOWN_REQUEST, "no such suspect")
         await send_failure(out, failure)
@@ -57,7 +57,7 @@
 
         update_gauges(self._state)
         headers = [(b"content-type", CONTENT_TYPE.encode())]
-        await out.send_whole(200, headers, expose(self._state.metrics))
+        await out.send_complete(200, headers, expose(self._state.metrics))
 
 
 def is_let_through(request: CallerRequest) -> bool:
@@ -65,7 +65,7 @@
     return request.method == b"DELETE" and request.path.startswith(LET_THROUGH_PATH)
 
 
-def describe(state: GatewayState) -> dict[str, Any]:
+def describe_state(state: GatewayState) -> dict[str, Any]:
     """Return what this process believes, without keys, prompts or answers."""
     now = trio.current_time()
     return {
@@ -144,7 +144,7 @@
         "stage": progress.stage.value,
         "stage_here": stage.value if stage else "",
         "share": progress.share,
-        "elapsed_seconds": round(find_elapsed(progress), 1),
+        "elapsed_seconds": round(compute_elapsed(progress), 1),
         "duration_seconds": progress.duration,
         **describe_evidence(state.rollouts.find_evidence(progress.order)),
     }
--- a/dewridge/gateway/reloading.py
+++ b/dewridge/gateway/reloading.py
@@ -17,10 +17,10 @@
 is trusted without a word from the store. The rest is for a request that was read just
 before, and for clocks that are read late on a busy host."""
 
-Load = Callable[[Path], LoadedSettings[GatewaySettings]]
+SettingsLoader = Callable[[Path], LoadedSettings[GatewaySettings]]
 
 
-def find_trusted_time(settings: GatewaySettings) -> float:
+def compute_trust_period(settings: GatewaySettings) -> float:
     """Return the seconds for which a confirmed configuration is trusted."""
     if not settings.bounds.fails_closed:
         return float("inf")
@@ -39,7 +39,7 @@
     def __init__(
         self,
         path: Path,
-        load: Load,
+        load: SettingsLoader,
         configuration: ConfigurationState,
         apply: Callable[[GatewaySettings], None],
         current: GatewaySettings,
@@ -52,7 +52,7 @@
         self._raw = self._read()
         self._wake = trio.Event()
 
-    def look_now(self) -> None:
+    def poll_now(self) -> None:
         """Look at the file at once: a signal told of a change."""
         self._wake.set()
 
@@ -86,6 +86,6 @@
         if loaded.settings.listen != self._current.listen:
             log.warning("changed addresses take a restart")
         self._current = loaded.settings
-        self._configuration.set_trust_period(find_trusted_time(loaded.settings))
+        self._configuration.set_trust_period(compute_trust_period(loaded.settings))
         self._apply(loaded.settings)
         log.info("settings reloaded")
--- a/dewridge/gateway/responder.py
+++ b/dewridge/gateway/responder.py
@@ -8,7 +8,7 @@
 REASONS = {421: b"Misdirected Request", 431: b"Request Header Fields Too Large"}
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller's connection ended; nobody waits for the answer."""
 
 
@@ -22,10 +22,10 @@
         self._state = state
         self._closes = closes
         self.status = 0
-        self.has_begun = False
+        self.has_started = False
         self.is_finished = False
 
-    async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete answer."""
         headers = [*headers, (b"content-length", str(len(body)).encode())]
         data = self._begin(status, headers)
@@ -35,11 +35,11 @@
         await self._write(data)
         self.is_finished = True
 
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def send_head(self, status: int, headers: Headers) -> None:
         """Send the head of an answer whose body follows in pieces."""
         await self._write(self._begin(status, headers))
 
-    async def send_piece(self, piece: bytes) -> None:
+    async def send_body_part(self, piece: bytes) -> None:
         """Send a part of the body."""
         await self._write(self._state.send(h11.Data(data=piece)) or b"")
 
@@ -51,7 +51,7 @@
     def _begin(self, status: int, headers: Headers) -> bytes:
         if self._closes:
             headers = [*headers, (b"connection", b"close")]
-        self.has_begun = True
+        self.has_started = True
         self.status = status
         reason = REASONS.get(status, b"")
         head = h11.Response(status_code=status, headers=headers, reason=reason)
@@ -61,4 +61,4 @@
         try:
             await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
--- a/dewridge/gateway/rolloutduty.py
+++ b/dewridge/gateway/rolloutduty.py
@@ -8,9 +8,9 @@
 from dewridge.gateway.hosts import SYSTEM_PREFIX
 from dewridge.gateway.reports import RolloutProgress
 from dewridge.gateway.rollouts import (
+    compute_elapsed,
     decode_progress,
     describe_evidence,
-    find_elapsed,
 )
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import ServiceName
@@ -55,14 +55,14 @@
         self._stage_seen_at: dict[tuple[int, Stage], float] = {}
         self._to_rewrite: set[ServiceName] = set()
 
-    def take(self, item: Item) -> None:
+    def apply_item(self, item: Item) -> None:
         """Apply the stored progress of a rollout."""
         if item.key.startswith(ROLLOUT_PREFIX):
             progress = decode_progress(item.value)
             if progress is not None:
                 self._state.rollouts.apply_progress(progress)
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Schedule rewrites of closed rollouts; the store may hold an earlier stage."""
         self._to_rewrite = {one.service for one in self._state.rollouts.list_progress()}
 
@@ -92,7 +92,7 @@
         old = [one for one in records if one.version != progress.target]
         return RolloutState(
             stage=progress.stage,
-            elapsed=find_elapsed(progress),
+            elapsed=compute_elapsed(progress),
             stage_age=now
             - self._stage_seen_at.setdefault((progress.order, progress.stage), now),
             duration=progress.duration,
@@ -156,7 +156,7 @@
         item = await self._store.read(key)
         if isinstance(item, Item):
             self._state.hosts.items[key] = item
-            self.take(item)
+            self.apply_item(item)
         elif item is None:
             self._state.hosts.items.pop(key, None)
 
--- a/dewridge/gateway/rollouts.py
+++ b/dewridge/gateway/rollouts.py
@@ -10,7 +10,7 @@
 import trio
 from loguru import logger as log
 
-from dewridge.gateway.forwarding import Lost
+from dewridge.gateway.forwarding import LostAttempt
 from dewridge.gateway.model import (
     RolloutOrder,
     RouteName,
@@ -62,7 +62,7 @@
     """The caller disconnected or the time limit was reached."""
 
 
-def classify_attempt(lost: Lost | None, status: int) -> AttemptResult:
+def classify_attempt(lost: LostAttempt | None, status: int) -> AttemptResult:
     """Return the result of an attempt.
 
     Args:
@@ -148,7 +148,7 @@
             )
         )
 
-    def note_restored(self) -> None:
+    def handle_restore(self) -> None:
         """Note that the store was restored; known orders may be written again."""
         self._restored_at = trio.current_time()
 
@@ -270,7 +270,7 @@
                 return [one for one in split.new if one.id in chosen]
         return self.list_serving(service, records)
 
-    def note_attempt(
+    def record_attempt_end(
         self,
         route: RouteName,
         server: ServerRecord,
@@ -385,6 +385,6 @@
         return None
 
 
-def find_elapsed(progress: RolloutProgress) -> float:
+def compute_elapsed(progress: RolloutProgress) -> float:
     """Return the seconds since a rollout was ordered."""
     return max(0.0, time.time() - progress.ordered_at)
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -17,7 +17,7 @@
     Route,
     RouteKind,
 )
-from dewridge.gateway.responder import CallerGoneError, Responder
+from dewridge.gateway.responder import CallerDisconnectedError, Responder
 from dewridge.gateway.state import GatewayState
 from dewridge.gateway.suspects import check_quarantine, describe_suspect
 from dewridge.ids import ServiceName
@@ -46,7 +46,7 @@
     account: Account | None
 
 
-class Serving:
+class RequestProcessor:
     """Serves the requests of all callers of this host."""
 
     def __init__(self, state: GatewayState) -> None:
@@ -65,13 +65,13 @@
             else:
                 job = self._make_job(request, judged)
                 failure = self._admit(job) or await self._run(job, out)
-        except (CallerGoneError, trio.Cancelled):
+        except (CallerDisconnectedError, trio.Cancelled):
             self._tell(request, job, out, None, began, "caller left")
             raise
         except Exception as error:
             log.bind(id=request.id).opt(exception=error).error("request failed")
             failure = Failure(ResultCode.INTERNAL, type(error).__name__)
-        if failure is not None and not out.has_begun:
+        if failure is not None and not out.has_started:
             await send_failure(out, failure)
         self._tell(request, job, out, failure, began, "")
 
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -159,7 +159,7 @@
         self.configuration.handle_restore()
         self.servers.record_outage(trio.current_time())
         self.hosts.handle_restore()
-        self.rollouts.note_restored()
+        self.rollouts.handle_restore()
 
     def find_health(self, server: BackendServerId) -> ServerHealth:
         """Return the health of a server as observed by this host's attempts."""
--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -7,7 +7,7 @@
 from dewridge.tests.gateway.world import (
     ENGINE,
     ServerExchange,
-    answer_plainly,
+    answer_ok,
     make_event,
     make_request,
     open_world,
@@ -17,15 +17,15 @@
 
 async def test_a_request_is_forwarded_with_the_headers_of_its_account() -> None:
     async with open_world() as world:
-        server = await world.add_server("s-1", answer_plainly)
-        answer = await world.ask(
+        server = await world.add_server("s-1", answer_ok)
+        answer = await world.request(
             "/write/a?b=c",
             method="POST",
             body=b"reading",
             extra="X-Tenant: another\r\nX-Pin-Ms: 9000\r\nX-Own: kept\r\n",
         )
-        seen = server.seen[0]
-    assert (answer.status, answer.body, answer.is_whole) == (200, b"done", True)
+        seen = server.received[0]
+    assert (answer.status, answer.body, answer.is_complete) == (200, b"done", True)
     assert answer.headers[b"x-server-seal"] == b"seal-s-1"
     assert (seen.method, seen.target, seen.body) == (
         b"POST",
@@ -54,7 +54,7 @@
     async with open_world() as world:
         await world.add_server("s-1", answer_twice)
         for number in range(4):
-            answer = await world.ask("/read/a", request_id=f"r-{number}")
+            answer = await world.request("/read/a", request_id=f"r-{number}")
             assert answer.status == 200
             assert answer.body == b"for r-%d" % number
 
@@ -77,8 +77,8 @@
 
     async with open_world() as world:
         await world.add_server("s-1", answer_with_previous)
-        first = await world.ask("/read/a", request_id="r-1")
-        second = await world.ask("/read/a", request_id="r-2")
+        first = await world.request("/read/a", request_id="r-1")
+        second = await world.request("/read/a", request_id="r-2")
     assert first.body == b"r-1"
     assert second.body in {b"r-2"} or second.status >= 500
 
@@ -94,7 +94,7 @@
 
     async with open_world() as world:
         await world.add_server("s-1", answer_unsigned)
-        answer = await world.ask("/write/a", method="POST", body=b"x")
+        answer = await world.request("/write/a", method="POST", body=b"x")
     assert answer.status == 502
     assert b"x-server-seal" not in answer.headers
 
@@ -110,7 +110,7 @@
 
     async with open_world() as world:
         await world.add_server("s-1", answer_malformed)
-        answer = await world.ask("/write/a", method="POST", body=b"x")
+        answer = await world.request("/write/a", method="POST", body=b"x")
     assert answer.status == 502
 
 
@@ -135,7 +135,7 @@
     async with open_world(retry_slack=20) as world:
         await world.add_server("s-1", cut_once)
         await world.add_server("s-2", cut_once)
-        answer = await world.ask("/read/a")
+        answer = await world.request("/read/a")
     assert (answer.status, answer.body) == (200, b"done")
     assert sent == 2
 
@@ -152,9 +152,9 @@
 
     async with open_world(retry_slack=20) as world:
         servers = [await world.add_server(f"s-{n}", reset) for n in range(3)]
-        answer = await world.ask("/write/a", method="POST", body=b"x")
+        answer = await world.request("/write/a", method="POST", body=b"x")
     assert answer.status == 502
-    assert sum(len(server.seen) for server in servers) == 1
+    assert sum(len(server.received) for server in servers) == 1
 
 
 async def test_a_rejected_request_goes_to_another_server() -> None:
@@ -165,9 +165,11 @@
 
     async with open_world(retry_slack=40) as world:
         await world.add_server("s-1", refuse)
-        await world.add_server("s-2", answer_plainly)
+        await world.add_server("s-2", answer_ok)
         answers = [
-            await world.ask("/write/a", method="POST", body=b"x", request_id=f"r-{n}")
+            await world.request(
+                "/write/a", method="POST", body=b"x", request_id=f"r-{n}"
+            )
             for n in range(4)
         ]
     assert [answer.status for answer in answers] == [200] * 4
@@ -181,7 +183,7 @@
 
     async with open_world(retry_slack=40) as world:
         await world.add_server("s-1", refuse)
-        answer = await world.ask("/write/a", method="POST", body=b"x")
+        answer = await world.request("/write/a", method="POST", body=b"x")
     assert answer.status == 503
     assert 0 < float(answer.headers[b"retry-after"]) < 1
 
@@ -198,11 +200,11 @@
 
     async with open_world(retry_slack=40) as world:
         old = await world.add_server("s-1", misdirect)
-        await world.add_server("s-2", answer_plainly)
+        await world.add_server("s-2", answer_ok)
         for number in range(5):
-            answer = await world.ask("/read/a", request_id=f"r-{number}")
+            answer = await world.request("/read/a", request_id=f"r-{number}")
             assert answer.status == 200
-    assert len(old.seen) <= 1
+    assert len(old.received) <= 1
 
 
 async def test_an_early_answer_to_a_long_upload_does_not_spoil_the_connection() -> None:
@@ -232,7 +234,7 @@
             return
 
     async with open_world() as world:
-        server = await world.add_server("s-1", answer_plainly)
+        server = await world.add_server("s-1", answer_ok)
         server.handle = answer_early  # type: ignore[method-assign]
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         world.nursery.start_soon(trio.serve_listeners, answer_early, listeners)
@@ -241,7 +243,7 @@
         port = listeners[0].socket.getsockname()[1]
         moved = replace(record, address=f"127.0.0.1:{port}")
         world.state.servers.update(moved, trio.current_time())
-        answer = await world.ask("/write/a", method="POST", body=bytes(3_000_000))
+        answer = await world.request("/write/a", method="POST", body=bytes(3_000_000))
         assert answer.status == 413
         assert world.state.pool.acquire_idle(moved, must_arrive=False) is None
 
@@ -282,7 +284,7 @@
     async with open_world() as world:
         await world.add_server("s-1", hang)
         started_at = trio.current_time()
-        answer = await world.ask(
+        answer = await world.request(
             "/write/a", method="POST", body=b"x", deadline_ms=60_000
         )
     assert answer.status == 504
@@ -329,8 +331,8 @@
     async with open_world(retry_slack=20) as world:
         await world.add_server("s-1", crash_or_resume, ENGINE)
         await world.add_server("s-2", crash_or_resume, ENGINE)
-        answer = await world.ask("/chat/a", method="POST", body=b"x")
-    assert answer.is_whole
+        answer = await world.request("/chat/a", method="POST", body=b"x")
+    assert answer.is_complete
     assert answer.body == b"".join(make_event(number) for number in range(6))
 
 
@@ -347,10 +349,10 @@
 
     async with open_world(retry_slack=20) as world:
         servers = [await world.add_server(f"s-{n}", crash, ENGINE) for n in range(2)]
-        answer = await world.ask("/draft/a", method="POST", body=b"x")
+        answer = await world.request("/draft/a", method="POST", body=b"x")
     assert answer.status == 200
-    assert not answer.is_whole
-    assert sum(len(server.seen) for server in servers) == 1
+    assert not answer.is_complete
+    assert sum(len(server.received) for server in servers) == 1
 
 
 async def test_an_answer_without_length_that_is_reset_is_not_complete() -> None:
@@ -367,13 +369,13 @@
 
     async with open_world() as world:
         await world.add_server("s-1", reset_unframed, ENGINE)
-        answer = await world.ask("/draft/a", method="POST", body=b"x")
-    assert not answer.is_whole
+        answer = await world.request("/draft/a", method="POST", body=b"x")
+    assert not answer.is_complete
 
 
 async def test_persistent_connections_carry_many_requests() -> None:
     async with open_world() as world:
-        await world.add_server("s-1", answer_plainly)
+        await world.add_server("s-1", answer_ok)
         stream = await world.connect()
         async with stream:
             for number in range(5):
@@ -402,13 +404,13 @@
         world.state.find_budget(ENGINE).slack = 100
         for name in ("s-1", "s-2"):
             await world.add_server(name, cut_or_fail, ENGINE)
-        answer = await world.ask("/chat/a")
+        answer = await world.request("/chat/a")
         failed = world.state.metrics.read(
             "requests_total", kind="stream", outcome="cut", code="OUTCOME_UNKNOWN"
         )
     assert resumed_after == [b"", b"2"]
     assert answer.status == 200
-    assert not answer.is_whole
+    assert not answer.is_complete
     assert answer.body == make_event(1) + make_event(2)
     assert failed == 1
 
@@ -428,9 +430,9 @@
         server = await world.add_server("s-1", stream, ENGINE)
         world.state.work.requests[server.id] = 8 * 4
         started_at = trio.current_time()
-        answer = await world.ask("/draft/a")
+        answer = await world.request("/draft/a")
         seconds = trio.current_time() - started_at
     assert answer.status == 503
     assert float(answer.headers[b"retry-after"]) > 0
     assert seconds < 0.5
-    assert server.seen == []
+    assert server.received == []
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 
-from dewridge.gateway.forwarding import Lost
+from dewridge.gateway.forwarding import LostAttempt
 from dewridge.gateway.hosts import SYSTEM_PREFIX
 from dewridge.gateway.jobs import Job
 from dewridge.gateway.losses import LossHandler
@@ -66,7 +66,7 @@
     async def answer_or_crash(exchange: ServerExchange) -> None:
         await exchange.begin_stream()
         if exchange.body == CRASH_BODY:
-            next(server for server in servers if server.id == exchange.server).end()
+            next(server for server in servers if server.id == exchange.server).crash()
             return
         after = int(exchange.headers.get(b"last-event-id", b"0"))
         for event in range(after + 1, events + 1):
@@ -87,7 +87,9 @@
 
 async def send_request(world: World, body: bytes, request_id: str) -> CallerAnswer:
     """Send a request to the route whose servers may crash."""
-    return await world.ask("/chat/a", method="POST", body=body, request_id=request_id)
+    return await world.request(
+        "/chat/a", method="POST", body=body, request_id=request_id
+    )
 
 
 async def test_a_request_that_crashes_servers_is_quarantined() -> None:
@@ -97,8 +99,8 @@
         for number in range(REQUEST_COUNT):
             answer = await send_crashing_request(world, f"r-{number}")
             await trio.sleep(0.01)
-        crashed = sum(server.has_ended for server in servers)
-        other = await world.ask("/chat/a", method="POST", body=b"x", request_id="o")
+        crashed = sum(server.has_crashed for server in servers)
+        other = await world.request("/chat/a", method="POST", body=b"x", request_id="o")
     assert crashed == 3
     assert answer.status == 503
     assert float(answer.headers[b"retry-after"]) > 60
@@ -124,7 +126,7 @@
                 await send_crashing_request(world, f"r-{number}")
         quarantined = world.state.suspects.list_quarantined(trio.current_time())
     assert [answer.status for answer in answers] == [200] * 6
-    assert all(answer.is_whole for answer in answers)
+    assert all(answer.is_complete for answer in answers)
     assert len(quarantined) == 1
 
 
@@ -145,10 +147,12 @@
             for _ in range(2):
                 await trio.sleep(CRASH_BLAME_SECONDS + 0.2)
                 next(
-                    server for server in servers if server.seen and not server.has_ended
-                ).end()
+                    server
+                    for server in servers
+                    if server.received and not server.has_crashed
+                ).crash()
     assert answers[0].status == 200
-    assert answers[0].is_whole
+    assert answers[0].is_complete
 
 
 async def test_a_common_request_survives_the_loss_of_a_failure_domain() -> None:
@@ -168,7 +172,7 @@
         statuses: list[int] = []
 
         async def look_up(number: int) -> None:
-            answer = await world.ask("/read/a", request_id=f"r-{number}")
+            answer = await world.request("/read/a", request_id=f"r-{number}")
             statuses.append(answer.status)
 
         async with trio.open_nursery() as nursery:
@@ -176,7 +180,7 @@
                 nursery.start_soon(look_up, number)
             await trio.sleep(0.1)
             for server in servers[: SERVER_COUNT // 2]:
-                server.end()
+                server.crash()
     assert statuses == [200] * SERVER_COUNT
     assert world.state.suspects.list_quarantined(trio.current_time()) == []
 
@@ -191,7 +195,7 @@
         for number in range(SERVER_COUNT):
             await world.add_server(f"s-{number}", reset)
         for number in range(REQUEST_COUNT):
-            answer = await world.ask("/read/a", request_id=f"r-{number}")
+            answer = await world.request("/read/a", request_id=f"r-{number}")
     assert answer.status == 502
     assert world.state.suspects.is_empty
 
@@ -204,7 +208,7 @@
         async def leave_and_end(exchange: ServerExchange) -> None:
             server = next(match for match in servers if match.id == exchange.server)
             world.state.servers.drop(server.id, trio.current_time(), "it drains")
-            server.end()
+            server.crash()
 
         for server in servers:
             server.script = leave_and_end
@@ -223,20 +227,20 @@
         servers: list[ScriptedServer] = []
 
         async def crash(exchange: ServerExchange) -> None:
-            next(server for server in servers if server.id == exchange.server).end()
+            next(server for server in servers if server.id == exchange.server).crash()
 
         for number in range(SERVER_COUNT):
             servers.append(await world.add_server(f"s-{number}", crash))
         statuses = []
         for number in range(5):
-            answer = await world.ask(
+            answer = await world.request(
                 "/write/a", method="POST", body=CRASH_BODY, request_id=f"r-{number}"
             )
             statuses.append(answer.status)
         runs = Counter(
             exchange.headers[b"x-attempt-id"]
             for server in servers
-            for exchange in server.seen
+            for exchange in server.received
         )
     assert statuses == [502, 502, 502, 503, 503]
     assert runs == {b"r-0": 1, b"r-1": 1, b"r-2": 1}
@@ -428,9 +432,9 @@
         world.state.pool.probe = probe_slowly  # type: ignore[method-assign]
         handler = LossHandler(world.state)
         record = world.state.servers.list_all()[0]
-        next(server for server in servers if server.id == record.id).end()
+        next(server for server in servers if server.id == record.id).crash()
         await trio.sleep(0.01)
-        lost = Lost(LossReason.CUT_OFF)
+        lost = LostAttempt(LossReason.CUT_OFF)
         async with trio.open_nursery() as staying, trio.open_nursery() as leaving:
             leaving.start_soon(handler.handle, make_job(world, b"left"), record, lost)
             await has_probed.wait()
@@ -450,7 +454,7 @@
         servers = await add_crashing_servers(world)
         await send_crashing_request(world, "r-1")
         for server in servers:
-            if not server.has_ended:
+            if not server.has_crashed:
                 server.script = answer_events
         answer = await send_crashing_request(world, "r-2")
         suspect = world.state.suspects.list_all()[0]
--- a/dewridge/tests/gateway/ingress_tests.py
+++ b/dewridge/tests/gateway/ingress_tests.py
@@ -13,7 +13,7 @@
 from dewridge.platform.headers import read_marks
 from dewridge.tests.gateway.world import (
     KEY,
-    answer_plainly,
+    answer_ok,
     make_configuration,
     make_event,
     make_request,
@@ -26,18 +26,18 @@
 
 async def test_a_head_that_is_too_large_is_told() -> None:
     async with open_world(make_configuration(limits=TIGHT)) as world:
-        server = await world.add_server("s-1", answer_plainly)
-        answer = await world.ask("/read/a", extra=f"X-Own: {'x' * 3000}\r\n")
+        server = await world.add_server("s-1", answer_ok)
+        answer = await world.request("/read/a", extra=f"X-Own: {'x' * 3000}\r\n")
     assert answer.status == 431
-    assert server.seen == []
+    assert server.received == []
 
 
 async def test_a_body_that_is_too_large_is_told() -> None:
     async with open_world(make_configuration(limits=TIGHT)) as world:
-        server = await world.add_server("s-1", answer_plainly)
-        answer = await world.ask("/write/a", method="POST", body=bytes(6_000))
+        server = await world.add_server("s-1", answer_ok)
+        answer = await world.request("/write/a", method="POST", body=bytes(6_000))
     assert answer.status == 413
-    assert server.seen == []
+    assert server.received == []
 
 
 async def test_a_head_that_does_not_end_is_given_up() -> None:
@@ -68,12 +68,12 @@
     nobody, and the log has no line for the request.
     """
     async with open_world(make_configuration()) as world:
-        await world.add_server("s-1", answer_plainly)
+        await world.add_server("s-1", answer_ok)
         stream = await world.connect()
         await trio.sleep(0.1)
         # Without a checkpoint, so that the gateway has not read it.
         os.write(stream.socket.fileno(), make_request("/read/a"))
-        world.state.ingress.close_idle()
+        world.state.ingress.close_idle_connections()
         with trio.fail_after(2.0):
             answer = await read_answer(stream)
     assert answer.status == 200
@@ -93,7 +93,7 @@
         "Transfer-Encoding: xchunked\r\n",
     ]
     async with open_world() as world:
-        server = await world.add_server("s-1", answer_plainly)
+        server = await world.add_server("s-1", answer_ok)
         for attack in attacks:
             stream = await world.connect()
             request = make_request("/write/a", method="POST", extra=attack)
@@ -101,12 +101,12 @@
             answer = await read_answer(stream)
             assert answer.status == 400, attack
             await stream.aclose()
-        assert all(seen.target != b"/read/hidden" for seen in server.seen)
+        assert all(seen.target != b"/read/hidden" for seen in server.received)
 
 
 async def test_requests_sent_ahead_are_answered_in_order() -> None:
     async with open_world() as world:
-        server = await world.add_server("s-1", answer_plainly)
+        server = await world.add_server("s-1", answer_ok)
         stream = await world.connect()
         first = make_request("/read/1", request_id="r-1")
         await stream.send_all(first + make_request("/read/2", request_id="r-2"))
@@ -114,15 +114,15 @@
         with trio.fail_after(2):
             while got.count(b"done") < 2:
                 got += bytes(await stream.receive_some(4096))
-        assert [seen.target for seen in server.seen] == [b"/read/1", b"/read/2"]
+        assert [seen.target for seen in server.received] == [b"/read/1", b"/read/2"]
 
 
 async def test_unknown_routes_and_keys_are_told_while_the_host_is_sure() -> None:
     async with open_world() as world:
-        await world.add_server("s-1", answer_plainly)
-        assert (await world.ask("/nowhere/a")).status == 404
-        assert (await world.ask("/read/a", key="wrong")).status == 401
-        assert (await world.ask("/read/a", key=KEY)).status == 200
+        await world.add_server("s-1", answer_ok)
+        assert (await world.request("/nowhere/a")).status == 404
+        assert (await world.request("/read/a", key="wrong")).status == 401
+        assert (await world.request("/read/a", key=KEY)).status == 200
 
 
 async def test_a_host_that_may_lag_asks_back_in_place_of_denying() -> None:
@@ -132,7 +132,7 @@
     """
     async with open_world() as world:
         world.state.configuration.confirmed_at = read_boot_clock() - 2.5
-        answer = await world.ask("/new/a")
+        answer = await world.request("/new/a")
     assert answer.status == 503
     assert b"retry-after" in answer.headers
 
@@ -144,17 +144,19 @@
     after a time.
     """
     async with open_world() as world:
-        server = await world.add_server("s-1", answer_plainly)
+        server = await world.add_server("s-1", answer_ok)
         world.state.configuration.confirmed_at = read_boot_clock() - 4.5
-        answer = await world.ask("/read/a")
+        answer = await world.request("/read/a")
     assert answer.status == 503
-    assert server.seen == []
+    assert server.received == []
 
 
 async def test_a_quota_is_told_with_a_time_to_come_back() -> None:
     async with open_world(make_configuration(rate=20.0)) as world:
-        await world.add_server("s-1", answer_plainly)
-        answers = [await world.ask("/read/a", request_id=f"r-{n}") for n in range(4)]
+        await world.add_server("s-1", answer_ok)
+        answers = [
+            await world.request("/read/a", request_id=f"r-{n}") for n in range(4)
+        ]
     assert [answer.status for answer in answers] == [200, 429, 429, 429]
     assert float(answers[-1].headers[b"retry-after"]) > 0
 
@@ -165,11 +167,11 @@
     A draft begun now would be cut at its end, so it is refused; a lookup still fits.
     """
     async with open_world() as world:
-        await world.add_server("s-1", answer_plainly)
+        await world.add_server("s-1", answer_ok)
         world.state.ingress.is_leaving = True
         world.state.leaves_at = trio.current_time() + 3.0
-        draft = await world.ask("/draft/a", method="POST", body=b"x")
-        lookup = await world.ask("/read/a")
+        draft = await world.request("/draft/a", method="POST", body=b"x")
+        lookup = await world.request("/read/a")
     assert draft.status == 503
     assert lookup.status == 200
     assert lookup.headers[b"connection"] == b"close"
--- a/dewridge/tests/gateway/keepers_tests.py
+++ b/dewridge/tests/gateway/keepers_tests.py
@@ -102,14 +102,16 @@
         holder = max(servers, key=lambda server: score_cache_holder(PREFIX, server.id))
         record = table.find(holder.id)
         assert record is not None
-        await world.ask("/draft/a", method="POST", body=b"x", extra=PARTS)
+        await world.request("/draft/a", method="POST", body=b"x", extra=PARTS)
         table.update(replace(record, is_draining=True), now)
-        await world.ask(
+        await world.request(
             "/draft/a", method="POST", body=b"x", extra=PARTS, request_id="r-2"
         )
-    (first,) = holder.seen
+    (first,) = holder.received
     second = next(
-        server.seen[0] for server in servers if server is not holder and server.seen
+        server.received[0]
+        for server in servers
+        if server is not holder and server.received
     )
     assert b"kv-fetch" not in first.headers
     assert second.headers[b"kv-fetch"] == record.address.encode()
@@ -126,5 +128,5 @@
     async with open_world() as world:
         server = await world.add_server("s-1", answer, ENGINE)
         extra = PARTS + "Kv-Fetch: 127.0.0.1:1\r\n"
-        await world.ask("/draft/a", method="POST", body=b"x", extra=extra)
-    assert b"kv-fetch" not in server.seen[0].headers
+        await world.request("/draft/a", method="POST", body=b"x", extra=extra)
+    assert b"kv-fetch" not in server.received[0].headers
--- a/dewridge/tests/gateway/moving_tests.py
+++ b/dewridge/tests/gateway/moving_tests.py
@@ -108,7 +108,7 @@
         return next(one for one in self.engines.values() if one is not engine)
 
     async def _ask(self, path: str) -> None:
-        await self._answers.send(await self.world.ask(path, deadline_ms=4000))
+        await self._answers.send(await self.world.request(path, deadline_ms=4000))
 
     def reclaim(self, engine: Engine, notice: float) -> None:
         """Tell the gateway that a server goes."""
@@ -146,7 +146,7 @@
         stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
         answer = await stage.wait()
         target = stage.find_other(source)
-    assert answer.is_whole
+    assert answer.is_complete
     assert answer.body == join_events(1, LAST)
     assert len(source.began) == len(target.began) == 1
     first, memory = target.began[0]
--- a/dewridge/tests/gateway/pool_tests.py
+++ b/dewridge/tests/gateway/pool_tests.py
@@ -10,7 +10,7 @@
 from dewridge.tests.gateway.world import (
     ServerExchange,
     World,
-    answer_plainly,
+    answer_ok,
     open_world,
 )
 
@@ -98,7 +98,9 @@
                 nursery.start_soon(send_one_request, world, f"r-{number}")
         record = world.state.servers.find(server.id)
         assert record is not None
-        answer = await world.ask("/write/a", method="POST", body=b"x", request_id="w")
+        answer = await world.request(
+            "/write/a", method="POST", body=b"x", request_id="w"
+        )
         assert answer.status >= 500
         assert world.state.pool.acquire_idle(record, must_arrive=False) is None
         assert world.state.pool.reused == 1
@@ -106,14 +108,14 @@
 
 async def send_one_request(world: World, request_id: str) -> None:
     """Send a request and ignore its answer."""
-    await world.ask("/read/a", request_id=request_id)
+    await world.request("/read/a", request_id=request_id)
 
 
 async def test_a_request_that_may_not_be_retried_reuses_a_recent_connection() -> None:
     async with open_world() as world:
-        await world.add_server("s-1", answer_plainly)
+        await world.add_server("s-1", answer_ok)
         for number in range(4):
-            answer = await world.ask(
+            answer = await world.request(
                 "/write/a", method="POST", body=b"x", request_id=f"w-{number}"
             )
             assert answer.status == 200
--- a/dewridge/tests/gateway/reloading_tests.py
+++ b/dewridge/tests/gateway/reloading_tests.py
@@ -5,9 +5,9 @@
 import trio
 import trio.testing
 
-from dewridge.gateway.__main__ import load_gateway
+from dewridge.gateway.__main__ import load_gateway_settings
 from dewridge.gateway.configuration import ConfigurationState
-from dewridge.gateway.reloading import SettingsFile, find_trusted_time
+from dewridge.gateway.reloading import SettingsFile, compute_trust_period
 from dewridge.settings.gateway import GatewaySettings
 
 TEXT = """// a comment
@@ -27,11 +27,11 @@
     """The platform rewrites the file and tells nobody; then it writes half a file."""
     path = tmp_path / "settings.json"
     path.write_text(TEXT % 5000)
-    first = load_gateway(path).settings
+    first = load_gateway_settings(path).settings
     assert first is not None
-    configuration = ConfigurationState(find_trusted_time(first))
+    configuration = ConfigurationState(compute_trust_period(first))
     taken: list[GatewaySettings] = []
-    file = SettingsFile(path, load_gateway, configuration, taken.append, first)
+    file = SettingsFile(path, load_gateway_settings, configuration, taken.append, first)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(file.run)
         await trio.sleep(1.5)
@@ -48,7 +48,7 @@
 def test_all_errors_are_told_at_once(tmp_path: Path) -> None:
     path = tmp_path / "settings.json"
     path.write_text('{"host": {"id": 5}, "listne": {}}')
-    errors = [str(problem) for problem in load_gateway(path).errors]
+    errors = [str(problem) for problem in load_gateway_settings(path).errors]
     assert any("listne" in error and "listen" in error for error in errors)
     assert any("host.id" in error for error in errors)
     assert len(errors) >= 4
--- a/dewridge/tests/gateway/restarts_tests.py
+++ b/dewridge/tests/gateway/restarts_tests.py
@@ -13,7 +13,7 @@
     PLAIN,
     ServerExchange,
     World,
-    answer_plainly,
+    answer_ok,
     make_event,
     open_world,
 )
@@ -121,10 +121,10 @@
 
     async with open_world() as world:
         server = await world.add_server("s-1", crash_once, ENGINE)
-        answer = await world.ask("/chat/a", method="POST", body=b"x")
+        answer = await world.request("/chat/a", method="POST", body=b"x")
         counted = [sum(counts.values()) for counts in world.state.usage_counts.values()]
-        seen = server.seen
-    assert answer.is_whole
+        seen = server.received
+    assert answer.is_complete
     assert answer.body == b"".join(make_event(number) for number in range(1, 5))
     assert [exchange.headers[b"x-expect-instance"] for exchange in seen] == [
         b"s-1",
@@ -139,18 +139,18 @@
     The connection only appears open, and a request sent on it would be lost.
     """
     async with open_world() as world:
-        server = await world.add_server("s-1", answer_plainly)
-        await world.ask("/read/a", request_id="r-1")
+        server = await world.add_server("s-1", answer_ok)
+        await world.request("/read/a", request_id="r-1")
         start_again(world)
-        await world.ask("/read/a", request_id="r-2")
+        await world.request("/read/a", request_id="r-2")
         opened, reused = world.state.pool.opened, world.state.pool.reused
-    assert len(server.seen) == 2
+    assert len(server.received) == 2
     assert (opened, reused) == (2, 0)
 
 
 async def test_failures_of_an_earlier_start_cause_no_cooldown_of_the_next() -> None:
     async with open_world() as world:
-        await world.add_server("s-1", answer_plainly)
+        await world.add_server("s-1", answer_ok)
         first = world.state.servers.list_all()[0]
         for _ in range(5):
             health = world.state.find_health(first.id)
--- a/dewridge/tests/gateway/restores_tests.py
+++ b/dewridge/tests/gateway/restores_tests.py
@@ -289,14 +289,14 @@
     rollouts.apply_order(RolloutOrder(PLAIN, NEW, 12.0, 100))
     holder.store.era.on_restored += [
         holder.state.handle_restore,
-        holder.duty.note_restored,
+        holder.duty.handle_restore,
     ]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(holder.duty.run)
         await trio.sleep(0.5)
         snapshot = data.take_snapshot()
         rollouts.apply_progress(make_progress(Stage.REVERTED))
-        holder.duty.note_restored()
+        holder.duty.handle_restore()
         await trio.sleep(1.0)
         assert holder.read_status() == "reverted"
         data.restore(snapshot)
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from dewridge.gateway.configuration import ConfigurationState
-from dewridge.gateway.forwarding import Lost
+from dewridge.gateway.forwarding import LostAttempt
 from dewridge.gateway.model import RolloutOrder, ServerRecord, ServerVersion
 from dewridge.gateway.reports import RolloutProgress
 from dewridge.gateway.rolloutduty import RolloutDuty, make_progress_key
@@ -152,7 +152,7 @@
     """Record attempts at a server, 0.05 s apart."""
     for _ in range(count):
         await trio.sleep(0.05)
-        table.note_attempt(ROUTE, server, 0.1, result)
+        table.record_attempt_end(ROUTE, server, 0.1, result)
 
 
 async def test_a_host_stops_sending_to_a_bad_version_by_its_own_verdict(
@@ -174,14 +174,16 @@
     await note_answers(table, SERVERS[0], AttemptResult.ANSWERED, 40)
     for _ in range(20):
         await trio.sleep(0.05)
-        table.note_attempt(ROUTE, SERVERS[-1], 0.5, AttemptResult.ABANDONED)
+        table.record_attempt_end(ROUTE, SERVERS[-1], 0.5, AttemptResult.ABANDONED)
     assert table.find_stage(PLAIN) is Stage.REVERTED
 
 
 def test_rejections_do_not_count_against_a_version() -> None:
     """Guards against reverting because servers are full."""
-    assert classify_attempt(Lost(LossReason.REJECTED), 0) is AttemptResult.NOT_RUN
-    assert classify_attempt(Lost(LossReason.CUT_OFF), 0) is AttemptResult.FAILED
+    assert (
+        classify_attempt(LostAttempt(LossReason.REJECTED), 0) is AttemptResult.NOT_RUN
+    )
+    assert classify_attempt(LostAttempt(LossReason.CUT_OFF), 0) is AttemptResult.FAILED
     assert classify_attempt(None, 500) is AttemptResult.FAILED
     assert classify_attempt(None, 404) is AttemptResult.ANSWERED
 
@@ -301,7 +303,7 @@
         await trio.sleep(0.5)
         nursery.cancel_scope.cancel()
     second = DutyHolder(data)
-    second.duty.take(data.items[make_progress_key(PLAIN)])
+    second.duty.apply_item(data.items[make_progress_key(PLAIN)])
     second.state.rollouts.apply_order(ORDER)
     assert second.state.rollouts.find_stage(PLAIN) is Stage.REVERTED
 
@@ -310,7 +312,7 @@
     """Guards against a crash on malformed data in the store."""
     state = make_state(make_configuration())
     duty = RolloutDuty(state, AlwaysHolder(), MemoryStore())
-    duty.take(Item(make_progress_key(PLAIN), b"{"))
+    duty.apply_item(Item(make_progress_key(PLAIN), b"{"))
     assert state.rollouts.find_stage(PLAIN) is None
 
 
@@ -364,8 +366,8 @@
         state.rollouts.apply_progress(make_progress(Stage.TRIAL, share=0.5))
         statuses = []
         for number in range(40):
-            got = await world.ask("/read/x", request_id=f"r-{number}")
+            got = await world.request("/read/x", request_id=f"r-{number}")
             statuses.append(got.status)
         assert set(statuses) == {200}
-        assert 3 <= len(bad.seen) < 20
+        assert 3 <= len(bad.received) < 20
         assert state.rollouts.find_stage(PLAIN) is Stage.REVERTED
--- a/dewridge/tests/gateway/telling_tests.py
+++ b/dewridge/tests/gateway/telling_tests.py
@@ -11,14 +11,14 @@
 from loguru import logger as log
 
 from dewridge.explaining import explain_request, read_lines
-from dewridge.gateway.ingress import handle_caller
+from dewridge.gateway.ingress import serve_connection
 from dewridge.gateway.logs import MAX_BACKLOG_BYTES, LineWriter
-from dewridge.gateway.operations import Operations, describe
+from dewridge.gateway.operations import Operations, describe_state
 from dewridge.tests.gateway.world import (
     KEY,
     ScriptedServer,
     ServerExchange,
-    answer_plainly,
+    answer_ok,
     make_configuration,
     open_world,
 )
@@ -49,8 +49,8 @@
 
     async with open_world(retry_slack=40) as world:
         await world.add_server("s-1", refuse)
-        await world.ask("/read/a", request_id="refused")
-        await world.ask("/read/a", request_id="denied", key="wrong")
+        await world.request("/read/a", request_id="refused")
+        await world.request("/read/a", request_id="denied", key="wrong")
     requests = {str(fields["id"]): fields for fields in read_events(lines, "request")}
     assert requests["refused"]["code"] == "QUEUE_FULL"
     assert requests["refused"]["servers"] == "s-1,s-1,s-1"
@@ -62,9 +62,9 @@
 
 async def test_a_refusal_by_quota_logs_its_inputs(lines: Path) -> None:
     async with open_world(make_configuration(rate=20.0)) as world:
-        await world.add_server("s-1", answer_plainly)
+        await world.add_server("s-1", answer_ok)
         for number in range(3):
-            await world.ask("/read/a", request_id=f"r-{number}")
+            await world.request("/read/a", request_id=f"r-{number}")
     last = read_events(lines, "request")[-1]
     assert "asks 100" in str(last["reason"])
     assert "1 hosts, 0 silent" in str(last["reason"])
@@ -72,10 +72,10 @@
 
 async def test_no_log_line_contains_an_api_key(lines: Path) -> None:
     async with open_world() as world:
-        await world.add_server("s-1", answer_plainly)
-        await world.ask("/read/a")
-        await world.ask("/read/a", key="wrong-and-secret")
-        assert KEY not in json.dumps(describe(world.state))
+        await world.add_server("s-1", answer_ok)
+        await world.request("/read/a")
+        await world.request("/read/a", key="wrong-and-secret")
+        assert KEY not in json.dumps(describe_state(world.state))
     text = await trio.Path(lines).read_text()
     assert KEY not in text
     assert "wrong-and-secret" not in text
@@ -132,19 +132,19 @@
 
 async def test_metrics_and_dump_are_served() -> None:
     async with open_world() as world:
-        await world.add_server("s-1", answer_plainly)
-        await world.ask("/read/a")
+        await world.add_server("s-1", answer_ok)
+        await world.request("/read/a")
         operations = Operations(world.state)
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
 
         async def handle(stream: trio.SocketStream) -> None:
-            await handle_caller(stream, world.state.ingress, operations.serve)
+            await serve_connection(stream, world.state.ingress, operations.serve)
 
         world.nursery.start_soon(trio.serve_listeners, handle, listeners)
         port = listeners[0].socket.getsockname()[1]
         world.address = f"127.0.0.1:{port}"
-        metrics = (await world.ask("/metrics")).body.decode()
-        dump = json.loads((await world.ask("/dump")).body)
+        metrics = (await world.request("/metrics")).body.decode()
+        dump = json.loads((await world.request("/dump")).body)
     assert (
         'dewridge_requests_total{code="",kind="idempotent",outcome="2xx"} 1' in metrics
     )
@@ -162,25 +162,27 @@
         servers: list[ScriptedServer] = []
 
         async def crash(exchange: ServerExchange) -> None:
-            next(server for server in servers if server.id == exchange.server).end()
+            next(server for server in servers if server.id == exchange.server).crash()
 
         for number in range(4):
             servers.append(await world.add_server(f"s-{number}", crash))
         for number in range(3):
-            await world.ask("/read/a", request_id=f"r-{number}")
+            await world.request("/read/a", request_id=f"r-{number}")
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         operations = Operations(world.state)
 
         async def handle(stream: trio.SocketStream) -> None:
-            await handle_caller(stream, world.state.ingress, operations.serve)
+            await serve_connection(stream, world.state.ingress, operations.serve)
 
         world.nursery.start_soon(trio.serve_listeners, handle, listeners)
         port = listeners[0].socket.getsockname()[1]
         world.address = f"127.0.0.1:{port}"
-        suspect = json.loads((await world.ask("/dump")).body)["suspects"][0]
-        metrics = (await world.ask("/metrics")).body.decode()
+        suspect = json.loads((await world.request("/dump")).body)["suspects"][0]
+        metrics = (await world.request("/metrics")).body.decode()
         path = f"/suspects/{suspect['digest']}"
-        statuses = [(await world.ask(path, method="DELETE")).status for _ in range(2)]
+        statuses = [
+            (await world.request(path, method="DELETE")).status for _ in range(2)
+        ]
         quarantined = world.state.suspects.list_quarantined(trio.current_time())
     explanation = "\n".join(explain_request(read_lines(lines.open()), "r-2"))
     assert suspect["account"] == "account-1"
@@ -230,7 +232,7 @@
     async with open_world(retry_slack=40) as world:
         await world.add_server("s-1", refuse)
         await world.add_server("s-2", refuse)
-        await world.ask("/read/a", request_id="r-1")
+        await world.request("/read/a", request_id="r-1")
     explanation = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
     assert explanation.count("loss=REJECTED") == 3
     assert "code=QUEUE_FULL" in explanation
@@ -244,7 +246,7 @@
 
     async with open_world() as world:
         server = await world.add_server("s-1", reset)
-        await world.ask("/write/a", method="POST", body=b"x", request_id="r-1")
+        await world.request("/write/a", method="POST", body=b"x", request_id="r-1")
         world.state.servers.drop(server.id, trio.current_time(), "its record is gone")
     explanation = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
     assert "loss=CUT_OFF" in explanation
@@ -258,7 +260,7 @@
     """A host can't reach the store and refuses API keys that it can't verify."""
     async with open_world() as world:
         world.state.configuration.confirmed_at -= 5.0
-        await world.ask("/read/a", request_id="r-1")
+        await world.request("/read/a", request_id="r-1")
     explanation = "\n".join(explain_request(read_lines(lines.open()), "r-1"))
     assert "code=CONFIGURATION_STALE" in explanation
     assert "the store is out of reach" in explanation
--- a/dewridge/tests/gateway/world.py
+++ b/dewridge/tests/gateway/world.py
@@ -11,7 +11,7 @@
 from dewridge.gateway.clock import read_boot_clock
 from dewridge.gateway.configuration import ConfigurationState
 from dewridge.gateway.hosts import HostTable
-from dewridge.gateway.ingress import IngressState, handle_caller
+from dewridge.gateway.ingress import IngressState, serve_connection
 from dewridge.gateway.model import (
     Account,
     AccountKey,
@@ -27,7 +27,7 @@
 )
 from dewridge.gateway.pool import ConnectionPool
 from dewridge.gateway.servers import ServerTable
-from dewridge.gateway.serving import Serving
+from dewridge.gateway.serving import RequestProcessor
 from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import (
@@ -217,9 +217,9 @@
 
     id: BackendServerId
     script: Script
-    seen: list[ServerExchange] = field(default_factory=list)
+    received: list[ServerExchange] = field(default_factory=list)
     ended: int = 0
-    has_ended: bool = False
+    has_crashed: bool = False
     _streams: set[trio.SocketStream] = field(default_factory=set)
     _scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
@@ -228,9 +228,9 @@
         with self._scope:
             await trio.serve_listeners(self.handle, listeners)
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """End as a process does: all connections are reset, new ones refused."""
-        self.has_ended = True
+        self.has_crashed = True
         for stream in self._streams:
             reset(stream)
         self._scope.cancel()
@@ -244,7 +244,7 @@
                 exchange = await self._read(stream, state)
                 if exchange is None:
                     break
-                self.seen.append(exchange)
+                self.received.append(exchange)
                 await self.script(exchange)
                 state = h11.Connection(h11.SERVER)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
@@ -312,7 +312,7 @@
         host, _, port = self.address.rpartition(":")
         return await trio.open_tcp_stream(host, int(port))
 
-    async def ask(self, path: str, **options: object) -> "CallerAnswer":
+    async def request(self, path: str, **options: object) -> "CallerAnswer":
         """Send one request on a connection of its own and read the whole answer."""
         stream = await self.connect()
         async with stream:
@@ -342,12 +342,12 @@
 
 @dataclass
 class CallerAnswer:
-    """What a caller got; `is_whole` is False if the connection ended within it."""
+    """What a caller got; `is_complete` is False if the connection ended within it."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    is_whole: bool
+    is_complete: bool
 
 
 async def read_answer(
@@ -358,7 +358,7 @@
         state = h11.Connection(h11.CLIENT)
         state.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
         state.send(h11.EndOfMessage())
-    answer = CallerAnswer(0, {}, b"", is_whole=False)
+    answer = CallerAnswer(0, {}, b"", is_complete=False)
     while True:
         try:
             event = state.next_event()
@@ -373,7 +373,7 @@
         elif isinstance(event, h11.Data):
             answer.body += bytes(event.data)
         elif isinstance(event, h11.EndOfMessage):
-            answer.is_whole = True
+            answer.is_complete = True
             return answer
         else:
             return answer
@@ -385,10 +385,10 @@
 ) -> AsyncIterator[World]:
     """Run a gateway's data path on loopback."""
     state = make_state(configuration or make_configuration(), **bounds)
-    serving = Serving(state)
+    serving = RequestProcessor(state)
 
     async def handle(stream: trio.SocketStream) -> None:
-        await handle_caller(stream, state.ingress, serving.serve)
+        await serve_connection(stream, state.ingress, serving.serve)
 
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -398,6 +398,6 @@
         nursery.cancel_scope.cancel()
 
 
-async def answer_plainly(exchange: ServerExchange) -> None:
+async def answer_ok(exchange: ServerExchange) -> None:
     """Answer as a healthy plain server does."""
     await exchange.answer()
