--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -1,4 +1,4 @@
-"""The composition root of a gateway: builds its parts and runs them."""
+"""Composition root of a gateway: creates its components and runs their tasks."""
 
 import random
 import signal
@@ -60,9 +60,9 @@
 from dewridge.supervision.tree import Supervisor
 
 RESERVED_DESCRIPTORS = 300
-"""Descriptors for files, listeners, the store, the cloud API and peers."""
-BACKLOG = 256
-"""Connections that wait to be accepted: a burst of callers on a busy process."""
+"""File descriptors for files, listeners, the store, the cloud API and peers."""
+ACCEPT_BACKLOG = 256
+"""Connections that may wait to be accepted: allows bursts while the process is busy."""
 
 Task = Callable[[], Awaitable[None]]
 
@@ -70,11 +70,11 @@
 async def run_gateway(
     settings: GatewaySettings, path: Path, load: SettingsLoader
 ) -> None:
-    """Run a gateway until it is told to leave and has left.
+    """Run a gateway until it receives SIGTERM and has left the fleet.
 
     Args:
-        settings: the settings to start with.
-        path: the file that they came from.
+        settings: the initial settings.
+        path: the file that they were read from.
         load: reads the file again after a change.
     """
     async with AsyncExitStack() as stack:
@@ -84,7 +84,7 @@
 
 
 class _Gateway:
-    """Holds the parts while they run."""
+    """Holds the components of a running gateway."""
 
     def __init__(
         self, settings: GatewaySettings, path: Path, load: SettingsLoader
@@ -92,10 +92,10 @@
         self._settings = settings
         services = settings.services
         metrics = Metrics()
-        note_answer = partial(observe_dependency_call, metrics)
-        store = Caller("store", services.store, services.store_timeout, note_answer)
+        observe_call = partial(observe_dependency_call, metrics)
+        store = Caller("store", services.store, services.store_timeout, observe_call)
         watches = Caller("store watches", services.store, services.store_timeout)
-        cloud = Caller("cloud", services.cloud, services.cloud_timeout, note_answer)
+        cloud = Caller("cloud", services.cloud, services.cloud_timeout, observe_call)
         count_call = partial(count_store_call, metrics)
         self._era = StoreEra()
         self._store = Store(store, count_call, self._era)
@@ -103,7 +103,7 @@
         self._cloud = Cloud(cloud)
         self._state = self._make_state(metrics)
         self._state.dependencies += [store, watches, cloud]
-        self._file = SettingsFile(
+        self._settings_file = SettingsFile(
             path,
             load,
             self._state.configuration,
@@ -111,7 +111,7 @@
             settings,
         )
         self._registration = Registration(self._store, self._make_entry())
-        self._tenancy = HolderElection(
+        self._election = HolderElection(
             self._state.host,
             self._state.boot,
             self._store,
@@ -121,11 +121,11 @@
             lambda: self._state.sharing.is_reader,
             self._state.sharing.record_holder,
         )
-        self._state.describe_duties = self._tenancy.describe
-        self._keeper = SuspectPersistence(
+        self._state.describe_duties = self._election.describe
+        self._suspect_persistence = SuspectPersistence(
             self._state,
             self._store,
-            lambda: self._tenancy.find_active_term() is not None,
+            lambda: self._election.find_active_term() is not None,
         )
         self._socket = PacedSocket(
             settings.host.address,
@@ -133,7 +133,7 @@
             DatagramPacer(find_datagram_rate(settings.host.link_mbps)),
             metrics,
         )
-        self._teller = UsageReporter(
+        self._usage_reporter = UsageReporter(
             self._state.sharing,
             self._state.hosts,
             self._socket,
@@ -147,14 +147,14 @@
             FailureDomain(settings.host.failure_domain),
             self._state.make_report,
             SentReportTimes(self._state.host, self._state.boot),
-            self._teller,
+            self._usage_reporter,
             self._state.configuration.confirm_by_peer,
         )
         self._era.on_restored += [
             self._state.handle_restore,
             self._registration.handle_restore,
-            self._tenancy.handle_restore,
-            self._keeper.handle_restore,
+            self._election.handle_restore,
+            self._suspect_persistence.handle_restore,
         ]
         self._listeners: list[tuple[trio.SocketListener, RequestHandler]] = []
 
@@ -201,27 +201,27 @@
         )
 
     async def open(self, stack: AsyncExitStack) -> None:
-        """Open what must be closed again, all on one stack."""
-        serving = RequestProcessor(self._state)
+        """Open the socket and the listeners; the stack closes them."""
+        processor = RequestProcessor(self._state)
         directory = Directory(self._state)
         listen = self._settings.listen
         await self._socket.bind()
         stack.callback(self._socket.close)
-        places: list[tuple[str, RequestHandler]] = [
-            (listen.callers, serving.serve),
+        endpoints: list[tuple[str, RequestHandler]] = [
+            (listen.callers, processor.serve),
             (listen.readiness, directory.serve),
         ]
         if listen.operations:
-            places.append((listen.operations, Operations(self._state).serve))
+            endpoints.append((listen.operations, Operations(self._state).serve))
         if listen.directory:
-            places.append((listen.directory, directory.serve))
-        for address, serve in places:
+            endpoints.append((listen.directory, directory.serve))
+        for address, handler in endpoints:
             listener = await open_listener(address)
             stack.push_async_callback(listener.aclose)
-            self._listeners.append((listener, serve))
+            self._listeners.append((listener, handler))
 
     async def run(self) -> None:
-        """Run all tasks until the host has left."""
+        """Run all tasks until the host has left the fleet."""
         bounds = self._settings.supervision
         supervisor = Supervisor("gateway", bounds.restarts, bounds.window)
         for name, task in self._list_tasks():
@@ -233,8 +233,8 @@
                 async for number in signals:
                     if number == signal.SIGTERM:
                         break
-                    self._file.poll_now()
-                await leave_fleet(self._state, self._registration, self._tenancy)
+                    self._settings_file.poll_now()
+                await leave_fleet(self._state, self._registration, self._election)
             nursery.cancel_scope.cancel()
         log.info("stopped")
 
@@ -252,7 +252,7 @@
             lambda: state.sharing.reader_count,
             state.rollouts.apply_order,
         )
-        rollouts = RolloutDuty(state, self._tenancy, self._store)
+        rollouts = RolloutDuty(state, self._election, self._store)
         self._era.on_restored.append(rollouts.handle_restore)
         state.sharing.on_outcomes = state.rollouts.add_remote_count
         state.sharing.is_outcome_open = state.rollouts.is_outcome_open
@@ -269,7 +269,9 @@
         state.on_suspects_changed = partial(
             self._link.schedule_urgent_send, Recipients.ALL
         )
-        state.hosts.on_item = fan_out(self._keeper.apply_item, rollouts.apply_item)
+        state.hosts.on_item = fan_out(
+            self._suspect_persistence.apply_item, rollouts.apply_item
+        )
         hosts = HostWatcher(
             self._store,
             self._watch_store,
@@ -286,34 +288,41 @@
             ("hosts", hosts.poll),
             ("hosts-watch", hosts.watch),
             ("registration", self._registration.run),
-            ("suspects", self._keeper.run),
+            ("suspects", self._suspect_persistence.run),
             ("sharing-in", self._link.receive),
             ("sharing-out", self._link.send),
-            ("usage-out", self._teller.run),
+            ("usage-out", self._usage_reporter.run),
             ("datagrams-out", self._socket.run),
-            ("settings", self._file.run),
+            ("settings", self._settings_file.run),
             ("upkeep", partial(run_upkeep, state, self._registration)),
-            *self._list_duties(rollouts),
+            *self._list_duty_tasks(rollouts),
         ]
-        for number, (listener, serve) in enumerate(self._listeners):
-            handler = partial(serve_connection, shared=state.ingress, serve=serve)
-            tasks.append((f"listener-{number}", partial(accept, listener, handler)))
+        for number, (listener, handler) in enumerate(self._listeners):
+            serve_stream = partial(
+                serve_connection, ingress=state.ingress, handler=handler
+            )
+            tasks.append(
+                (
+                    f"listener-{number}",
+                    partial(accept_connections, listener, serve_stream),
+                )
+            )
         return tasks
 
-    def _list_duties(self, rollouts: RolloutDuty) -> list[tuple[str, Task]]:
+    def _list_duty_tasks(self, rollouts: RolloutDuty) -> list[tuple[str, Task]]:
         if not self._settings.services.cloud:
             return []
         usage = UsageDuty(
             self._state,
-            self._tenancy,
+            self._election,
             self._store,
             self._cloud,
-            self._teller.request_usage,
+            self._usage_reporter.request_usage,
         )
-        scaling = ScalingDuty(self._state, self._tenancy, self._store, self._cloud)
+        scaling = ScalingDuty(self._state, self._election, self._store, self._cloud)
         self._era.on_restored.append(scaling.handle_restore)
         return [
-            ("tenancy", self._tenancy.run),
+            ("tenancy", self._election.run),
             ("usage", usage.run),
             ("scaling", scaling.run),
             ("rollouts", rollouts.run),
@@ -321,25 +330,27 @@
 
 
 def fan_out(*handlers: Callable[[Item], None]) -> Callable[[Item], None]:
-    """Return a handler that passes each item of the store to all given handlers."""
+    """Return a handler that calls all given handlers with each item of the store."""
 
-    def take(item: Item) -> None:
+    def handle_item(item: Item) -> None:
         for handle in handlers:
             handle(item)
 
-    return take
+    return handle_item
 
 
 async def open_listener(address: str) -> trio.SocketListener:
     """Listen on `a.b.c.d:port`."""
     host, _, port = address.rpartition(":")
-    listeners = await trio.open_tcp_listeners(int(port), host=host, backlog=BACKLOG)
+    listeners = await trio.open_tcp_listeners(
+        int(port), host=host, backlog=ACCEPT_BACKLOG
+    )
     return listeners[0]
 
 
-async def accept(
+async def accept_connections(
     listener: trio.SocketListener,
     handler: Callable[[trio.SocketStream], Awaitable[None]],
 ) -> None:
-    """Accept connections for ever."""
+    """Accept connections forever."""
     await trio.serve_listeners(handler, [listener])
--- a/dewridge/gateway/forwarding.py
+++ b/dewridge/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""One attempt: one request to one backend server, and what became of it."""
+"""Attempts: sends a request to a backend server and checks the answer."""
 
 from dataclasses import dataclass
 
@@ -17,16 +17,22 @@
 )
 from dewridge.policy.losses import NOT_RUN_REASONS, LossReason
 
-INLINE_BODY = 4_096
-"""Bytes of a body that are sent before the answer is looked for. A longer one is
-sent beside the reading: a server may answer before it has read all of it."""
-WHOLE_ANSWER_LIMIT = 8_000_000
-"""Bytes of a plain answer that are held at once."""
+MAX_INLINE_BODY_BYTES = 4_096
+"""Size of a body up to which it is sent before the answer is read. A longer one is sent
+concurrently, as a server may answer before it has read all of it."""
+MAX_ANSWER_BYTES = 8_000_000
+"""Maximum size of an answer that is buffered completely."""
 
 
 @dataclass(frozen=True, slots=True)
 class LostAttempt:
-    """An attempt without an answer; `is_not_run` is proved, not guessed."""
+    """An attempt without a usable answer.
+
+    Attributes:
+        loss: why it has none.
+        reason: details for the log.
+        status: of the server's answer; 0 if there was none.
+    """
 
     loss: LossReason
     reason: str = ""
@@ -47,7 +53,7 @@
 
 
 class StreamedAnswer:
-    """An answer whose body still comes; its owner must `close` it."""
+    """An answer whose body is still being received; must be closed with `close`."""
 
     def __init__(
         self,
@@ -62,16 +68,16 @@
         self._pool = pool
 
     async def receive(self) -> bytes | None:
-        """Wait for a piece; None after the end.
+        """Wait for the next part of the body; return None after its end.
 
         Raises:
-            ConnectionBrokenError: the answer was cut off.
+            ConnectionBrokenError: the answer was interrupted.
         """
         assert self._connection is not None
         return await self._connection.receive_body()
 
     def close(self) -> None:
-        """Keep the connection if the answer ended cleanly, else close it."""
+        """Release the connection to the pool after a complete answer, else close it."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
@@ -93,10 +99,10 @@
 
     Args:
         request: the caller's request.
-        dispatch: what to say to the server beside it.
-        server: where to send it.
+        dispatch: additional information that is sent to the server in headers.
+        server: the server to send it to.
         pool: connections to servers.
-        must_arrive: whether the request can't be sent again if it is lost.
+        must_arrive: whether the request can't be retried if it is lost.
     """
     connection = pool.acquire_idle(server, must_arrive=must_arrive)
     is_reused = connection is not None
@@ -104,13 +110,13 @@
         connection = await pool.open(server)
     if connection is None:
         return LostAttempt(LossReason.NOT_CONNECTED)
-    is_kept = False
+    is_answer_open = False
     try:
         head = await _exchange(connection, request, dispatch)
-        lost = judge_head(head, request, is_reused=connection.exchanges > 1)
+        lost = check_head(head, request, is_reused=connection.exchanges > 1)
         if lost is not None:
             return lost
-        is_kept = True
+        is_answer_open = True
         return StreamedAnswer(head, connection, server, pool)
     except ConnectionBrokenError as error:
         if is_reused:
@@ -118,7 +124,7 @@
         loss = LossReason.MALFORMED if error.is_framing_fault else LossReason.CUT_OFF
         return LostAttempt(loss, str(error))
     finally:
-        if not is_kept:
+        if not is_answer_open:
             connection.close()
 
 
@@ -126,12 +132,12 @@
     connection: ClientConnection, request: CallerRequest, dispatch: Dispatch
 ) -> ResponseHead:
     headers = make_dispatch_headers(request, dispatch)
-    if len(request.body) <= INLINE_BODY:
+    if len(request.body) <= MAX_INLINE_BODY_BYTES:
         await connection.send(request.method, request.target, headers, request.body)
         return await connection.receive_head()
     result: ResponseHead | ConnectionBrokenError
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_send_quietly, connection, request, headers)
+        nursery.start_soon(_send_ignoring_errors, connection, request, headers)
         try:
             result = await connection.receive_head()
         except ConnectionBrokenError as error:
@@ -142,7 +148,7 @@
     return result
 
 
-async def _send_quietly(
+async def _send_ignoring_errors(
     connection: ClientConnection,
     request: CallerRequest,
     headers: list[tuple[bytes, bytes]],
@@ -150,19 +156,20 @@
     try:
         await connection.send(request.method, request.target, headers, request.body)
     except ConnectionBrokenError:
-        # An early answer may be on its way all the same; the reader finds it, or
-        # finds the connection at its end and tells.
+        # The server may have answered early. The concurrent read returns that answer,
+        # or reports that the connection is broken.
         return
 
 
-def judge_head(
+def check_head(
     head: ResponseHead, request: CallerRequest, *, is_reused: bool
 ) -> LostAttempt | None:
-    """Return why an answer can't be passed on, if so.
+    """Return why an answer can't be forwarded to the caller; None if it can.
 
-    A server may send a second answer to an earlier request; it is read where this
-    request's answer is due. Passed on, a caller would get another caller's answer.
-    An answer that names no request is believed only on a new connection.
+    A server may send a second answer to an earlier request of the connection. If it
+    were read as the answer to this request and forwarded, a caller would get another
+    caller's answer. An answer without a request id is accepted only on a new
+    connection.
     """
     answered = read_answered_request(head)
     if answered is not None and answered != request.id:
@@ -174,11 +181,11 @@
     if says_not_executed(head):
         return LostAttempt(LossReason.REJECTED, status=head.status)
     if 200 <= head.status < 300:
-        return _judge_success(head, is_named=answered is not None)
+        return _check_success(head, is_named=answered is not None)
     return None
 
 
-def _judge_success(head: ResponseHead, *, is_named: bool) -> LostAttempt | None:
+def _check_success(head: ResponseHead, *, is_named: bool) -> LostAttempt | None:
     if not (is_named and has_signature(head)):
         return LostAttempt(LossReason.MALFORMED, "a success without its marks")
     if head.find(b"content-encoding") is not None:
@@ -187,16 +194,16 @@
 
 
 async def read_complete_answer(answer: StreamedAnswer) -> CompleteAnswer | LostAttempt:
-    """Read an answer to its end and give its connection back."""
-    pieces: list[bytes] = []
+    """Read an answer to its end and release its connection."""
+    parts: list[bytes] = []
     size = 0
     try:
-        while (piece := await answer.receive()) is not None:
-            pieces.append(piece)
-            size += len(piece)
-            if size > WHOLE_ANSWER_LIMIT:
+        while (part := await answer.receive()) is not None:
+            parts.append(part)
+            size += len(part)
+            if size > MAX_ANSWER_BYTES:
                 return LostAttempt(LossReason.MALFORMED, "the answer is too large")
-        return CompleteAnswer(answer.head, b"".join(pieces))
+        return CompleteAnswer(answer.head, b"".join(parts))
     except ConnectionBrokenError as error:
         loss = LossReason.MALFORMED if error.is_framing_fault else LossReason.CUT_OFF
         return LostAttempt(loss, str(error))
--- a/dewridge/gateway/ingress.py
+++ b/dewridge/gateway/ingress.py
@@ -1,4 +1,4 @@
-"""Connections of callers: requests are read within bounds and answered in order."""
+"""Caller connections: reads requests within limits and answers them in order."""
 
 from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager
@@ -18,29 +18,31 @@
 
 RequestHandler = Callable[[CallerRequest, Responder], Awaitable[None]]
 
-RECEIVE_BYTES = 32_768
-PIPELINED_BYTES = 65_536
-"""Bytes that a caller may send ahead while it waits for an answer; past this its
-connection is not read on, so that it can't fill the host's memory."""
-LONGEST_PATIENCE = 60.0
-"""Seconds that a caller counts as waiting when it does not say how long."""
-LINGER = 0.5
-"""Seconds for a caller to take an early answer while it may still be sending."""
+RECEIVE_SIZE_BYTES = 32_768
+MAX_PIPELINED_BYTES = 65_536
+"""Bytes that a caller may pipeline while it waits for an answer. Beyond this its
+connection is not read, so that it can't fill the host's memory."""
+DEFAULT_DEADLINE_SECONDS = 60.0
+"""Seconds until the deadline of a request that does not state one."""
+LINGER_SECONDS = 0.5
+"""Seconds for a caller to read an early answer while it may still be sending."""
 
 
 @dataclass
 class IngressState:
-    """What all connections of callers share.
+    """State shared by all caller connections.
 
     Attributes:
-        limits: bounds in force.
-        idle_timeout: seconds an idle connection is kept: the longest of the last
-            two versions, since a caller may still act on the one before.
-        is_leaving: answers ask callers to close their connections.
-        closes_idle: idle connections are closed at once.
-        connections: open connections.
-        requests: requests being read or answered.
-        connection_limit: connections at once; bounded by descriptors.
+        limits: size and time limits in force.
+        connection_limit: maximum number of open connections; bounded by the file
+            descriptors of the process.
+        idle_timeout: seconds after which an idle connection is closed: the longer of
+            the last two configuration versions, as a caller may still rely on the
+            previous one.
+        is_leaving: whether answers ask callers to close their connections.
+        closes_idle: whether idle connections are closed at once.
+        connections: number of open connections.
+        requests: number of requests being read or answered.
     """
 
     limits: Limits
@@ -50,72 +52,74 @@
     closes_idle: bool = False
     connections: int = 0
     requests: int = 0
-    _waiting: set[trio.CancelScope] = field(default_factory=set)
+    _idle_scopes: set[trio.CancelScope] = field(default_factory=set)
 
     def close_idle_connections(self) -> None:
-        """Close all connections that wait for a request, now and from now on."""
+        """Close all idle connections, including those that become idle later."""
         self.closes_idle = True
-        for scope in self._waiting:
+        for scope in self._idle_scopes:
             scope.cancel()
 
     @contextmanager
-    def wait_idle(self, seconds: float) -> Iterator[None]:
-        """Wait for a request's first byte at most so long, or until idle ones end."""
+    def limit_idle_wait(self, seconds: float) -> Iterator[None]:
+        """Limit the wait of the `with` body by time and by `close_idle_connections`."""
         with trio.move_on_after(seconds) as scope:
-            self._waiting.add(scope)
+            self._idle_scopes.add(scope)
             try:
                 yield
             finally:
-                self._waiting.discard(scope)
+                self._idle_scopes.discard(scope)
 
 
-class _EndedError(Exception):
-    """The connection has nothing more to give."""
+class _ConnectionEndedError(Exception):
+    """The caller's connection has ended."""
 
 
 class CallerConnection:
-    """Owns one connection from its acceptance to its end."""
+    """Serves one accepted connection until it ends."""
 
     def __init__(
-        self, stream: trio.SocketStream, shared: IngressState, serve: RequestHandler
+        self, stream: trio.SocketStream, ingress: IngressState, handler: RequestHandler
     ) -> None:
         self._stream = stream
-        self._shared = shared
-        self._serve = serve
-        self._state = self._make_state()
+        self._ingress = ingress
+        self._handler = handler
+        self._state = self._make_protocol_state()
 
-    def _make_state(self) -> h11.Connection:
+    def _make_protocol_state(self) -> h11.Connection:
         return h11.Connection(
-            h11.SERVER, max_incomplete_event_size=self._shared.limits.head_bytes
+            h11.SERVER, max_incomplete_event_size=self._ingress.limits.head_bytes
         )
 
     async def run(self) -> None:
         """Answer requests until the connection ends."""
         try:
-            while await self._answer_one():
+            while await self._serve_next_request():
                 self._state.start_next_cycle()
-        except (_EndedError, CallerDisconnectedError):
+        except (_ConnectionEndedError, CallerDisconnectedError):
             return
 
-    async def _answer_one(self) -> bool:
+    async def _serve_next_request(self) -> bool:
         await self._wait_for_first_byte()
-        self._shared.requests += 1
+        self._ingress.requests += 1
         try:
             return await self._read_and_answer()
         finally:
-            self._shared.requests -= 1
+            self._ingress.requests -= 1
 
     async def _read_and_answer(self) -> bool:
         arrived_at = trio.current_time()
         request = await self._read_request(arrived_at)
-        closes = self._shared.is_leaving or isinstance(request, Failure)
-        responder = Responder(self._stream, self._state, closes=closes)
+        asks_close = self._ingress.is_leaving or isinstance(request, Failure)
+        responder = Responder(self._stream, self._state, asks_close=asks_close)
         if isinstance(request, Failure):
-            log.bind(code=request.code.name, reason=request.reason).info("unreadable")
+            log.bind(code=request.code.name, reason=request.reason).info(
+                "invalid request rejected"
+            )
             await send_failure(responder, request)
             await self._linger()
             return False
-        await self._serve_watched(request, responder)
+        await self._serve_until_disconnect(request, responder)
         return (
             responder.is_finished
             and self._state.our_state is h11.DONE
@@ -125,35 +129,37 @@
     async def _wait_for_first_byte(self) -> None:
         if self._state.trailing_data[0]:
             return
-        if not await self._wait_idle():
-            # A request that came while the process was busy or stood still lies in
-            # the kernel. Closed now, the connection would be reset, and its caller
-            # cut off without a line in the log.
+        if not await self._wait_for_input():
+            # A request that arrived while the process was busy or suspended may still
+            # be in the kernel's buffer. Closing now would reset the connection, and the
+            # caller would get no answer and the log no line for the request.
             if not has_input(self._stream.socket):
-                raise _EndedError
+                raise _ConnectionEndedError
             await self._receive()
 
-    async def _wait_idle(self) -> bool:
-        """Wait for input while the connection may be idle; whether any came."""
-        if self._shared.closes_idle:
+    async def _wait_for_input(self) -> bool:
+        """Wait for input up to the idle timeout; return whether any arrived."""
+        if self._ingress.closes_idle:
             return False
-        # The timeout may grow meanwhile with a new version of the configuration.
-        began = trio.current_time()
-        while (left := began + self._shared.idle_timeout - trio.current_time()) > 0:
-            with self._shared.wait_idle(left):
+        # A new configuration version may raise the timeout during the wait.
+        started_at = trio.current_time()
+        while (
+            time_left := started_at + self._ingress.idle_timeout - trio.current_time()
+        ) > 0:
+            with self._ingress.limit_idle_wait(time_left):
                 await self._receive()
                 return True
-            if self._shared.closes_idle:
+            if self._ingress.closes_idle:
                 break
         return False
 
     async def _receive(self) -> None:
         try:
-            data = await self._stream.receive_some(RECEIVE_BYTES)
+            data = await self._stream.receive_some(RECEIVE_SIZE_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise _EndedError from error
+            raise _ConnectionEndedError from error
         if not data:
-            raise _EndedError
+            raise _ConnectionEndedError
         self._state.receive_data(bytes(data))
 
     async def _next_event(self) -> h11.Event:
@@ -167,7 +173,7 @@
             await self._receive()
 
     async def _read_request(self, arrived_at: float) -> CallerRequest | Failure:
-        limits = self._shared.limits
+        limits = self._ingress.limits
         event = None
         try:
             with trio.move_on_after(limits.head_timeout):
@@ -175,11 +181,11 @@
             if event is None:
                 return Failure(ResultCode.HEAD_TOO_SLOW, "the head is not complete")
             if not isinstance(event, h11.Request):
-                raise _EndedError
+                raise _ConnectionEndedError
             headers = list(event.headers)
-            fault = find_head_fault(event, limits)
-            if fault is not None:
-                return fault
+            failure = find_head_failure(event, limits)
+            if failure is not None:
+                return failure
             body: bytes | Failure
             body = Failure(ResultCode.HEAD_TOO_SLOW, "the body is not complete")
             with trio.move_on_after(limits.idle_timeout):
@@ -193,71 +199,73 @@
         return _make_request(event, headers, body, arrived_at)
 
     async def _read_body(self) -> bytes | Failure:
-        pieces: list[bytes] = []
+        parts: list[bytes] = []
         size = 0
         while True:
             event = await self._next_event()
             if isinstance(event, h11.EndOfMessage):
-                return b"".join(pieces)
+                return b"".join(parts)
             if not isinstance(event, h11.Data):
-                raise _EndedError
+                raise _ConnectionEndedError
             size += len(event.data)
-            if size > self._shared.limits.body_bytes:
+            if size > self._ingress.limits.body_bytes:
                 return Failure(ResultCode.BODY_TOO_LARGE, "the body is too large")
-            pieces.append(bytes(event.data))
+            parts.append(bytes(event.data))
 
     async def _linger(self) -> None:
-        # A close with unread bytes resets the connection, and the caller may lose
-        # the answer that tells it what was wrong.
-        with trio.move_on_after(LINGER):
+        # Closing with unread input resets the connection, and the caller may lose the
+        # answer that reports the error.
+        with trio.move_on_after(LINGER_SECONDS):
             try:
                 await self._stream.send_eof()
-                while await self._stream.receive_some(RECEIVE_BYTES):
+                while await self._stream.receive_some(RECEIVE_SIZE_BYTES):
                     pass
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 return
 
-    async def _serve_watched(self, request: CallerRequest, out: Responder) -> None:
-        # A caller that has gone shows only on a read. Unless its request is stopped
-        # then, a backend server works on for nobody.
-        is_gone = False
+    async def _serve_until_disconnect(
+        self, request: CallerRequest, responder: Responder
+    ) -> None:
+        # Only a read shows that the caller has disconnected. The request is cancelled
+        # then, so that no backend server keeps working on an answer nobody reads.
+        is_disconnected = False
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_caller, nursery.cancel_scope)
+            nursery.start_soon(self._detect_disconnect, nursery.cancel_scope)
             try:
-                await self._serve(request, out)
+                await self._handler(request, responder)
             except CallerDisconnectedError:
-                is_gone = True
+                is_disconnected = True
             nursery.cancel_scope.cancel()
-        if is_gone:
-            raise _EndedError
+        if is_disconnected:
+            raise _ConnectionEndedError
 
-    async def _watch_caller(self, scope: trio.CancelScope) -> None:
-        sent_ahead = 0
-        while sent_ahead < PIPELINED_BYTES:
+    async def _detect_disconnect(self, scope: trio.CancelScope) -> None:
+        pipelined_bytes = 0
+        while pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
-                data = await self._stream.receive_some(RECEIVE_BYTES)
+                data = await self._stream.receive_some(RECEIVE_SIZE_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 data = b""
             if not data:
                 scope.cancel()
                 return
-            sent_ahead += len(data)
+            pipelined_bytes += len(data)
             self._state.receive_data(bytes(data))
 
 
-def find_head_fault(head: h11.Request, limits: Limits) -> Failure | None:
-    """Return why a request can't be read on, if so."""
-    if measure_head(head) > limits.head_bytes:
+def find_head_failure(head: h11.Request, limits: Limits) -> Failure | None:
+    """Return why a request's head is rejected; None if it is valid."""
+    if compute_head_size(head) > limits.head_bytes:
         return Failure(ResultCode.HEAD_TOO_LARGE, "the head is too large")
     fault = find_framing_fault(list(head.headers))
     return Failure(ResultCode.MALFORMED_REQUEST, fault) if fault else None
 
 
-def measure_head(head: h11.Request) -> int:
-    """Return the bytes of a request's head on the wire.
+def compute_head_size(head: h11.Request) -> int:
+    """Return the size in bytes of a request's head on the wire.
 
-    The library bounds only heads that are not complete: one that arrives at once may
-    be as large as a read.
+    The h11 library limits only incomplete heads; a head that arrives in a single read
+    may be as large as the read buffer.
     """
     size = len(head.method) + len(head.target) + len(b"  HTTP/1.1\r\n\r\n")
     for name, value in head.headers:
@@ -277,7 +285,7 @@
     if not head.target.startswith(b"/"):
         return Failure(ResultCode.MALFORMED_REQUEST, "the target is no path")
     host = next((value for name, value in headers if name == b"host"), b"")
-    patience = LONGEST_PATIENCE if marks.patience is None else marks.patience
+    patience = DEFAULT_DEADLINE_SECONDS if marks.patience is None else marks.patience
     return CallerRequest(
         id=AttemptKey(marks.id),
         method=head.method,
@@ -294,7 +302,7 @@
 
 
 async def send_failure(responder: Responder, failure: Failure) -> None:
-    """Answer a request with a failure of this system's own."""
+    """Answer a request with a failure reported by the gateway itself."""
     headers = [(b"content-type", b"text/plain; charset=utf-8")]
     if failure.retry_after is not None:
         headers.append((b"retry-after", f"{failure.retry_after:.3f}".encode()))
@@ -303,19 +311,21 @@
 
 
 async def serve_connection(
-    stream: trio.SocketStream, shared: IngressState, serve: RequestHandler
+    stream: trio.SocketStream, ingress: IngressState, handler: RequestHandler
 ) -> None:
-    """Run one accepted connection; a fault ends it alone."""
-    if shared.connections >= shared.connection_limit:
+    """Serve one accepted connection; an exception ends only this connection."""
+    if ingress.connections >= ingress.connection_limit:
         stream.socket.close()
-        log.bind(open=shared.connections).warning("connection refused: too many")
+        log.bind(open=ingress.connections).warning(
+            "connection rejected: too many open connections"
+        )
         return
-    shared.connections += 1
+    ingress.connections += 1
     try:
-        await CallerConnection(stream, shared, serve).run()
+        await CallerConnection(stream, ingress, handler).run()
     except Exception as error:
-        # One connection's fault must not end the process: all others would be cut.
+        # Otherwise an error in one connection would end the process and all others.
         log.opt(exception=error).error("connection failed")
     finally:
-        shared.connections -= 1
+        ingress.connections -= 1
         stream.socket.close()
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -1,4 +1,4 @@
-"""What operators ask a gateway: its counters, all that it believes, and one change."""
+"""HTTP endpoints for operators: metrics, state dump and release of suspect requests."""
 
 from typing import Any
 
@@ -20,53 +20,57 @@
 
 METRICS_PATH = "/metrics"
 DUMP_PATH = "/dump"
-LET_THROUGH_PATH = "/suspects/"
-"""Before the digest of a request that is to be sent to servers again."""
+SUSPECTS_PATH_PREFIX = "/suspects/"
+"""Precedes the digest of the suspect request that is to be released."""
 
 
 class Operations:
-    """Answers operators."""
+    """Serves the HTTP endpoints for operators."""
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
 
-    async def serve(self, request: CallerRequest, out: Responder) -> None:
-        """Answer one question."""
+    async def serve(self, request: CallerRequest, responder: Responder) -> None:
+        """Answer an operator's request."""
         if request.path == METRICS_PATH:
-            await self._send_metrics(out)
+            await self._send_metrics(responder)
         elif request.path == DUMP_PATH:
             body = msgspec.json.encode(describe_state(self._state), enc_hook=str)
-            await out.send_complete(200, [(b"content-type", b"application/json")], body)
-        elif is_let_through(request):
-            await self._let_through(request, out)
+            await responder.send_complete(
+                200, [(b"content-type", b"application/json")], body
+            )
+        elif is_suspect_release(request):
+            await self._release_suspect(request, responder)
         else:
             failure = Failure(ResultCode.UNKNOWN_OPERATION, "no such page")
-            await send_failure(out, failure)
+            await send_failure(responder, failure)
 
-    async def _let_through(self, request: CallerRequest, out: Responder) -> None:
-        digest = RequestDigest(request.path.removeprefix(LET_THROUGH_PATH))
+    async def _release_suspect(
+        self, request: CallerRequest, responder: Responder
+    ) -> None:
+        digest = RequestDigest(request.path.removeprefix(SUSPECTS_PATH_PREFIX))
         if clear_suspect(self._state, digest, "operator"):
-            await out.send_complete(200, [], b"")
+            await responder.send_complete(200, [], b"")
             return
         failure = Failure(ResultCode.UNKNOWN_REQUEST, "no such suspect")
-        await send_failure(out, failure)
+        await send_failure(responder, failure)
 
-    async def _send_metrics(self, out: Responder) -> None:
-        # The library takes 12 MB: loaded in the processes that are asked only.
+    async def _send_metrics(self, responder: Responder) -> None:
+        # The library takes 12 MB of memory: loaded only if metrics are requested.
         from dewridge.metrics.exposition import CONTENT_TYPE, expose  # noqa: PLC0415
 
         update_gauges(self._state)
         headers = [(b"content-type", CONTENT_TYPE.encode())]
-        await out.send_complete(200, headers, expose(self._state.metrics))
+        await responder.send_complete(200, headers, expose(self._state.metrics))
 
 
-def is_let_through(request: CallerRequest) -> bool:
-    """Whether an operator asks that a request be let through again."""
-    return request.method == b"DELETE" and request.path.startswith(LET_THROUGH_PATH)
+def is_suspect_release(request: CallerRequest) -> bool:
+    """Whether an operator requests the release of a suspect request."""
+    return request.method == b"DELETE" and request.path.startswith(SUSPECTS_PATH_PREFIX)
 
 
 def describe_state(state: GatewayState) -> dict[str, Any]:
-    """Return what this process believes, without keys, prompts or answers."""
+    """Return the state of this process, without API keys, prompts and answers."""
     now = trio.current_time()
     return {
         "host": {
@@ -80,7 +84,10 @@
             "age_seconds": round(state.configuration.age, 3),
             "is_trusted": state.configuration.is_trusted,
         },
-        "servers": [_describe_server(state, one.id, now) for one in _sort(state)],
+        "servers": [
+            _describe_server(state, server.id, now)
+            for server in _list_sorted_servers(state)
+        ],
         "hosts": [
             {
                 "id": entry.id,
@@ -99,9 +106,12 @@
             "datagrams_outdated": state.metrics.read("datagrams_outdated"),
             "holder": state.sharing.holder[1],
         },
-        "suspects": [_describe_suspect(one, now) for one in state.suspects.list_all()],
+        "suspects": [
+            _describe_suspect(suspect, now) for suspect in state.suspects.list_all()
+        ],
         "rollouts": [
-            _describe_rollout(state, one) for one in state.rollouts.list_progress()
+            _describe_rollout(state, progress)
+            for progress in state.rollouts.list_progress()
         ],
         "quotas": state.ledger.describe(),
         "connections": {
@@ -118,8 +128,10 @@
     }
 
 
-def _sort(state: GatewayState) -> list[Any]:
-    return sorted(state.servers.list_all(), key=lambda one: (one.service, one.id))
+def _list_sorted_servers(state: GatewayState) -> list[Any]:
+    return sorted(
+        state.servers.list_all(), key=lambda server: (server.service, server.id)
+    )
 
 
 def _describe_suspect(suspect: Suspect, now: float) -> dict[str, Any]:
@@ -130,7 +142,8 @@
         "set_aside_for_seconds": round(suspect.find_quarantine_left(now), 1),
         "ends_counted": len(suspect.list_crash_times(now)),
         "seconds_since_ends": {
-            server: round(now - end.at, 1) for server, end in suspect.crashes.items()
+            server: round(now - crash.at, 1)
+            for server, crash in suspect.crashes.items()
         },
         "cleared": sorted(suspect.cleared),
     }
--- a/dewridge/gateway/reloading.py
+++ b/dewridge/gateway/reloading.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs, with a signal or without."""
+"""Reloading of the settings file while the process runs."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -10,30 +10,30 @@
 from dewridge.settings.gateway import GatewaySettings
 from dewridge.settings.loading import LoadedSettings
 
-LOOK_PERIOD = 1.0
-"""Seconds between two looks at the file: it may change without a signal."""
-TRUST_SHARE = 0.8
-"""Part of the time until a revoked key must not work during which the configuration
-is trusted without a word from the store. The rest is for a request that was read just
-before, and for clocks that are read late on a busy host."""
+POLL_INTERVAL = 1.0
+"""Seconds between two polls of the file, as it may change without a signal."""
+TRUST_FRACTION = 0.8
+"""Fraction of the maximum revocation delay of a key for which the configuration is
+trusted without confirmation by the store. The rest covers requests read just before the
+end of that period, and late clock readings on a busy host."""
 
 SettingsLoader = Callable[[Path], LoadedSettings[GatewaySettings]]
 
 
 def compute_trust_period(settings: GatewaySettings) -> float:
-    """Return the seconds for which a confirmed configuration is trusted."""
+    """Return the seconds for which a configuration is trusted after a confirmation."""
     if not settings.bounds.fails_closed:
         return float("inf")
-    return TRUST_SHARE * settings.bounds.revocation_ms / 1000
+    return TRUST_FRACTION * settings.bounds.revocation_ms / 1000
 
 
 class SettingsFile:
-    """Reads the settings again and puts new bounds into force.
+    """Reloads the settings file after changes and applies new limits.
 
-    Addresses and the host's name stay as they were at the start: listeners and the
-    registration rest on them, and a restart is the clear way to change them. A file
-    that can't be read or is not valid leaves all as it was: a host that stopped for a
-    half-written file would cut its callers off.
+    The addresses and the id of the host change only with a restart, as the listeners
+    and the registration depend on them. A file that is unreadable or invalid changes
+    nothing: if the host exited because of a partially written file, it would disconnect
+    its callers.
     """
 
     def __init__(
@@ -50,24 +50,24 @@
         self._apply = apply
         self._current = current
         self._raw = self._read()
-        self._wake = trio.Event()
+        self._poll_requested = trio.Event()
 
     def poll_now(self) -> None:
-        """Look at the file at once: a signal told of a change."""
-        self._wake.set()
+        """Poll the file at once; called when a signal reports a change."""
+        self._poll_requested.set()
 
     async def run(self) -> None:
-        """Follow the file for ever."""
+        """Poll the file forever and reload it after each change."""
         while True:
-            with trio.move_on_after(LOOK_PERIOD):
-                await self._wake.wait()
-            is_told = self._wake.is_set()
-            self._wake = trio.Event()
+            with trio.move_on_after(POLL_INTERVAL):
+                await self._poll_requested.wait()
+            is_requested = self._poll_requested.is_set()
+            self._poll_requested = trio.Event()
             raw = self._read()
             if raw is not None and raw != self._raw:
                 self._raw = raw
-                self._take_over()
-            elif is_told:
+                self._reload()
+            elif is_requested:
                 log.info("settings reloaded without a change")
 
     def _read(self) -> bytes | None:
@@ -77,14 +77,14 @@
             log.bind(reason=error.strerror).warning("settings can't be read")
             return None
 
-    def _take_over(self) -> None:
+    def _reload(self) -> None:
         loaded = self._load(self._path)
         if loaded.settings is None:
             reasons = "; ".join(str(problem) for problem in loaded.errors)
-            log.bind(reason=reasons).error("settings refused on reload")
+            log.bind(reason=reasons).error("changed settings rejected")
             return
         if loaded.settings.listen != self._current.listen:
-            log.warning("changed addresses take a restart")
+            log.warning("changed addresses take effect after a restart")
         self._current = loaded.settings
         self._configuration.set_trust_period(compute_trust_period(loaded.settings))
         self._apply(loaded.settings)
--- a/dewridge/gateway/responder.py
+++ b/dewridge/gateway/responder.py
@@ -1,26 +1,32 @@
-"""The answer to one request of a caller, written onto the caller's connection."""
+"""Writing of an answer to a caller's connection."""
 
 import h11
 import trio
 
 from dewridge.http1.client import Headers
 
-REASONS = {421: b"Misdirected Request", 431: b"Request Header Fields Too Large"}
+REASON_PHRASES = {421: b"Misdirected Request", 431: b"Request Header Fields Too Large"}
 
 
 class CallerDisconnectedError(Exception):
-    """The caller's connection ended; nobody waits for the answer."""
+    """The caller closed its connection before the answer was complete."""
 
 
 class Responder:
-    """Writes one answer; says what of it has been sent."""
+    """Writes the answer to one request and tracks how much of it was sent.
+
+    Attributes:
+        status: status of the answer; 0 before it has started.
+        has_started: whether sending of the head has started.
+        is_finished: whether the complete answer was sent.
+    """
 
     def __init__(
-        self, stream: trio.SocketStream, state: h11.Connection, *, closes: bool
+        self, stream: trio.SocketStream, state: h11.Connection, *, asks_close: bool
     ) -> None:
         self._stream = stream
         self._state = state
-        self._closes = closes
+        self._asks_close = asks_close
         self.status = 0
         self.has_started = False
         self.is_finished = False
@@ -28,7 +34,7 @@
     async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete answer."""
         headers = [*headers, (b"content-length", str(len(body)).encode())]
-        data = self._begin(status, headers)
+        data = self._make_head(status, headers)
         if body and self._state.our_state is h11.SEND_BODY:
             data += self._state.send(h11.Data(data=body)) or b""
         data += self._state.send(h11.EndOfMessage()) or b""
@@ -36,24 +42,24 @@
         self.is_finished = True
 
     async def send_head(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose body follows in pieces."""
-        await self._write(self._begin(status, headers))
+        """Send the head of an answer whose body follows in parts."""
+        await self._write(self._make_head(status, headers))
 
-    async def send_body_part(self, piece: bytes) -> None:
+    async def send_body_part(self, part: bytes) -> None:
         """Send a part of the body."""
-        await self._write(self._state.send(h11.Data(data=piece)) or b"")
+        await self._write(self._state.send(h11.Data(data=part)) or b"")
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Send the end of the body."""
         await self._write(self._state.send(h11.EndOfMessage()) or b"")
         self.is_finished = True
 
-    def _begin(self, status: int, headers: Headers) -> bytes:
-        if self._closes:
+    def _make_head(self, status: int, headers: Headers) -> bytes:
+        if self._asks_close:
             headers = [*headers, (b"connection", b"close")]
         self.has_started = True
         self.status = status
-        reason = REASONS.get(status, b"")
+        reason = REASON_PHRASES.get(status, b"")
         head = h11.Response(status_code=status, headers=headers, reason=reason)
         return self._state.send(head) or b""
 
--- a/dewridge/gateway/rolloutduty.py
+++ b/dewridge/gateway/rolloutduty.py
@@ -27,10 +27,10 @@
 from dewridge.sentinels import Failure
 
 ROLLOUT_PREFIX = SYSTEM_PREFIX + "rollouts/"
-"""Lies below the prefix of the host entries, which every host already reads."""
-LOOK_PERIOD = 0.25
+"""Below the prefix of the host entries, which every host already reads."""
+POLL_INTERVAL = 0.25
 """Seconds between two checks of the rollouts in progress."""
-STATUSES = {
+OPERATOR_STATUSES = {
     Stage.TRIAL: RolloutStatus.IN_PROGRESS,
     Stage.MOVING: RolloutStatus.IN_PROGRESS,
     Stage.COMPLETED: RolloutStatus.COMPLETED,
@@ -47,13 +47,13 @@
     """
 
     def __init__(
-        self, state: GatewayState, tenancy: HolderElection, store: Store
+        self, state: GatewayState, election: HolderElection, store: Store
     ) -> None:
         self._state = state
-        self._tenancy = tenancy
+        self._election = election
         self._store = store
-        self._stage_seen_at: dict[tuple[int, Stage], float] = {}
-        self._to_rewrite: set[ServiceName] = set()
+        self._stage_first_seen_at: dict[tuple[int, Stage], float] = {}
+        self._services_to_rewrite: set[ServiceName] = set()
 
     def apply_item(self, item: Item) -> None:
         """Apply the stored progress of a rollout."""
@@ -64,20 +64,22 @@
 
     def handle_restore(self) -> None:
         """Schedule rewrites of closed rollouts; the store may hold an earlier stage."""
-        self._to_rewrite = {one.service for one in self._state.rollouts.list_progress()}
+        self._services_to_rewrite = {
+            progress.service for progress in self._state.rollouts.list_progress()
+        }
 
     async def run(self) -> None:
-        """Advance all rollouts for ever."""
+        """Advance all rollouts forever."""
         while True:
             for progress in self._state.rollouts.list_progress():
                 if progress.stage not in FINAL:
                     await self._step(progress)
-                elif progress.service in self._to_rewrite:
+                elif progress.service in self._services_to_rewrite:
                     await self._rewrite(progress)
-            await trio.sleep(LOOK_PERIOD)
+            await trio.sleep(POLL_INTERVAL)
 
     async def _step(self, progress: RolloutProgress) -> None:
-        if self._tenancy.find_active_term() is None:
+        if self._election.find_active_term() is None:
             return
         rollout = self._find_rollout_state(progress)
         stage = find_next_stage(rollout)
@@ -89,15 +91,17 @@
         now = trio.current_time()
         evidence = state.rollouts.find_evidence(progress.order)
         records = state.servers.list_service(progress.service)
-        old = [one for one in records if one.version != progress.target]
+        old = [server for server in records if server.version != progress.target]
         return RolloutState(
             stage=progress.stage,
             elapsed=compute_elapsed(progress),
             stage_age=now
-            - self._stage_seen_at.setdefault((progress.order, progress.stage), now),
+            - self._stage_first_seen_at.setdefault(
+                (progress.order, progress.stage), now
+            ),
             duration=progress.duration,
             verdict=judge_version(evidence),
-            target_answers=sum(one.answers for one in evidence.target.values()),
+            target_answers=sum(tally.answers for tally in evidence.target.values()),
             target_servers=len(records) - len(old),
             baseline_servers=len(old),
             baseline_in_flight=state.count_in_flight(old),
@@ -110,8 +114,8 @@
         if stage is Stage.TRIAL:
             bounds = self._state.settings.bounds
             share = find_trial_share(bounds.exposure_share, progress.duration)
-        following = msgspec.structs.replace(progress, stage=stage, share=share)
-        if not await self._write(following):
+        advanced = msgspec.structs.replace(progress, stage=stage, share=share)
+        if not await self._write(advanced):
             return
         log.bind(
             service=progress.service,
@@ -123,18 +127,20 @@
             baseline_in_flight=rollout.baseline_in_flight,
             **describe_evidence(self._state.rollouts.find_evidence(progress.order)),
         ).info("rollout stage changed")
-        self._state.rollouts.apply_progress(following)
+        self._state.rollouts.apply_progress(advanced)
 
     async def _rewrite(self, progress: RolloutProgress) -> None:
-        if self._tenancy.find_active_term() is not None and await self._write(progress):
-            self._to_rewrite.discard(progress.service)
+        if self._election.find_active_term() is not None and await self._write(
+            progress
+        ):
+            self._services_to_rewrite.discard(progress.service)
 
     async def _write(self, progress: RolloutProgress) -> bool:
         """Write the stage and the operator's status; return whether it succeeded."""
         service = progress.service
         key = make_progress_key(service)
         known = self._state.hosts.items.get(key)
-        status = STATUSES[progress.stage]
+        status = OPERATOR_STATUSES[progress.stage]
         result = await self._store.change(
             expected={key: known.revision if known is not None else 0},
             writes=(
--- a/dewridge/gateway/rollouts.py
+++ b/dewridge/gateway/rollouts.py
@@ -33,27 +33,27 @@
 )
 
 SLOW_FACTOR = 3.0
-"""Multiple of the typical latency of a route above which an answer counts as slow.
-Leaves room for answers of different lengths; applies to both versions."""
-LEAST_LATENCY_SAMPLES = 5
-"""Answers on a route before its typical latency is used."""
+"""Multiple of a route's typical latency above which an answer counts as slow. Leaves
+room for answers of different lengths; applies to both versions."""
+MIN_LATENCY_SAMPLES = 5
+"""Answers needed on a route before its typical latency is used."""
 LATENCY_WEIGHT = 0.05
 """Weight of a new sample in the moving average."""
-NEUTRAL_LOSSES = frozenset(
+NEUTRAL_LOSS_REASONS = frozenset(
     {LossReason.REJECTED, LossReason.OTHER_SERVER, LossReason.MOVED}
 )
 """Losses that are not counted for or against a version."""
-REWRITE_TIME = 10.0
+REWRITE_WINDOW = 10.0
 """Seconds after a restore of the store during which an identical order counts as a
 rewrite of the known one, not as a new order."""
-LEAST_FAILURE_STATUS = 500
+MIN_FAILURE_STATUS = 500
 """Lowest status that counts as a server failure."""
 NEW, OLD = "new", "old"
 ANSWERS, BAD = "answers", "bad"
 
 
 class AttemptResult(Enum):
-    """How an attempt counts for the version of its server."""
+    """How an attempt counts for or against the version of its server."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -66,17 +66,19 @@
     """Return the result of an attempt.
 
     Args:
-        lost: why it has no answer; None if its answer was passed on.
-        status: of that answer.
+        lost: why it has no answer; None if its answer was forwarded.
+        status: status of that answer.
     """
     if lost is None:
         return (
             AttemptResult.FAILED
-            if status >= LEAST_FAILURE_STATUS
+            if status >= MIN_FAILURE_STATUS
             else AttemptResult.ANSWERED
         )
     return (
-        AttemptResult.NOT_RUN if lost.loss in NEUTRAL_LOSSES else AttemptResult.FAILED
+        AttemptResult.NOT_RUN
+        if lost.loss in NEUTRAL_LOSS_REASONS
+        else AttemptResult.FAILED
     )
 
 
@@ -96,7 +98,7 @@
     def is_slow(self, seconds: float) -> bool:
         """Whether a time is over `SLOW_FACTOR` times the typical latency, if known."""
         return (
-            self.count >= LEAST_LATENCY_SAMPLES and seconds > SLOW_FACTOR * self.seconds
+            self.count >= MIN_LATENCY_SAMPLES and seconds > SLOW_FACTOR * self.seconds
         )
 
 
@@ -113,7 +115,7 @@
     """Rollouts known to this host and their counters.
 
     Attributes:
-        outcomes: answers and bad answers counted by this host.
+        outcomes: numbers of answers and bad answers counted by this host.
     """
 
     outcomes: dict[OutcomeKey, int] = field(default_factory=lambda: defaultdict(int))
@@ -149,7 +151,7 @@
         )
 
     def handle_restore(self) -> None:
-        """Note that the store was restored; known orders may be written again."""
+        """Record that the store was restored; known orders may be written again."""
         self._restored_at = trio.current_time()
 
     def _is_rewrite(self, known: RolloutProgress, order: RolloutOrder) -> bool:
@@ -158,18 +160,18 @@
         restored_at = self._restored_at
         if restored_at is None:
             return False
-        return trio.current_time() - restored_at < REWRITE_TIME
+        return trio.current_time() - restored_at < REWRITE_WINDOW
 
     def _update_revision(self, known: RolloutProgress, revision: int) -> None:
-        """Keep the stage and verdict of a rewritten order; reset its counts."""
+        """Apply a rewritten order's revision; keep stage and verdict, reset counts."""
         verdict = self._verdicts.get(known.order, Verdict.UNDECIDED)
         self._set_progress(msgspec.structs.replace(known, order=revision))
         self._verdicts[revision] = verdict
 
     def apply_progress(self, progress: RolloutProgress) -> bool:
-        """Apply progress that is newer than the known one; return whether it was."""
+        """Apply progress if it is newer than the known one; return whether it was."""
         known = self._progress.get(progress.service)
-        if known is not None and _rank(known) >= _rank(progress):
+        if known is not None and _find_rank(known) >= _find_rank(progress):
             return False
         log.bind(
             service=progress.service,
@@ -183,21 +185,23 @@
     def _set_progress(self, progress: RolloutProgress) -> None:
         self._progress[progress.service] = progress
         for counts in (self.outcomes, self._totals):
-            for name in [one for one in counts if not self.is_outcome_open(one)]:
-                del counts[name]
-        orders = {one.order for one in self._progress.values()}
+            for key in [
+                counter for counter in counts if not self.is_outcome_open(counter)
+            ]:
+                del counts[key]
+        orders = {rollout.order for rollout in self._progress.values()}
         self._verdicts = {
             order: verdict
             for order, verdict in self._verdicts.items()
             if order in orders
         }
 
-    def is_outcome_open(self, name: OutcomeKey) -> bool:
-        """Whether a counter belongs to a rollout that has not ended."""
-        return self._find_open_rollout(name) is not None
+    def is_outcome_open(self, key: OutcomeKey) -> bool:
+        """Whether a counter belongs to a rollout in progress."""
+        return self._find_open_rollout(key) is not None
 
-    def _find_open_rollout(self, name: OutcomeKey) -> RolloutProgress | None:
-        order = name.partition("/")[0]
+    def _find_open_rollout(self, key: OutcomeKey) -> RolloutProgress | None:
+        order = key.partition("/")[0]
         for progress in self._progress.values():
             if str(progress.order) == order and progress.stage not in FINAL:
                 return progress
@@ -224,7 +228,7 @@
     def list_serving(
         self, service: ServiceName, records: list[ServerRecord]
     ) -> list[ServerRecord]:
-        """Return the servers that carry a service, excluding those under trial."""
+        """Return the servers that may serve any request; excludes those under trial."""
         progress = self._progress.get(service)
         if progress is None:
             return records
@@ -234,7 +238,7 @@
                 return split.new or split.old
             case Stage.REVERTED:
                 return split.old
-        # If all servers already run the target version, none are held back.
+        # If all servers already run the target version, all of them serve.
         return split.old or split.new
 
     def choose_servers(
@@ -249,9 +253,9 @@
 
         Args:
             service: the request's service.
-            records: all servers of it.
-            is_first: whether this is the request's first attempt; a trial takes no
-                retries.
+            records: all servers of the service.
+            is_first: whether this is the request's first attempt; retries are not sent
+                to servers under trial.
             draw: returns a random number from 0 to 1; called during a trial only.
         """
         progress = self._progress.get(service)
@@ -262,12 +266,12 @@
             split = _split_by_version(records, progress.target)
             chosen = choose_trial_servers(
                 progress.order,
-                [one.id for one in split.new],
+                [server.id for server in split.new],
                 len(split.old),
                 progress.share,
             )
             if chosen:
-                return [one for one in split.new if one.id in chosen]
+                return [server for server in split.new if server.id in chosen]
         return self.list_serving(service, records)
 
     def record_attempt_end(
@@ -282,8 +286,8 @@
         Args:
             route: the request's route.
             server: the server it was sent to.
-            seconds: time since it was sent.
-            result: how it ended.
+            seconds: time since it was sent, in seconds.
+            result: how the attempt ended.
         """
         if result is AttemptResult.NOT_RUN:
             return
@@ -298,37 +302,37 @@
         if result is AttemptResult.ABANDONED and not is_slow:
             return
         side = NEW if is_new else OLD
-        self._count(make_outcome_name(progress.order, side, ANSWERS, route))
+        self._increment(make_outcome_key(progress.order, side, ANSWERS, route))
         if result is AttemptResult.FAILED or is_slow:
-            self._count(make_outcome_name(progress.order, side, BAD, route))
-            self._judge(progress)
+            self._increment(make_outcome_key(progress.order, side, BAD, route))
+            self._update_verdict(progress)
 
-    def _count(self, name: OutcomeKey) -> None:
-        self.outcomes[name] += 1
-        self._totals[name] += 1
+    def _increment(self, key: OutcomeKey) -> None:
+        self.outcomes[key] += 1
+        self._totals[key] += 1
 
-    def add_remote_count(self, name: OutcomeKey, increase: float) -> None:
+    def add_remote_count(self, key: OutcomeKey, increase: float) -> None:
         """Add the increase of a counter at other hosts."""
-        progress = self._find_open_rollout(name)
+        progress = self._find_open_rollout(key)
         if progress is not None:
-            self._totals[name] += increase
-            if f"/{NEW}/{BAD}/" in name:
-                self._judge(progress)
+            self._totals[key] += increase
+            if f"/{NEW}/{BAD}/" in key:
+                self._update_verdict(progress)
 
     def find_evidence(self, order: int) -> Evidence:
-        """Return the answers of both versions, summed over all hosts."""
+        """Return the answer counts of both versions by route, summed over all hosts."""
         sides: dict[str, dict[RouteLabel, Tally]] = {NEW: {}, OLD: {}}
-        for name, count in self._totals.items():
-            number, side, kind, route = name.split("/", 3)
+        for key, count in self._totals.items():
+            number, side, kind, route = key.split("/", 3)
             if number != str(order):
                 continue
             label = RouteLabel(route)
-            counted = round(count)
-            tally = Tally(counted, 0) if kind == ANSWERS else Tally(0, counted)
+            rounded = round(count)
+            tally = Tally(rounded, 0) if kind == ANSWERS else Tally(0, rounded)
             sides[side][label] = sides[side].get(label, Tally()) + tally
         return Evidence(target=sides[NEW], baseline=sides[OLD])
 
-    def _judge(self, progress: RolloutProgress) -> None:
+    def _update_verdict(self, progress: RolloutProgress) -> None:
         if self._verdicts.get(progress.order) is Verdict.BAD:
             return
         evidence = self.find_evidence(progress.order)
@@ -342,15 +346,15 @@
             ).warning("rollout target judged bad")
 
 
-def make_outcome_name(order: int, side: str, kind: str, route: RouteName) -> OutcomeKey:
-    """Return the name of a counter.
+def make_outcome_key(order: int, side: str, kind: str, route: RouteName) -> OutcomeKey:
+    """Return the key of a counter.
 
     The route comes last, as its name may contain slashes.
     """
     return OutcomeKey(f"{order}/{side}/{kind}/{route}")
 
 
-def _rank(progress: RolloutProgress) -> tuple[int, int]:
+def _find_rank(progress: RolloutProgress) -> tuple[int, int]:
     return progress.order, RANKS[progress.stage]
 
 
@@ -381,7 +385,7 @@
     try:
         return msgspec.json.decode(value, type=RolloutProgress)
     except msgspec.DecodeError as error:
-        log.bind(reason=str(error)).error("rollout can't be read")
+        log.bind(reason=str(error)).error("malformed rollout progress ignored")
         return None
 
 
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -1,4 +1,4 @@
-"""The way of one request: judged, admitted, sent to servers, its answer passed on."""
+"""Processing of a request: routing, authentication, admission, dispatch and logging."""
 
 from dataclasses import dataclass
 
@@ -24,22 +24,22 @@
 from dewridge.policy.quota import make_quota
 from dewridge.sentinels import Failure
 
-FRESH_ENOUGH = 1.8
-"""Age in seconds up to which the configuration may say that something does not exist.
-A route or key that was just added must not be denied for good by a host that has not
-seen it; past this age the caller is asked to come back."""
-COME_BACK = 0.3
-"""Seconds after which a caller finds news here, or another host: half a poll."""
-STREAM_TIME = 4.0
-"""Seconds that a stream takes at most, but for the longest one in a hundred under
-load."""
-END_SLACK = 0.1
-"""Seconds past a deadline for the last bytes of an answer that is just ready."""
+MAX_DENIAL_CONFIGURATION_AGE = 1.8
+"""Age in seconds of the configuration up to which an unknown route or key is denied.
+With an older configuration the caller is asked to retry: the route or key may have been
+added since then, and must not be denied for good."""
+STALE_RETRY_AFTER = 0.3
+"""Mean seconds after which a caller with an outdated or missing configuration at this
+host is asked to retry, here or at another host: half a poll interval."""
+STREAM_TIME_P99 = 4.0
+"""Seconds within which 99% of the streams complete under load."""
+DEADLINE_SLACK = 0.1
+"""Seconds past the deadline during which an answer may still be completed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """A request with what the configuration in force says of it."""
+class ResolvedRequest:
+    """A request's route and account by the configuration in force."""
 
     configuration: Configuration
     route: Route
@@ -47,38 +47,40 @@
 
 
 class RequestProcessor:
-    """Serves the requests of all callers of this host."""
+    """Processes the requests of all callers of this host."""
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
         self._runner = JobRunner(state)
 
-    async def serve(self, request: CallerRequest, out: Responder) -> None:
-        """Answer one request; every fault becomes an answer or a cut stream."""
-        began = trio.current_time()
+    async def serve(self, request: CallerRequest, responder: Responder) -> None:
+        """Answer a request, with an error answer if an exception is raised in time."""
+        started_at = trio.current_time()
         job: Job | None = None
         failure: Failure | None = None
         try:
-            judged = self._judge(request)
-            if isinstance(judged, Failure):
-                failure = judged
+            resolved = self._resolve(request)
+            if isinstance(resolved, Failure):
+                failure = resolved
             else:
-                job = self._make_job(request, judged)
-                failure = self._admit(job) or await self._run(job, out)
+                job = self._make_job(request, resolved)
+                failure = self._admit(job) or await self._run(job, responder)
         except (CallerDisconnectedError, trio.Cancelled):
-            self._tell(request, job, out, None, began, "caller left")
+            self._record_completion(
+                request, job, responder, None, started_at, "caller left"
+            )
             raise
         except Exception as error:
             log.bind(id=request.id).opt(exception=error).error("request failed")
             failure = Failure(ResultCode.INTERNAL, type(error).__name__)
-        if failure is not None and not out.has_started:
-            await send_failure(out, failure)
-        self._tell(request, job, out, failure, began, "")
+        if failure is not None and not responder.has_started:
+            await send_failure(responder, failure)
+        self._record_completion(request, job, responder, failure, started_at, "")
 
-    def _judge(self, request: CallerRequest) -> Judged | Failure:
+    def _resolve(self, request: CallerRequest) -> ResolvedRequest | Failure:
         configuration = self._state.configuration.current
         if configuration is None:
-            return self._ask_back("no configuration yet")
+            return self._ask_to_retry("no configuration yet")
         if not request.id:
             return Failure(ResultCode.MALFORMED_REQUEST, "the request has no id")
         route = configuration.find_route(request.hostname, request.path)
@@ -87,40 +89,42 @@
         account = None
         if configuration.has_accounts and not route.is_anonymous:
             if not self._state.configuration.is_trusted:
-                return self._ask_back("the store is out of reach")
+                return self._ask_to_retry("the store is out of reach")
             account = configuration.accounts.get(request.key)
             if account is None:
                 return self._deny(ResultCode.UNAUTHENTICATED, "unknown key")
-        late = self._check_leaving(request, route)
-        return late or Judged(configuration, route, account)
+        refusal = self._check_time_to_exit(request, route)
+        return refusal or ResolvedRequest(configuration, route, account)
 
     def _admit(self, job: Job) -> Failure | None:
-        set_aside = check_quarantine(self._state, job)
-        return set_aside or self._check_quota(job.request, job.account)
+        refusal = check_quarantine(self._state, job)
+        return refusal or self._check_quota(job.request, job.account)
 
-    def _check_leaving(self, request: CallerRequest, route: Route) -> Failure | None:
-        """Refuse what can't be answered whole before this process ends.
+    def _check_time_to_exit(
+        self, request: CallerRequest, route: Route
+    ) -> Failure | None:
+        """Reject a request that may not complete before this process exits.
 
-        Made for a rolling restart under callers who still hold the old addresses. A
-        stream that is cut at the process's end has run and may not be repeated;
-        refused at once, the caller sends it to another host.
+        During a rolling restart, callers still use addresses of leaving hosts. A stream
+        interrupted by the exit has run and may not be retried, while a caller that is
+        rejected at once sends it to another host.
         """
-        left = self._state.leaves_at - trio.current_time()
+        time_left = self._state.leaves_at - trio.current_time()
         if route.kind is RouteKind.STREAM:
-            needed = STREAM_TIME
+            needed = STREAM_TIME_P99
         else:
             needed = min(request.deadline - request.arrived_at, route.timeout)
-        if left >= needed:
+        if time_left >= needed:
             return None
         return Failure(ResultCode.HOST_LEAVING, "this host is leaving", 0.0)
 
     def _deny(self, code: ResultCode, reason: str) -> Failure:
-        if self._state.configuration.age > FRESH_ENOUGH:
-            return self._ask_back(f"{reason}, but the configuration may be old")
+        if self._state.configuration.age > MAX_DENIAL_CONFIGURATION_AGE:
+            return self._ask_to_retry(f"{reason}, but the configuration may be old")
         return Failure(code, reason)
 
-    def _ask_back(self, reason: str) -> Failure:
-        wait = COME_BACK * self._state.rng.uniform(0.5, 1.5)
+    def _ask_to_retry(self, reason: str) -> Failure:
+        wait = STALE_RETRY_AFTER * self._state.rng.uniform(0.5, 1.5)
         return Failure(ResultCode.CONFIGURATION_STALE, reason, wait)
 
     def _check_quota(
@@ -128,7 +132,7 @@
     ) -> Failure | None:
         if account is None or account.rate <= 0:
             return None
-        amount = find_quota_units(request, account)
+        amount = compute_quota_units(request, account)
         state = self._state
         bounds = state.settings.bounds
         quota = make_quota(
@@ -143,26 +147,26 @@
         draw = state.rng.random()
         wait = state.ledger.find_wait(account.name, amount, quota, now, fleet, draw)
         if wait > 0:
-            spread = wait * state.rng.uniform(1.0, 1.5)
+            retry_after = wait * state.rng.uniform(1.0, 1.5)
             level = state.ledger.find_level(account.name)
             reason = (
                 f"over the quota: asks {amount:.0f}, {level:.0f} left, "
                 f"{fleet.hosts} hosts, {fleet.silent} silent"
             )
-            return Failure(ResultCode.SHARE_EXCEEDED, reason, spread)
+            return Failure(ResultCode.SHARE_EXCEEDED, reason, retry_after)
         state.ledger.record(state.host, account.name, amount, now)
         return None
 
-    def _make_job(self, request: CallerRequest, judged: Judged) -> Job:
-        route = judged.route
+    def _make_job(self, request: CallerRequest, resolved: ResolvedRequest) -> Job:
+        route = resolved.route
         deadline = min(request.deadline, request.arrived_at + route.timeout)
         return Job(
             request=request,
             route=route,
-            account=judged.account,
+            account=resolved.account,
             service=self._choose_service(route),
             deadline=deadline,
-            is_engine=self._has_engine(judged, route),
+            is_engine=self._has_engine(resolved, route),
         )
 
     def _choose_service(self, route: Route) -> ServiceName:
@@ -171,64 +175,64 @@
             return route.shares[0].service
         return self._state.rng.choices(route.shares, weights)[0].service
 
-    def _has_engine(self, judged: Judged, route: Route) -> bool:
-        service = judged.configuration.services.get(route.shares[0].service)
+    def _has_engine(self, resolved: ResolvedRequest, route: Route) -> bool:
+        service = resolved.configuration.services.get(route.shares[0].service)
         return service is not None and service.engine is not None
 
-    async def _run(self, job: Job, out: Responder) -> Failure | None:
+    async def _run(self, job: Job, responder: Responder) -> Failure | None:
         failure: Failure | None = None
-        with trio.move_on_at(job.deadline + END_SLACK) as scope:
-            failure = await self._runner.run(job, out)
+        with trio.move_on_at(job.deadline + DEADLINE_SLACK) as scope:
+            failure = await self._runner.run(job, responder)
         if scope.cancelled_caught:
             if job.may_have_run:
                 return Failure(ResultCode.DEADLINE_PASSED_RUNNING, "deadline")
             return Failure(ResultCode.DEADLINE_PASSED, "deadline")
         return failure
 
-    def _tell(
+    def _record_completion(
         self,
         request: CallerRequest,
         job: Job | None,
-        out: Responder,
+        responder: Responder,
         failure: Failure | None,
-        began: float,
-        note: str,
+        started_at: float,
+        reason: str,
     ) -> None:
         now = trio.current_time()
-        count_request(self._state, job, out, failure, now - began)
+        count_request(self._state, job, responder, failure, now - started_at)
         if job is not None and job.first_event_at is not None:
-            observe_first_event(self._state, job, job.first_event_at - began)
-        stream = describe_stream(job, began, now) if job else {}
+            observe_first_event(self._state, job, job.first_event_at - started_at)
+        stream = describe_stream(job, started_at, now) if job else {}
         log.bind(
             id=request.id,
             **stream,
             route=job.route.name if job else "",
             account=job.account.name if job and job.account else "",
-            status=out.status,
+            status=responder.status,
             code=failure.code.name if failure else "",
-            reason=failure.reason if failure else note,
+            reason=failure.reason if failure else reason,
             **describe_suspect(self._state, job),
             servers=",".join(job.tried_servers) if job else "",
-            is_whole=out.is_finished,
-            ms=round((now - began) * 1000, 1),
+            is_whole=responder.is_finished,
+            ms=round((now - started_at) * 1000, 1),
             version=self._state.configuration.version,
             age=round(self._state.configuration.age, 2),
         ).info("request")
 
 
-def find_quota_units(request: CallerRequest, account: Account) -> float:
-    """Return what a request takes out of its account's quota."""
+def compute_quota_units(request: CallerRequest, account: Account) -> float:
+    """Return the units that a request uses of its account's quota."""
     if not account.counts_tokens:
         return 1.0
     return float(request.sizes.tokens or account.plain_tokens)
 
 
-def describe_stream(job: Job, began: float, now: float) -> dict[str, float]:
-    """Return how far a stream came, for the line that tells its end."""
+def describe_stream(job: Job, started_at: float, now: float) -> dict[str, float]:
+    """Return the progress of a stream as log fields; empty if it sent no event."""
     if job.first_event_at is None or job.last_event_at is None:
         return {}
     return {
         "events": job.events,
-        "first_event_ms": round((job.first_event_at - began) * 1000, 1),
+        "first_event_ms": round((job.first_event_at - started_at) * 1000, 1),
         "since_last_ms": round((now - job.last_event_at) * 1000, 1),
     }
--- a/dewridge/tests/gateway/reloading_tests.py
+++ b/dewridge/tests/gateway/reloading_tests.py
@@ -1,4 +1,4 @@
-"""Settings that change while a gateway runs."""
+"""Tests of reloading the settings of a running gateway."""
 
 from pathlib import Path
 
@@ -21,31 +21,33 @@
 """
 
 
-async def test_new_bounds_come_into_force_without_a_signal(
+async def test_new_bounds_are_applied_without_a_signal(
     tmp_path: Path, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """The platform rewrites the file and tells nobody; then it writes half a file."""
+    """Guards against missed changes without a signal and against partial files."""
     path = tmp_path / "settings.json"
     path.write_text(TEXT % 5000)
     first = load_gateway_settings(path).settings
     assert first is not None
     configuration = ConfigurationState(compute_trust_period(first))
-    taken: list[GatewaySettings] = []
-    file = SettingsFile(path, load_gateway_settings, configuration, taken.append, first)
+    applied_settings: list[GatewaySettings] = []
+    file = SettingsFile(
+        path, load_gateway_settings, configuration, applied_settings.append, first
+    )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(file.run)
         await trio.sleep(1.5)
-        assert taken == []
+        assert applied_settings == []
         path.write_text(TEXT % 3000)
         await trio.sleep(1.5)
-        assert [one.bounds.revocation_ms for one in taken] == [3000]
+        assert [applied.bounds.revocation_ms for applied in applied_settings] == [3000]
         path.write_text(TEXT[:40])
         await trio.sleep(1.5)
-        assert len(taken) == 1
+        assert len(applied_settings) == 1
         nursery.cancel_scope.cancel()
 
 
-def test_all_errors_are_told_at_once(tmp_path: Path) -> None:
+def test_all_errors_are_reported_at_once(tmp_path: Path) -> None:
     path = tmp_path / "settings.json"
     path.write_text('{"host": {"id": 5}, "listne": {}}')
     errors = [str(problem) for problem in load_gateway_settings(path).errors]
