--- a/dewridge/tests/gateway/ingress_tests.py
+++ b/dewridge/tests/gateway/ingress_tests.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what they are told when it is too much or malformed."""
+"""Tests of request limits, malformed requests and the rejections that callers get."""
 
 import os
 
@@ -21,28 +21,30 @@
     read_answer,
 )
 
-TIGHT = Limits(head_bytes=1_000, body_bytes=5_000, head_timeout=0.3, idle_timeout=0.4)
+TIGHT_LIMITS = Limits(
+    head_bytes=1_000, body_bytes=5_000, head_timeout=0.3, idle_timeout=0.4
+)
 
 
-async def test_a_head_that_is_too_large_is_told() -> None:
-    async with open_world(make_configuration(limits=TIGHT)) as world:
+async def test_a_head_that_is_too_large_is_rejected() -> None:
+    async with open_world(make_configuration(limits=TIGHT_LIMITS)) as world:
         server = await world.add_server("s-1", answer_ok)
         answer = await world.request("/read/a", extra=f"X-Own: {'x' * 3000}\r\n")
     assert answer.status == 431
     assert server.received == []
 
 
-async def test_a_body_that_is_too_large_is_told() -> None:
-    async with open_world(make_configuration(limits=TIGHT)) as world:
+async def test_a_body_that_is_too_large_is_rejected() -> None:
+    async with open_world(make_configuration(limits=TIGHT_LIMITS)) as world:
         server = await world.add_server("s-1", answer_ok)
         answer = await world.request("/write/a", method="POST", body=bytes(6_000))
     assert answer.status == 413
     assert server.received == []
 
 
-async def test_a_head_that_does_not_end_is_given_up() -> None:
-    """A caller sends half a head and stops. It may not hold a connection for ever."""
-    async with open_world(make_configuration(limits=TIGHT)) as world:
+async def test_an_incomplete_head_times_out() -> None:
+    """Guards against connections held forever by callers that send half a head."""
+    async with open_world(make_configuration(limits=TIGHT_LIMITS)) as world:
         stream = await world.connect()
         await stream.send_all(b"GET /read/a HTTP/1.1\r\nHost: exa")
         with trio.fail_after(1.0):
@@ -50,9 +52,9 @@
     assert answer.status == 408
 
 
-async def test_an_idle_connection_is_closed_after_its_time() -> None:
-    async with open_world(make_configuration(limits=TIGHT)) as world:
-        world.state.ingress.idle_timeout = TIGHT.idle_timeout
+async def test_an_idle_connection_is_closed_after_its_timeout() -> None:
+    async with open_world(make_configuration(limits=TIGHT_LIMITS)) as world:
+        world.state.ingress.idle_timeout = TIGHT_LIMITS.idle_timeout
         stream = await world.connect()
         with trio.fail_after(1.0):
             assert await stream.receive_some(1) == b""
@@ -61,17 +63,17 @@
 async def test_a_request_that_came_before_idle_connections_are_closed_is_served() -> (
     None
 ):
-    """A leaving host closes idle connections just after a request has come.
+    """A leaving host closes idle connections just after a request has arrived.
 
-    The process stood still or was busy, so the request lies in the kernel unread. The
-    close resets it: its caller is cut off at a shutdown that promises to cut off
-    nobody, and the log has no line for the request.
+    If the process was suspended or busy, the request is still unread in the kernel's
+    buffer, and closing resets the connection. The caller gets no answer during a
+    shutdown that must not interrupt any request, and the request is not logged.
     """
     async with open_world(make_configuration()) as world:
         await world.add_server("s-1", answer_ok)
         stream = await world.connect()
         await trio.sleep(0.1)
-        # Without a checkpoint, so that the gateway has not read it.
+        # No checkpoint follows, so that the gateway has not read the request yet.
         os.write(stream.socket.fileno(), make_request("/read/a"))
         world.state.ingress.close_idle_connections()
         with trio.fail_after(2.0):
@@ -79,13 +81,13 @@
     assert answer.status == 200
 
 
-async def test_a_hidden_request_never_reaches_a_server() -> None:
-    """An attacker gives a body two lengths.
+async def test_a_smuggled_request_never_reaches_a_server() -> None:
+    """Guards against request smuggling by a body with two lengths.
 
-    A reader that believes another one than the server would pass the rest of the body
-    on as a request of its own.
+    If the gateway and the server used different ones, the rest of the body would be
+    forwarded as a separate request.
     """
-    hidden = b"GET /read/hidden HTTP/1.1\r\nHost: example.test\r\n\r\n"
+    smuggled = b"GET /read/hidden HTTP/1.1\r\nHost: example.test\r\n\r\n"
     attacks = [
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 4\r\nContent-Length: 60\r\n",
@@ -97,27 +99,30 @@
         for attack in attacks:
             stream = await world.connect()
             request = make_request("/write/a", method="POST", extra=attack)
-            await stream.send_all(request + b"0\r\n\r\n" + hidden)
+            await stream.send_all(request + b"0\r\n\r\n" + smuggled)
             answer = await read_answer(stream)
             assert answer.status == 400, attack
             await stream.aclose()
-        assert all(seen.target != b"/read/hidden" for seen in server.received)
+        assert all(exchange.target != b"/read/hidden" for exchange in server.received)
 
 
-async def test_requests_sent_ahead_are_answered_in_order() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     async with open_world() as world:
         server = await world.add_server("s-1", answer_ok)
         stream = await world.connect()
         first = make_request("/read/1", request_id="r-1")
         await stream.send_all(first + make_request("/read/2", request_id="r-2"))
-        got = b""
+        data = b""
         with trio.fail_after(2):
-            while got.count(b"done") < 2:
-                got += bytes(await stream.receive_some(4096))
-        assert [seen.target for seen in server.received] == [b"/read/1", b"/read/2"]
+            while data.count(b"done") < 2:
+                data += bytes(await stream.receive_some(4096))
+        assert [exchange.target for exchange in server.received] == [
+            b"/read/1",
+            b"/read/2",
+        ]
 
 
-async def test_unknown_routes_and_keys_are_told_while_the_host_is_sure() -> None:
+async def test_unknown_routes_and_keys_are_denied_with_a_recent_configuration() -> None:
     async with open_world() as world:
         await world.add_server("s-1", answer_ok)
         assert (await world.request("/nowhere/a")).status == 404
@@ -125,10 +130,10 @@
         assert (await world.request("/read/a", key=KEY)).status == 200
 
 
-async def test_a_host_that_may_lag_asks_back_in_place_of_denying() -> None:
+async def test_a_host_with_an_old_configuration_asks_to_retry() -> None:
     """An operator adds a route while this host can't read the store.
 
-    A 404 would turn a proper caller away for good.
+    A 404 would deny a valid request permanently.
     """
     async with open_world() as world:
         world.state.configuration.confirmed_at = read_boot_clock() - 2.5
@@ -137,11 +142,11 @@
     assert b"retry-after" in answer.headers
 
 
-async def test_keys_are_refused_while_the_store_is_out_of_reach() -> None:
-    """A key is taken away while this host is cut off from the store.
+async def test_keys_are_rejected_while_the_store_is_unreachable() -> None:
+    """A key is revoked while this host is partitioned from the store.
 
-    It can't know, and a stolen key would go on working, so it serves no key at all
-    after a time.
+    The host can't learn of it and would continue to accept a stolen key. Therefore it
+    rejects all keys after some time.
     """
     async with open_world() as world:
         server = await world.add_server("s-1", answer_ok)
@@ -151,7 +156,7 @@
     assert server.received == []
 
 
-async def test_a_quota_is_told_with_a_time_to_come_back() -> None:
+async def test_a_quota_rejection_states_a_retry_time() -> None:
     async with open_world(make_configuration(rate=20.0)) as world:
         await world.add_server("s-1", answer_ok)
         answers = [
@@ -161,24 +166,25 @@
     assert float(answers[-1].headers[b"retry-after"]) > 0
 
 
-async def test_a_leaving_host_sends_long_work_elsewhere() -> None:
-    """A host is told to stop while callers still hold its address.
+async def test_a_leaving_host_rejects_long_requests() -> None:
+    """A host is stopped while callers still use its address.
 
-    A draft begun now would be cut at its end, so it is refused; a lookup still fits.
+    A stream started now would be interrupted by the exit, so it is rejected; a short
+    request still completes in time.
     """
     async with open_world() as world:
         await world.add_server("s-1", answer_ok)
         world.state.ingress.is_leaving = True
         world.state.leaves_at = trio.current_time() + 3.0
-        draft = await world.request("/draft/a", method="POST", body=b"x")
-        lookup = await world.request("/read/a")
-    assert draft.status == 503
-    assert lookup.status == 200
-    assert lookup.headers[b"connection"] == b"close"
+        stream_answer = await world.request("/draft/a", method="POST", body=b"x")
+        short_answer = await world.request("/read/a")
+    assert stream_answer.status == 503
+    assert short_answer.status == 200
+    assert short_answer.headers[b"connection"] == b"close"
 
 
 @given(st.lists(st.tuples(st.binary(max_size=20), st.binary(max_size=60)), max_size=8))
-def test_any_headers_are_read_or_refused(headers: list[tuple[bytes, bytes]]) -> None:
+def test_any_headers_are_parsed_or_rejected(headers: list[tuple[bytes, bytes]]) -> None:
     named = [(name.lower(), value) for name, value in headers]
     marks = read_marks(named)
     assert isinstance(marks, str) or marks.sizes.tokens >= 0
@@ -190,22 +196,24 @@
     st.sampled_from([b"x-token-count", b"x-prefix-hash", b"x-deadline-ms"]),
     st.text(alphabet="0123456789abcdef:,- ", max_size=30),
 )
-def test_any_sizes_are_read_or_refused(name: bytes, value: str) -> None:
+def test_any_sizes_are_parsed_or_rejected(name: bytes, value: str) -> None:
     marks = read_marks([(name, value.encode())])
     assert isinstance(marks, str) or marks.patience is None or marks.patience >= 0
 
 
 @settings(max_examples=60)
 @given(st.integers(1, 8), st.lists(st.integers(1, 40), max_size=30))
-def test_events_are_the_same_however_they_are_cut(count: int, cuts: list[int]) -> None:
+def test_events_do_not_depend_on_how_the_stream_is_split(
+    count: int, sizes: list[int]
+) -> None:
     body = b"".join(make_event(number) for number in range(count))
     splitter = EventSplitter()
     events = []
-    rest = body
-    for cut in cuts:
-        events += splitter.push(rest[:cut])
-        rest = rest[cut:]
-    events += splitter.push(rest)
+    remaining = body
+    for size in sizes:
+        events += splitter.push(remaining[:size])
+        remaining = remaining[size:]
+    events += splitter.push(remaining)
     assert b"".join(event.raw for event in events) == body
     assert [event.id for event in events] == list(range(count))
     assert splitter.remainder == b""
--- a/dewridge/tests/gateway/moving_tests.py
+++ b/dewridge/tests/gateway/moving_tests.py
@@ -1,4 +1,4 @@
-"""Streams on servers that leave: moved with their memory, never begun anew."""
+"""Tests of moving streams, with their KV-cache memory, away from departing servers."""
 
 import json
 
@@ -16,61 +16,63 @@
     open_world,
 )
 
-LAST = 8
-"""Events of a whole stream."""
+LAST_EVENT = 8
+"""Number of the last event of a complete stream; the first one has number 1."""
 EVENT_SECONDS = 0.05
 
 
-class Engine:
-    """An engine that streams, stops a run when asked, and goes on from memory.
+class ScriptedEngine:
+    """A scripted engine that can stop a run and continue one from copied memory.
 
     Attributes:
-        id: the server's name.
-        refuses_moves: status of the answer to a move; 0 to carry it out.
-        refuses_runs: whether runs are refused as not executed.
-        is_mute_when_stopped: whether a stopped stream's connection stays open.
-        began: (first event, memory named) of each run.
+        id: the server's id.
+        move_error_status: status of the answer to a move; 0 to execute it.
+        rejects_runs: whether runs are rejected as not executed.
+        hangs_when_stopped: whether the connection of a stopped stream stays open.
+        runs: number of the first event and memory handle of each run.
+        moves: bodies of the move requests.
+        has_started: set when the first run has started.
     """
 
     def __init__(self, name: str) -> None:
         self.id = BackendServerId(name)
-        self.refuses_moves = 0
-        self.refuses_runs = False
-        self.is_mute_when_stopped = False
-        self.began: list[tuple[int, bytes]] = []
+        self.move_error_status = 0
+        self.rejects_runs = False
+        self.hangs_when_stopped = False
+        self.runs: list[tuple[int, bytes]] = []
         self.moves: list[dict[str, object]] = []
-        self.has_begun = trio.Event()
+        self.has_started = trio.Event()
         self._is_stopped = trio.Event()
 
     async def answer(self, exchange: ServerExchange) -> None:
         """Answer a run or a move."""
         if exchange.target == b"/-/kv-move":
             await self._answer_move(exchange)
-        elif self.refuses_runs:
+        elif self.rejects_runs:
             await exchange.answer(b"", 503, b"X-Not-Executed: 1\r\n")
         else:
             await self._run(exchange)
 
     async def _answer_move(self, exchange: ServerExchange) -> None:
         self.moves.append(json.loads(exchange.body))
-        if self.refuses_moves:
-            await exchange.answer(b"{}", self.refuses_moves)
+        if self.move_error_status:
+            await exchange.answer(b"{}", self.move_error_status)
             return
         self._is_stopped.set()
         await exchange.answer(b'{"handle":"h-1","created":3}')
 
     async def _run(self, exchange: ServerExchange) -> None:
         first = int(exchange.headers.get(b"last-event-id", b"0")) + 1
-        self.began.append((first, exchange.headers.get(b"kv-from", b"")))
+        self.runs.append((first, exchange.headers.get(b"kv-from", b"")))
         stopped = self._is_stopped
         if stopped.is_set():
             stopped = self._is_stopped = trio.Event()
-        self.has_begun.set()
+        self.has_started.set()
         await exchange.begin_stream()
-        for number in range(first, LAST + 1):
+        for number in range(first, LAST_EVENT + 1):
             with trio.move_on_after(EVENT_SECONDS):
                 await stopped.wait()
-                if self.is_mute_when_stopped:
+                if self.hangs_when_stopped:
                     await trio.sleep(30)
                 exchange.reset()
                 return
@@ -78,40 +80,42 @@
         await exchange.end_stream()
 
 
-class Stage:
-    """A gateway with two engines, the first of which gets the stream."""
+class MoveScenario:
+    """A gateway with two engines, one of which receives a stream."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.engines = {name: Engine(name) for name in ("s-1", "s-2")}
+        self.engines = {name: ScriptedEngine(name) for name in ("s-1", "s-2")}
         self._answers, self._answer = trio.open_memory_channel[CallerAnswer](1)
 
-    async def start(self, path: str) -> Engine:
-        """Begin a stream and return the engine that runs it."""
+    async def start(self, path: str) -> ScriptedEngine:
+        """Start a stream and return the engine that runs it."""
         servers: list[ScriptedServer] = [
             await self.world.add_server(name, engine.answer, ENGINE)
             for name, engine in self.engines.items()
         ]
-        self.world.nursery.start_soon(self._ask, path)
+        self.world.nursery.start_soon(self._send_request, path)
         assert len(servers) == 2
         async with trio.open_nursery() as nursery:
             for engine in self.engines.values():
                 nursery.start_soon(self._wait_for_run, engine, nursery.cancel_scope)
-        return next(one for one in self.engines.values() if one.began)
+        return next(candidate for candidate in self.engines.values() if candidate.runs)
 
-    async def _wait_for_run(self, engine: Engine, scope: trio.CancelScope) -> None:
-        await engine.has_begun.wait()
+    async def _wait_for_run(
+        self, engine: ScriptedEngine, scope: trio.CancelScope
+    ) -> None:
+        await engine.has_started.wait()
         scope.cancel()
 
-    def find_other(self, engine: Engine) -> Engine:
+    def find_other(self, engine: ScriptedEngine) -> ScriptedEngine:
         """Return the other engine."""
-        return next(one for one in self.engines.values() if one is not engine)
+        return next(other for other in self.engines.values() if other is not engine)
 
-    async def _ask(self, path: str) -> None:
+    async def _send_request(self, path: str) -> None:
         await self._answers.send(await self.world.request(path, deadline_ms=4000))
 
-    def reclaim(self, engine: Engine, notice: float) -> None:
-        """Tell the gateway that a server goes."""
+    def announce_reclaim(self, engine: ScriptedEngine, notice: float) -> None:
+        """Report to the gateway that a server will stop after the notice period."""
         now = trio.current_time()
         self.world.state.servers.drop(engine.id, now, "it drains", notice)
 
@@ -120,13 +124,13 @@
         return await self._answer.receive()
 
 
-def wire(world: World) -> None:
-    """Let the streams know of servers that leave, as the composition root does."""
+def connect_departures(world: World) -> None:
+    """Schedule moves of streams on departing servers, as the composition root does."""
 
-    def note(record: object, gone_at: float, is_told: bool) -> None:
-        world.state.streams.schedule_moves(record.id, gone_at)  # type: ignore[attr-defined]
+    def handle_left(record: object, stops_at: float, is_reported: bool) -> None:
+        world.state.streams.schedule_moves(record.id, stops_at)  # type: ignore[attr-defined]
 
-    world.state.servers.on_left = note
+    world.state.servers.on_left = handle_left
 
 
 def join_events(first: int, last: int) -> bytes:
@@ -134,82 +138,89 @@
     return b"".join(make_event(number) for number in range(first, last + 1))
 
 
-async def test_a_draft_goes_on_elsewhere_when_its_server_is_reclaimed() -> None:
-    """A failure domain is reclaimed on a second's notice while drafts are written.
+async def test_a_stream_is_moved_when_its_server_is_reclaimed() -> None:
+    """Guards against losing streams when a failure domain is reclaimed.
 
-    A draft may not be begun twice. Cut off, an auditor's review of a day is lost.
+    The notice is about one second, and a stream on this route may not be run twice. If
+    it were interrupted, the work of a whole day could be lost.
     """
     async with open_world() as world:
-        wire(world)
-        stage = Stage(world)
-        source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
-        answer = await stage.wait()
-        target = stage.find_other(source)
+        connect_departures(world)
+        scenario = MoveScenario(world)
+        source = await scenario.start("/draft/a")
+        scenario.announce_reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
+        answer = await scenario.wait()
+        target = scenario.find_other(source)
     assert answer.is_complete
-    assert answer.body == join_events(1, LAST)
-    assert len(source.began) == len(target.began) == 1
-    first, memory = target.began[0]
+    assert answer.body == join_events(1, LAST_EVENT)
+    assert len(source.runs) == len(target.runs) == 1
+    first, memory = target.runs[0]
     assert first > 1
     assert memory.endswith(b"/h-1")
     assert source.moves[0]["last"] is True
 
 
-async def test_a_stream_that_ends_before_its_server_goes_stays() -> None:
+async def test_a_stream_that_completes_in_time_is_not_moved() -> None:
     async with open_world() as world:
-        wire(world)
-        stage = Stage(world)
-        source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 2.0)
-        answer = await stage.wait()
-        other = stage.find_other(source)
-    assert answer.body == join_events(1, LAST)
-    assert not other.began
+        connect_departures(world)
+        scenario = MoveScenario(world)
+        source = await scenario.start("/draft/a")
+        scenario.announce_reclaim(source, notice=streams.MOVE_LEAD_TIME + 2.0)
+        answer = await scenario.wait()
+        other = scenario.find_other(source)
+    assert answer.body == join_events(1, LAST_EVENT)
+    assert not other.runs
     assert not source.moves
 
 
-async def test_a_stream_that_can_not_be_moved_goes_on_where_it_is() -> None:
-    """The engine says that it has no such run; the stream may still end in time."""
+async def test_a_stream_continues_on_its_server_if_the_move_fails() -> None:
+    """Guards against interrupting a stream because its move failed.
+
+    The engine reports that it has no such run; the stream may still complete in time.
+    """
     async with open_world() as world:
-        wire(world)
-        stage = Stage(world)
-        for engine in stage.engines.values():
-            engine.refuses_moves = 404
-        source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
-        answer = await stage.wait()
-        other = stage.find_other(source)
-    assert answer.body == join_events(1, LAST)
+        connect_departures(world)
+        scenario = MoveScenario(world)
+        for engine in scenario.engines.values():
+            engine.move_error_status = 404
+        source = await scenario.start("/draft/a")
+        scenario.announce_reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
+        answer = await scenario.wait()
+        other = scenario.find_other(source)
+    assert answer.body == join_events(1, LAST_EVENT)
     assert source.moves
-    assert not other.began
+    assert not other.runs
 
 
-async def test_a_full_target_leaves_the_stopped_stream_to_its_source() -> None:
-    """The target got full meanwhile and refuses the stream that was moved there.
+async def test_a_stopped_stream_resumes_on_its_source_if_the_target_is_full() -> None:
+    """Guards against losing or repeating a stream that the move target rejects as full.
 
-    Begun anew at a third server the draft would run twice; given up it is lost. The
+    Restarted at a third server it would run twice, and abandoned it would be lost. The
     source still has its memory.
     """
     async with open_world() as world:
-        wire(world)
-        stage = Stage(world)
-        source = await stage.start("/draft/a")
-        stage.find_other(source).refuses_runs = True
-        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
-        answer = await stage.wait()
-    assert answer.body == join_events(1, LAST)
-    assert [memory for _, memory in source.began][1].endswith(b"/h-1")
-
-
-async def test_a_source_that_falls_silent_after_its_stop_holds_nothing_up() -> None:
-    """The stopped stream's connection is never closed: its host went dark."""
+        connect_departures(world)
+        scenario = MoveScenario(world)
+        source = await scenario.start("/draft/a")
+        scenario.find_other(source).rejects_runs = True
+        scenario.announce_reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
+        answer = await scenario.wait()
+    assert answer.body == join_events(1, LAST_EVENT)
+    assert [memory for _, memory in source.runs][1].endswith(b"/h-1")
+
+
+async def test_a_source_that_hangs_after_stopping_delays_nothing() -> None:
+    """Guards against waiting for a source whose host stops responding.
+
+    The connection of the stopped stream is never closed.
+    """
     async with open_world() as world:
-        wire(world)
-        stage = Stage(world)
-        for engine in stage.engines.values():
-            engine.is_mute_when_stopped = True
-        source = await stage.start("/draft/a")
-        stage.reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
+        connect_departures(world)
+        scenario = MoveScenario(world)
+        for engine in scenario.engines.values():
+            engine.hangs_when_stopped = True
+        source = await scenario.start("/draft/a")
+        scenario.announce_reclaim(source, notice=streams.MOVE_LEAD_TIME + 0.1)
         with trio.fail_after(2.5):
-            answer = await stage.wait()
-    assert answer.body == join_events(1, LAST)
+            answer = await scenario.wait()
+    assert answer.body == join_events(1, LAST_EVENT)
--- a/dewridge/tests/gateway/restores_tests.py
+++ b/dewridge/tests/gateway/restores_tests.py
@@ -26,7 +26,7 @@
 from dewridge.tests.gateway.readers_tests import make_server
 from dewridge.tests.gateway.rollouts_tests import (
     NEW,
-    DutyHolder,
+    HolderHost,
     make_progress,
 )
 from dewridge.tests.gateway.world import (
@@ -284,7 +284,7 @@
     """Guards against retrying a version that was reverted before the restore."""
     monkeypatch.setattr("time.time", trio.current_time)
     data = StoreData(era=1)
-    holder = DutyHolder(data)
+    holder = HolderHost(data)
     rollouts = holder.state.rollouts
     rollouts.apply_order(RolloutOrder(PLAIN, NEW, 12.0, 100))
     holder.store.era.on_restored += [
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -79,7 +79,7 @@
 def choose(table: RolloutTable, draw: float, *, is_first: bool = True) -> set[str]:
     """Return the versions that a request may be sent to."""
     chosen = table.choose_servers(PLAIN, SERVERS, is_first=is_first, draw=lambda: draw)
-    return {one.version for one in chosen}
+    return {server.version for server in chosen}
 
 
 @pytest.mark.parametrize(
@@ -113,25 +113,25 @@
     assert len(chosen) == 1
 
 
-def test_a_reverted_version_gets_no_requests_when_the_old_one_is_gone() -> None:
-    """Guards against falling back to a bad version when no other is left."""
+def test_a_reverted_version_gets_no_requests_without_old_servers() -> None:
+    """Guards against using a bad version when no server of another version remains."""
     table = make_table(Stage.REVERTED)
-    new = [one for one in SERVERS if one.version == NEW]
+    new = [server for server in SERVERS if server.version == NEW]
     assert table.choose_servers(PLAIN, new, is_first=True, draw=lambda: 0.0) == []
 
 
-def test_other_versions_serve_when_the_completed_one_is_gone() -> None:
-    """Guards against idle servers of a version that no order names."""
+def test_other_versions_serve_without_servers_of_the_completed_one() -> None:
+    """Guards against leaving servers idle because no order names their version."""
     table = make_table(Stage.COMPLETED)
-    old = [one for one in SERVERS if one.version == OLD]
+    old = [server for server in SERVERS if server.version == OLD]
     chosen = table.choose_servers(PLAIN, old, is_first=True, draw=lambda: 0.0)
     assert chosen == old
 
 
-def test_an_order_for_the_running_version_holds_no_server_back() -> None:
+def test_an_order_for_the_running_version_excludes_no_server() -> None:
     """Guards against leaving a service without servers."""
     table = make_table(Stage.WAITING)
-    new = [one for one in SERVERS if one.version == NEW]
+    new = [server for server in SERVERS if server.version == NEW]
     assert table.choose_servers(PLAIN, new, is_first=True, draw=lambda: 0.0) == new
 
 
@@ -146,22 +146,22 @@
     assert table.find_stage(PLAIN) is Stage.WAITING
 
 
-async def note_answers(
+async def record_attempts(
     table: RolloutTable, server: ServerRecord, result: AttemptResult, count: int
 ) -> None:
-    """Record attempts at a server, 0.05 s apart."""
+    """Record the ends of attempts at a server, 0.05 s apart."""
     for _ in range(count):
         await trio.sleep(0.05)
         table.record_attempt_end(ROUTE, server, 0.1, result)
 
 
-async def test_a_host_stops_sending_to_a_bad_version_by_its_own_verdict(
+async def test_a_host_stops_sending_to_a_bad_version_by_its_local_verdict(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against requests to a bad version while no holder is reachable."""
     table = make_table(Stage.TRIAL)
-    await note_answers(table, SERVERS[0], AttemptResult.ANSWERED, 40)
-    await note_answers(table, SERVERS[-1], AttemptResult.FAILED, 10)
+    await record_attempts(table, SERVERS[0], AttemptResult.ANSWERED, 40)
+    await record_attempts(table, SERVERS[-1], AttemptResult.FAILED, 10)
     assert table.find_stage(PLAIN) is Stage.REVERTED
     assert choose(table, draw=0.0) == {OLD}
 
@@ -171,7 +171,7 @@
 ) -> None:
     """Guards against accepting a version that answers every request slowly."""
     table = make_table(Stage.TRIAL)
-    await note_answers(table, SERVERS[0], AttemptResult.ANSWERED, 40)
+    await record_attempts(table, SERVERS[0], AttemptResult.ANSWERED, 40)
     for _ in range(20):
         await trio.sleep(0.05)
         table.record_attempt_end(ROUTE, SERVERS[-1], 0.5, AttemptResult.ABANDONED)
@@ -193,20 +193,20 @@
 ) -> None:
     """Guards against missing a fault of which each host sees too few answers."""
     receiver = make_state(make_configuration())
-    join_trial(receiver)
+    start_trial(receiver)
     for number in range(1, 11):
         peer = make_state(make_configuration())
         peer.host = HostId(f"host-{number}0")
-        join_trial(peer)
-        await note_answers(peer.rollouts, SERVERS[0], AttemptResult.ANSWERED, 10)
+        start_trial(peer)
+        await record_attempts(peer.rollouts, SERVERS[0], AttemptResult.ANSWERED, 10)
         before = peer.make_report(1)
         receiver.sharing.apply_report(before, trio.current_time())
-        await note_answers(peer.rollouts, SERVERS[-1], AttemptResult.FAILED, 2)
+        await record_attempts(peer.rollouts, SERVERS[-1], AttemptResult.FAILED, 2)
         receiver.sharing.apply_report(peer.make_report(2), trio.current_time())
     assert receiver.rollouts.find_stage(PLAIN) is Stage.REVERTED
 
 
-def join_trial(state: GatewayState) -> None:
+def start_trial(state: GatewayState) -> None:
     """Connect a host's sharing to its rollouts and start a trial."""
     state.sharing = SharedReports(
         state.host,
@@ -217,8 +217,8 @@
     state.rollouts.apply_progress(make_progress(Stage.TRIAL))
 
 
-class DutyHolder:
-    """A holder of the duties with servers of both versions."""
+class HolderHost:
+    """A host that holds the duties, with servers of both versions."""
 
     def __init__(self, data: StoreData) -> None:
         self.state = make_state(make_configuration())
@@ -244,19 +244,19 @@
 
 
 @pytest.mark.usefixtures("_wall_clock")
-async def test_a_sound_version_is_completed(
+async def test_a_good_version_is_completed(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against a rollout that stalls before completion."""
-    holder = DutyHolder(StoreData())
+    holder = HolderHost(StoreData())
     table = holder.state.rollouts
     table.apply_order(ORDER)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(holder.duty.run)
         await trio.sleep(0.5)
         assert holder.read_status() == "in_progress"
-        await note_answers(table, SERVERS[0], AttemptResult.ANSWERED, 40)
-        await note_answers(table, SERVERS[-1], AttemptResult.ANSWERED, 40)
+        await record_attempts(table, SERVERS[0], AttemptResult.ANSWERED, 40)
+        await record_attempts(table, SERVERS[-1], AttemptResult.ANSWERED, 40)
         await trio.sleep(3.0)
         assert table.find_stage(PLAIN) is Stage.MOVING
         assert holder.read_status() == "in_progress"
@@ -266,18 +266,20 @@
 
 
 @pytest.mark.usefixtures("_wall_clock")
-async def test_another_holder_never_overturns_a_decision(
+async def test_another_holder_never_reverses_a_decision(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     """Guards against a stale holder completing a reverted rollout."""
     data = StoreData()
-    first, second = DutyHolder(data), DutyHolder(data)
+    first, second = HolderHost(data), HolderHost(data)
     for holder in (first, second):
         holder.state.rollouts.apply_order(ORDER)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(first.duty.run)
         await trio.sleep(0.5)
-        await note_answers(first.state.rollouts, SERVERS[-1], AttemptResult.FAILED, 10)
+        await record_attempts(
+            first.state.rollouts, SERVERS[-1], AttemptResult.FAILED, 10
+        )
         await trio.sleep(0.5)
         assert first.read_status() == "reverted"
         second.state.rollouts.apply_progress(make_progress(Stage.MOVING))
@@ -294,15 +296,17 @@
 ) -> None:
     """Guards against a second trial of a bad version after all hosts restart."""
     data = StoreData()
-    first = DutyHolder(data)
+    first = HolderHost(data)
     first.state.rollouts.apply_order(ORDER)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(first.duty.run)
         await trio.sleep(0.5)
-        await note_answers(first.state.rollouts, SERVERS[-1], AttemptResult.FAILED, 10)
+        await record_attempts(
+            first.state.rollouts, SERVERS[-1], AttemptResult.FAILED, 10
+        )
         await trio.sleep(0.5)
         nursery.cancel_scope.cancel()
-    second = DutyHolder(data)
+    second = HolderHost(data)
     second.duty.apply_item(data.items[make_progress_key(PLAIN)])
     second.state.rollouts.apply_order(ORDER)
     assert second.state.rollouts.find_stage(PLAIN) is Stage.REVERTED
@@ -341,7 +345,7 @@
         store.write(ROLLOUTS_PREFIX + ENGINE, msgspec.json.encode(body))
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert [(one.service, one.target, one.duration) for one in orders] == [
+    assert [(order.service, order.target, order.duration) for order in orders] == [
         (ENGINE, NEW, 12.0)
     ]
 
@@ -366,8 +370,8 @@
         state.rollouts.apply_progress(make_progress(Stage.TRIAL, share=0.5))
         statuses = []
         for number in range(40):
-            got = await world.request("/read/x", request_id=f"r-{number}")
-            statuses.append(got.status)
+            response = await world.request("/read/x", request_id=f"r-{number}")
+            statuses.append(response.status)
         assert set(statuses) == {200}
         assert 3 <= len(bad.received) < 20
         assert state.rollouts.find_stage(PLAIN) is Stage.REVERTED
--- a/dewridge/tests/gateway/world.py
+++ b/dewridge/tests/gateway/world.py
@@ -1,4 +1,4 @@
-"""A gateway without a platform, servers with scripted answers, and a plain caller."""
+"""Test fixtures: a gateway without platform services, scripted servers and a caller."""
 
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -59,7 +59,7 @@
 
 
 def make_settings(**bounds: float) -> GatewaySettings:
-    """Return settings of a gateway that nothing else needs."""
+    """Return minimal settings of a gateway."""
     return GatewaySettings(
         host=GatewayHost(id=HOST, failure_domain=DOMAIN, address="127.0.0.1"),
         listen=GatewayListen(
@@ -149,7 +149,7 @@
 
 @dataclass
 class ServerExchange:
-    """One request that reached a scripted server, and the means to answer it."""
+    """A request received by a scripted server, with methods to answer it."""
 
     stream: trio.SocketStream
     server: BackendServerId
@@ -163,11 +163,11 @@
         await self.stream.send_all(data)
 
     def reset(self) -> None:
-        """End the connection with a reset."""
+        """Close the connection with a reset."""
         reset(self.stream)
 
     def make_head(self, status: int = 200, extra: bytes = b"") -> bytes:
-        """Return an answer's head with the marks that servers set."""
+        """Return an answer's head with the headers that identify request and server."""
         request = self.headers.get(b"x-attempt-id", b"")
         return (
             b"HTTP/1.1 %d x\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal-%s\r\n%s\r\n"
@@ -177,7 +177,7 @@
     async def answer(
         self, body: bytes = b"done", status: int = 200, extra: bytes = b""
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         length = b"Content-Length: %d\r\n" % len(body)
         await self.send(self.make_head(status, length + extra) + body)
 
@@ -213,30 +213,38 @@
 
 @dataclass
 class ScriptedServer:
-    """A backend server whose answers a test writes; keeps what reached it."""
+    """A backend server whose answers are scripted by a test.
+
+    Attributes:
+        id: the server's id.
+        script: answers a request.
+        received: all requests received so far.
+        closed_connections: number of connections that have ended.
+        has_crashed: whether `crash` was called.
+    """
 
     id: BackendServerId
     script: Script
     received: list[ServerExchange] = field(default_factory=list)
-    ended: int = 0
+    closed_connections: int = 0
     has_crashed: bool = False
     _streams: set[trio.SocketStream] = field(default_factory=set)
     _scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     async def serve(self, listeners: list[trio.SocketListener]) -> None:
-        """Accept connections until the server ends."""
+        """Accept connections until the server crashes."""
         with self._scope:
             await trio.serve_listeners(self.handle, listeners)
 
     def crash(self) -> None:
-        """End as a process does: all connections are reset, new ones refused."""
+        """Simulate a process crash: reset all connections and refuse new ones."""
         self.has_crashed = True
         for stream in self._streams:
             reset(stream)
         self._scope.cancel()
 
     async def handle(self, stream: trio.SocketStream) -> None:
-        """Serve one connection until it ends."""
+        """Answer the requests on a connection until it ends."""
         state = h11.Connection(h11.SERVER)
         self._streams.add(stream)
         try:
@@ -250,7 +258,7 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             pass
         finally:
-            self.ended += 1
+            self.closed_connections += 1
             self._streams.discard(stream)
             stream.socket.close()
 
@@ -281,7 +289,7 @@
 
 @dataclass
 class World:
-    """A gateway with its servers on loopback."""
+    """A running gateway and its scripted backend servers, on the loopback interface."""
 
     state: GatewayState
     nursery: trio.Nursery
@@ -290,7 +298,7 @@
     async def add_server(
         self, name: str, script: Script, service: ServiceName = PLAIN
     ) -> ScriptedServer:
-        """Start a server and list it."""
+        """Start a server and add it to the gateway's server table."""
         server = ScriptedServer(BackendServerId(name), script)
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.nursery.start_soon(server.serve, listeners)
@@ -313,7 +321,7 @@
         return await trio.open_tcp_stream(host, int(port))
 
     async def request(self, path: str, **options: object) -> "CallerAnswer":
-        """Send one request on a connection of its own and read the whole answer."""
+        """Send a request on a new connection and read the complete answer."""
         stream = await self.connect()
         async with stream:
             await stream.send_all(make_request(path, **options))  # type: ignore[arg-type]
@@ -342,7 +350,7 @@
 
 @dataclass
 class CallerAnswer:
-    """What a caller got; `is_complete` is False if the connection ended within it."""
+    """An answer received by a caller; incomplete if its connection ended early."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -353,7 +361,7 @@
 async def read_answer(
     stream: trio.SocketStream, state: h11.Connection | None = None
 ) -> CallerAnswer:
-    """Read one answer; status 0 if none came."""
+    """Read one answer; its status is 0 if no head was received."""
     if state is None:
         state = h11.Connection(h11.CLIENT)
         state.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
@@ -383,16 +391,16 @@
 async def open_world(
     configuration: Configuration | None = None, **bounds: float
 ) -> AsyncIterator[World]:
-    """Run a gateway's data path on loopback."""
+    """Run the request path of a gateway on the loopback interface."""
     state = make_state(configuration or make_configuration(), **bounds)
-    serving = RequestProcessor(state)
+    processor = RequestProcessor(state)
 
-    async def handle(stream: trio.SocketStream) -> None:
-        await serve_connection(stream, state.ingress, serving.serve)
+    async def accept(stream: trio.SocketStream) -> None:
+        await serve_connection(stream, state.ingress, processor.serve)
 
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(trio.serve_listeners, handle, listeners)
+        nursery.start_soon(trio.serve_listeners, accept, listeners)
         port = listeners[0].socket.getsockname()[1]
         yield World(state, nursery, f"127.0.0.1:{port}")
         nursery.cancel_scope.cancel()
