--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -7,8 +7,8 @@
 from dewridge.gateway.events import EventSplitter
 from dewridge.gateway.forwarding import (
     CompleteAnswer,
+    IncomingAnswer,
     LostAttempt,
-    StreamedAnswer,
     read_complete_answer,
     send_request,
 )
@@ -160,7 +160,7 @@
 
     async def _send(
         self, job: Job, server: ServerRecord, continuation: Continuation | None
-    ) -> StreamedAnswer | LostAttempt:
+    ) -> IncomingAnswer | LostAttempt:
         now = trio.current_time()
         job.possible_runs += 1
         job.sent_at = now
@@ -174,7 +174,7 @@
             memory=continuation.memory if continuation else None,
             keeper=job.cache_holder,
         )
-        answer: StreamedAnswer | LostAttempt = LostAttempt(LossReason.CUT_OFF, "silent")
+        answer: IncomingAnswer | LostAttempt = LostAttempt(LossReason.CUT_OFF, "silent")
         with trio.move_on_after(self._find_silence_timeout(job)):
             answer = await send_request(
                 job.request,
@@ -183,7 +183,7 @@
                 self._state.pool,
                 must_arrive=not job.route.is_repeatable,
             )
-        if isinstance(answer, StreamedAnswer):
+        if isinstance(answer, IncomingAnswer):
             seconds = trio.current_time() - now
             metrics = self._state.metrics
             metrics.observe(SERVER_ANSWER_TIME_METRIC, seconds, server=server.id)
@@ -228,7 +228,7 @@
         await out.send_complete(answer.head.status, headers, answer.body)
 
     async def _relay_stream(
-        self, job: Job, server: ServerRecord, answer: StreamedAnswer, out: Responder
+        self, job: Job, server: ServerRecord, answer: IncomingAnswer, out: Responder
     ) -> LostAttempt | None:
         splitter = EventSplitter()
         stream = self._open_stream(server)
@@ -314,7 +314,7 @@
         job: Job,
         splitter: EventSplitter,
         piece: bytes,
-        answer: StreamedAnswer,
+        answer: IncomingAnswer,
         out: Responder,
     ) -> None:
         new_events = []
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -30,8 +30,8 @@
 from dewridge.gateway.operations import Operations
 from dewridge.gateway.pool import ConnectionPool
 from dewridge.gateway.reloading import (
-    SettingsFile,
     SettingsLoader,
+    SettingsReloader,
     compute_trust_period,
 )
 from dewridge.gateway.reports import REPORTED_WINDOWS
@@ -103,7 +103,7 @@
         self._cloud = Cloud(cloud)
         self._state = self._make_state(metrics)
         self._state.dependencies += [store, watches, cloud]
-        self._settings_file = SettingsFile(
+        self._settings_reloader = SettingsReloader(
             path,
             load,
             self._state.configuration,
@@ -233,7 +233,7 @@
                 async for number in signals:
                     if number == signal.SIGTERM:
                         break
-                    self._settings_file.poll_now()
+                    self._settings_reloader.poll_now()
                 await leave_fleet(self._state, self._registration, self._election)
             nursery.cancel_scope.cancel()
         log.info("stopped")
@@ -293,7 +293,7 @@
             ("sharing-out", self._link.send),
             ("usage-out", self._usage_reporter.run),
             ("datagrams-out", self._socket.run),
-            ("settings", self._settings_file.run),
+            ("settings", self._settings_reloader.run),
             ("upkeep", partial(run_upkeep, state, self._registration)),
             *self._list_duty_tasks(rollouts),
         ]
--- a/dewridge/gateway/directory.py
+++ b/dewridge/gateway/directory.py
@@ -21,7 +21,7 @@
 start still has five of the eight seconds of the grace period."""
 LARGE_FLEET_ADDRESS_TTL = 2.0
 """The same in a large fleet. A lookup takes about 3 ms of processor time with its
-connection, at 1 s a tenth of all; one departed host is only a small part of a list."""
+connection, at 1 s a tenth of all. One departed host is only a small part of a list."""
 JSON_HEADERS = [(b"content-type", b"application/json")]
 
 
--- a/dewridge/gateway/forwarding.py
+++ b/dewridge/gateway/forwarding.py
@@ -29,9 +29,9 @@
     """An attempt without a usable answer.
 
     Attributes:
-        loss: why it has none.
+        loss: why there is none.
         reason: details for the log.
-        status: of the server's answer; 0 if there was none.
+        status: status of the server's answer; 0 if there was none or it was not used.
     """
 
     loss: LossReason
@@ -52,7 +52,7 @@
     body: bytes
 
 
-class StreamedAnswer:
+class IncomingAnswer:
     """An answer whose body is still being received; must be closed with `close`."""
 
     def __init__(
@@ -94,7 +94,7 @@
     pool: ConnectionPool,
     *,
     must_arrive: bool,
-) -> StreamedAnswer | LostAttempt:
+) -> IncomingAnswer | LostAttempt:
     """Send a request to a server and wait for the head of its answer.
 
     Args:
@@ -117,7 +117,7 @@
         if lost is not None:
             return lost
         is_answer_open = True
-        return StreamedAnswer(head, connection, server, pool)
+        return IncomingAnswer(head, connection, server, pool)
     except ConnectionBrokenError as error:
         if is_reused:
             pool.handle_broken(server)
@@ -193,7 +193,7 @@
     return None
 
 
-async def read_complete_answer(answer: StreamedAnswer) -> CompleteAnswer | LostAttempt:
+async def read_complete_answer(answer: IncomingAnswer) -> CompleteAnswer | LostAttempt:
     """Read an answer to its end and release its connection."""
     parts: list[bytes] = []
     size = 0
--- a/dewridge/gateway/reloading.py
+++ b/dewridge/gateway/reloading.py
@@ -27,7 +27,7 @@
     return TRUST_FRACTION * settings.bounds.revocation_ms / 1000
 
 
-class SettingsFile:
+class SettingsReloader:
     """Reloads the settings file after changes and applies new limits.
 
     The addresses and the id of the host change only with a restart, as the listeners
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -27,7 +27,7 @@
 MAX_DENIAL_CONFIGURATION_AGE = 1.8
 """Age in seconds of the configuration up to which an unknown route or key is denied.
 With an older configuration the caller is asked to retry: the route or key may have been
-added since then, and must not be denied for good."""
+added since then, and must not be denied permanently."""
 STALE_RETRY_AFTER = 0.3
 """Mean seconds after which a caller with an outdated or missing configuration at this
 host is asked to retry, here or at another host: half a poll interval."""
@@ -54,7 +54,7 @@
         self._runner = JobRunner(state)
 
     async def serve(self, request: CallerRequest, responder: Responder) -> None:
-        """Answer a request, with an error answer if an exception is raised in time."""
+        """Answer a request; any failure is answered, or interrupts the stream."""
         started_at = trio.current_time()
         job: Job | None = None
         failure: Failure | None = None
--- a/dewridge/tests/gateway/reloading_tests.py
+++ b/dewridge/tests/gateway/reloading_tests.py
@@ -7,7 +7,7 @@
 
 from dewridge.gateway.__main__ import load_gateway_settings
 from dewridge.gateway.configuration import ConfigurationState
-from dewridge.gateway.reloading import SettingsFile, compute_trust_period
+from dewridge.gateway.reloading import SettingsReloader, compute_trust_period
 from dewridge.settings.gateway import GatewaySettings
 
 TEXT = """// a comment
@@ -31,11 +31,11 @@
     assert first is not None
     configuration = ConfigurationState(compute_trust_period(first))
     applied_settings: list[GatewaySettings] = []
-    file = SettingsFile(
+    reloader = SettingsReloader(
         path, load_gateway_settings, configuration, applied_settings.append, first
     )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(file.run)
+        nursery.start_soon(reloader.run)
         await trio.sleep(1.5)
         assert applied_settings == []
         path.write_text(TEXT % 3000)
--- a/dewridge/tests/gateway/world.py
+++ b/dewridge/tests/gateway/world.py
@@ -407,5 +407,5 @@
 
 
 async def answer_ok(exchange: ServerExchange) -> None:
-    """Answer as a healthy plain server does."""
+    """Answer successfully, as a healthy server of a plain service does."""
     await exchange.answer()
