--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -1,4 +1,4 @@
-"""The composition root of a gateway: builds its parts and runs them."""
+"""Composition root of a gateway: creates its components and runs their tasks."""
 
 import random
 import signal
@@ -23,18 +23,22 @@
 from dewridge.gateway.duties import HolderElection
 from dewridge.gateway.echoes import SentReportTimes
 from dewridge.gateway.hosts import HostEntry, HostTable, HostWatcher, Registration
-from dewridge.gateway.ingress import IngressState, Serve, handle_caller
+from dewridge.gateway.ingress import IngressState, RequestHandler, serve_connection
 from dewridge.gateway.leaving import leave_fleet
 from dewridge.gateway.measures import count_store_call, observe_dependency_call
 from dewridge.gateway.model import Limits
 from dewridge.gateway.operations import Operations
 from dewridge.gateway.pool import ConnectionPool
-from dewridge.gateway.reloading import Load, SettingsFile, find_trusted_time
+from dewridge.gateway.reloading import (
+    SettingsLoader,
+    SettingsReloader,
+    compute_trust_period,
+)
 from dewridge.gateway.reports import REPORTED_WINDOWS
 from dewridge.gateway.rolloutduty import RolloutDuty
 from dewridge.gateway.scaling import ScalingDuty
 from dewridge.gateway.servers import ServerTable
-from dewridge.gateway.serving import Serving
+from dewridge.gateway.serving import RequestProcessor
 from dewridge.gateway.sharing import SharedReports
 from dewridge.gateway.sharinglink import Recipients, ReportLink
 from dewridge.gateway.state import GatewayState
@@ -56,19 +60,21 @@
 from dewridge.supervision.tree import Supervisor
 
 RESERVED_DESCRIPTORS = 300
-"""Descriptors for files, listeners, the store, the cloud API and peers."""
-BACKLOG = 256
-"""Connections that wait to be accepted: a burst of callers on a busy process."""
+"""File descriptors for files, listeners, the store, the cloud API and peers."""
+ACCEPT_BACKLOG = 256
+"""Connections that may wait to be accepted: allows bursts while the process is busy."""
 
 Task = Callable[[], Awaitable[None]]
 
 
-async def run_gateway(settings: GatewaySettings, path: Path, load: Load) -> None:
-    """Run a gateway until it is told to leave and has left.
+async def run_gateway(
+    settings: GatewaySettings, path: Path, load: SettingsLoader
+) -> None:
+    """Run a gateway until it receives SIGTERM and has left the fleet.
 
     Args:
-        settings: the settings to start with.
-        path: the file that they came from.
+        settings: the initial settings.
+        path: the file that they were read from.
         load: reads the file again after a change.
     """
     async with AsyncExitStack() as stack:
@@ -78,19 +84,21 @@
 
 
 class _Gateway:
-    """Holds the parts while they run."""
+    """Holds the components of a running gateway."""
 
-    def __init__(self, settings: GatewaySettings, path: Path, load: Load) -> None:
+    def __init__(
+        self, settings: GatewaySettings, path: Path, load: SettingsLoader
+    ) -> None:
         self._settings = settings
         services = settings.services
         metrics = Metrics()
-        note_answer = partial(observe_dependency_call, metrics)
+        observe_call = partial(observe_dependency_call, metrics)
         store = ServiceClient(
-            "store", services.store, services.store_timeout, note_answer
+            "store", services.store, services.store_timeout, observe_call
         )
         watches = ServiceClient("store watches", services.store, services.store_timeout)
         cloud = ServiceClient(
-            "cloud", services.cloud, services.cloud_timeout, note_answer
+            "cloud", services.cloud, services.cloud_timeout, observe_call
         )
         count_call = partial(count_store_call, metrics)
         self._era = StoreEra()
@@ -99,7 +107,7 @@
         self._cloud = Cloud(cloud)
         self._state = self._make_state(metrics)
         self._state.dependencies += [store, watches, cloud]
-        self._file = SettingsFile(
+        self._settings_reloader = SettingsReloader(
             path,
             load,
             self._state.configuration,
@@ -107,7 +115,7 @@
             settings,
         )
         self._registration = Registration(self._store, self._make_entry())
-        self._tenancy = HolderElection(
+        self._election = HolderElection(
             self._state.host,
             self._state.boot,
             self._store,
@@ -117,11 +125,11 @@
             lambda: self._state.sharing.is_reader,
             self._state.sharing.record_holder,
         )
-        self._state.describe_duties = self._tenancy.describe
-        self._keeper = SuspectPersistence(
+        self._state.describe_duties = self._election.describe
+        self._suspect_persistence = SuspectPersistence(
             self._state,
             self._store,
-            lambda: self._tenancy.find_active_term() is not None,
+            lambda: self._election.find_active_term() is not None,
         )
         self._socket = PacedSocket(
             settings.host.address,
@@ -129,7 +137,7 @@
             DatagramPacer(find_datagram_rate(settings.host.link_mbps)),
             metrics,
         )
-        self._teller = UsageReporter(
+        self._usage_reporter = UsageReporter(
             self._state.sharing,
             self._state.hosts,
             self._socket,
@@ -143,16 +151,16 @@
             FailureDomain(settings.host.failure_domain),
             self._state.make_report,
             SentReportTimes(self._state.host, self._state.boot),
-            self._teller,
+            self._usage_reporter,
             self._state.configuration.confirm_by_peer,
         )
         self._era.on_restored += [
             self._state.handle_restore,
             self._registration.handle_restore,
-            self._tenancy.handle_restore,
-            self._keeper.handle_restore,
+            self._election.handle_restore,
+            self._suspect_persistence.handle_restore,
         ]
-        self._listeners: list[tuple[trio.SocketListener, Serve]] = []
+        self._listeners: list[tuple[trio.SocketListener, RequestHandler]] = []
 
     def _make_state(self, metrics: Metrics) -> GatewayState:
         settings = self._settings
@@ -168,7 +176,7 @@
             settings=settings,
             host=host,
             boot=boot,
-            configuration=ConfigurationState(find_trusted_time(settings)),
+            configuration=ConfigurationState(compute_trust_period(settings)),
             servers=ServerTable(),
             hosts=HostTable(host),
             sharing=SharedReports(
@@ -197,27 +205,27 @@
         )
 
     async def open(self, stack: AsyncExitStack) -> None:
-        """Open what must be closed again, all on one stack."""
-        serving = Serving(self._state)
+        """Open the socket and the listeners; the stack closes them."""
+        processor = RequestProcessor(self._state)
         directory = Directory(self._state)
         listen = self._settings.listen
         await self._socket.bind()
         stack.callback(self._socket.close)
-        places: list[tuple[str, Serve]] = [
-            (listen.callers, serving.serve),
+        endpoints: list[tuple[str, RequestHandler]] = [
+            (listen.callers, processor.serve),
             (listen.readiness, directory.serve),
         ]
         if listen.operations:
-            places.append((listen.operations, Operations(self._state).serve))
+            endpoints.append((listen.operations, Operations(self._state).serve))
         if listen.directory:
-            places.append((listen.directory, directory.serve))
-        for address, serve in places:
+            endpoints.append((listen.directory, directory.serve))
+        for address, handler in endpoints:
             listener = await open_listener(address)
             stack.push_async_callback(listener.aclose)
-            self._listeners.append((listener, serve))
+            self._listeners.append((listener, handler))
 
     async def run(self) -> None:
-        """Run all tasks until the host has left."""
+        """Run all tasks until the host has left the fleet."""
         bounds = self._settings.supervision
         supervisor = Supervisor("gateway", bounds.restarts, bounds.window)
         for name, task in self._list_tasks():
@@ -229,8 +237,8 @@
                 async for number in signals:
                     if number == signal.SIGTERM:
                         break
-                    self._file.look_now()
-                await leave_fleet(self._state, self._registration, self._tenancy)
+                    self._settings_reloader.poll_now()
+                await leave_fleet(self._state, self._registration, self._election)
             nursery.cancel_scope.cancel()
         log.info("stopped")
 
@@ -248,8 +256,8 @@
             lambda: state.sharing.reader_count,
             state.rollouts.apply_order,
         )
-        rollouts = RolloutDuty(state, self._tenancy, self._store)
-        self._era.on_restored.append(rollouts.note_restored)
+        rollouts = RolloutDuty(state, self._election, self._store)
+        self._era.on_restored.append(rollouts.handle_restore)
         state.sharing.on_outcomes = state.rollouts.add_remote_count
         state.sharing.is_outcome_open = state.rollouts.is_outcome_open
         state.sharing.on_token_demand = state.record_remote_demand
@@ -265,7 +273,9 @@
         state.on_suspects_changed = partial(
             self._link.schedule_urgent_send, Recipients.ALL
         )
-        state.hosts.on_item = fan_out(self._keeper.apply_item, rollouts.take)
+        state.hosts.on_item = fan_out(
+            self._suspect_persistence.apply_item, rollouts.apply_item
+        )
         hosts = HostWatcher(
             self._store,
             self._watch_store,
@@ -282,34 +292,41 @@
             ("hosts", hosts.poll),
             ("hosts-watch", hosts.watch),
             ("registration", self._registration.run),
-            ("suspects", self._keeper.run),
+            ("suspects", self._suspect_persistence.run),
             ("sharing-in", self._link.receive),
             ("sharing-out", self._link.send),
-            ("usage-out", self._teller.run),
+            ("usage-out", self._usage_reporter.run),
             ("datagrams-out", self._socket.run),
-            ("settings", self._file.run),
+            ("settings", self._settings_reloader.run),
             ("upkeep", partial(run_upkeep, state, self._registration)),
-            *self._list_duties(rollouts),
+            *self._list_duty_tasks(rollouts),
         ]
-        for number, (listener, serve) in enumerate(self._listeners):
-            handler = partial(handle_caller, shared=state.ingress, serve=serve)
-            tasks.append((f"listener-{number}", partial(accept, listener, handler)))
+        for number, (listener, handler) in enumerate(self._listeners):
+            serve_stream = partial(
+                serve_connection, ingress=state.ingress, handler=handler
+            )
+            tasks.append(
+                (
+                    f"listener-{number}",
+                    partial(accept_connections, listener, serve_stream),
+                )
+            )
         return tasks
 
-    def _list_duties(self, rollouts: RolloutDuty) -> list[tuple[str, Task]]:
+    def _list_duty_tasks(self, rollouts: RolloutDuty) -> list[tuple[str, Task]]:
         if not self._settings.services.cloud:
             return []
         usage = UsageDuty(
             self._state,
-            self._tenancy,
+            self._election,
             self._store,
             self._cloud,
-            self._teller.request_usage,
+            self._usage_reporter.request_usage,
         )
-        scaling = ScalingDuty(self._state, self._tenancy, self._store, self._cloud)
+        scaling = ScalingDuty(self._state, self._election, self._store, self._cloud)
         self._era.on_restored.append(scaling.handle_restore)
         return [
-            ("tenancy", self._tenancy.run),
+            ("tenancy", self._election.run),
             ("usage", usage.run),
             ("scaling", scaling.run),
             ("rollouts", rollouts.run),
@@ -317,25 +334,27 @@
 
 
 def fan_out(*handlers: Callable[[Item], None]) -> Callable[[Item], None]:
-    """Return a handler that passes each item of the store to all given handlers."""
+    """Return a handler that calls all given handlers with each item of the store."""
 
-    def take(item: Item) -> None:
+    def handle_item(item: Item) -> None:
         for handle in handlers:
             handle(item)
 
-    return take
+    return handle_item
 
 
 async def open_listener(address: str) -> trio.SocketListener:
     """Listen on `a.b.c.d:port`."""
     host, _, port = address.rpartition(":")
-    listeners = await trio.open_tcp_listeners(int(port), host=host, backlog=BACKLOG)
+    listeners = await trio.open_tcp_listeners(
+        int(port), host=host, backlog=ACCEPT_BACKLOG
+    )
     return listeners[0]
 
 
-async def accept(
+async def accept_connections(
     listener: trio.SocketListener,
     handler: Callable[[trio.SocketStream], Awaitable[None]],
 ) -> None:
-    """Accept connections for ever."""
+    """Accept connections forever."""
     await trio.serve_listeners(handler, [listener])
--- a/dewridge/tests/gateway/reloading_tests.py
+++ b/dewridge/tests/gateway/reloading_tests.py
@@ -1,13 +1,13 @@
-"""Settings that change while a gateway runs."""
+"""Tests of reloading the settings of a running gateway."""
 
 from pathlib import Path
 
 import trio
 import trio.testing
 
-from dewridge.gateway.__main__ import load_gateway
+from dewridge.gateway.__main__ import load_gateway_settings
 from dewridge.gateway.configuration import ConfigurationState
-from dewridge.gateway.reloading import SettingsFile, find_trusted_time
+from dewridge.gateway.reloading import SettingsReloader, compute_trust_period
 from dewridge.settings.gateway import GatewaySettings
 
 TEXT = """// a comment
@@ -21,34 +21,36 @@
 """
 
 
-async def test_new_bounds_come_into_force_without_a_signal(
+async def test_new_bounds_are_applied_without_a_signal(
     tmp_path: Path, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """The platform rewrites the file and tells nobody; then it writes half a file."""
+    """Guards against missed changes without a signal and against partial files."""
     path = tmp_path / "settings.json"
     path.write_text(TEXT % 5000)
-    first = load_gateway(path).settings
+    first = load_gateway_settings(path).settings
     assert first is not None
-    configuration = ConfigurationState(find_trusted_time(first))
-    taken: list[GatewaySettings] = []
-    file = SettingsFile(path, load_gateway, configuration, taken.append, first)
+    configuration = ConfigurationState(compute_trust_period(first))
+    applied_settings: list[GatewaySettings] = []
+    reloader = SettingsReloader(
+        path, load_gateway_settings, configuration, applied_settings.append, first
+    )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(file.run)
+        nursery.start_soon(reloader.run)
         await trio.sleep(1.5)
-        assert taken == []
+        assert applied_settings == []
         path.write_text(TEXT % 3000)
         await trio.sleep(1.5)
-        assert [one.bounds.revocation_ms for one in taken] == [3000]
+        assert [applied.bounds.revocation_ms for applied in applied_settings] == [3000]
         path.write_text(TEXT[:40])
         await trio.sleep(1.5)
-        assert len(taken) == 1
+        assert len(applied_settings) == 1
         nursery.cancel_scope.cancel()
 
 
-def test_all_errors_are_told_at_once(tmp_path: Path) -> None:
+def test_all_errors_are_reported_at_once(tmp_path: Path) -> None:
     path = tmp_path / "settings.json"
     path.write_text('{"host": {"id": 5}, "listne": {}}')
-    errors = [str(problem) for problem in load_gateway(path).errors]
+    errors = [str(problem) for problem in load_gateway_settings(path).errors]
     assert any("listne" in error and "listen" in error for error in errors)
     assert any("host.id" in error for error in errors)
     assert len(errors) >= 4
--- a/dewridge/tests/gateway/restores_tests.py
+++ b/dewridge/tests/gateway/restores_tests.py
@@ -26,7 +26,7 @@
 from dewridge.tests.gateway.readers_tests import make_server
 from dewridge.tests.gateway.rollouts_tests import (
     NEW,
-    DutyHolder,
+    HolderHost,
     make_progress,
 )
 from dewridge.tests.gateway.world import (
@@ -284,19 +284,19 @@
     """Guards against retrying a version that was reverted before the restore."""
     monkeypatch.setattr("time.time", trio.current_time)
     data = StoreData(era=1)
-    holder = DutyHolder(data)
+    holder = HolderHost(data)
     rollouts = holder.state.rollouts
     rollouts.apply_order(RolloutOrder(PLAIN, NEW, 12.0, 100))
     holder.store.era.on_restored += [
         holder.state.handle_restore,
-        holder.duty.note_restored,
+        holder.duty.handle_restore,
     ]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(holder.duty.run)
         await trio.sleep(0.5)
         snapshot = data.take_snapshot()
         rollouts.apply_progress(make_progress(Stage.REVERTED))
-        holder.duty.note_restored()
+        holder.duty.handle_restore()
         await trio.sleep(1.0)
         assert holder.read_status() == "reverted"
         data.restore(snapshot)
