--- a/dewridge/composition.py
+++ b/dewridge/composition.py
@@ -15,7 +15,7 @@
 from dewridge.configuration.service import ConfigurationService
 from dewridge.fleet.dispatch import make_dispatch
 from dewridge.fleet.model import Dispatch
-from dewridge.fleet.orders import Orders, make_orders
+from dewridge.fleet.orders import ControlClient, make_control_client
 from dewridge.fleet.table import ServerTable
 from dewridge.fleet.watcher import FleetWatcher
 from dewridge.ids import FailureDomain, HostId, Incarnation
@@ -90,7 +90,7 @@
     host_list: HostList
     cloud: Cloud
     dispatch: Dispatch
-    orders: Orders
+    orders: ControlClient
 
 
 async def _open_outside(settings: Settings, stack: AsyncExitStack) -> Outside:
@@ -109,7 +109,7 @@
         ),
         await enter(make_cloud(platform.cloud, timeout=timeout, metrics=metrics)),
         await enter(make_dispatch(metrics=metrics, connect_timeout=connect_timeout)),
-        await enter(make_orders(metrics=metrics, timeout=timeout)),
+        await enter(make_control_client(metrics=metrics, timeout=timeout)),
     )
 
 
@@ -230,7 +230,7 @@
         membership=membership,
         rumors=membership,
         metrics=metrics,
-        on_own_notice=lifecycle.start_leaving,
+        on_local_reclaim=lifecycle.start_leaving,
     )
     requests = RequestService(
         settings=settings.requests,
--- a/dewridge/fleet/orders.py
+++ b/dewridge/fleet/orders.py
@@ -87,7 +87,7 @@
     cache_handle: str
 
 
-class Orders:
+class ControlClient:
     """Calls to backend servers other than attempts."""
 
     def __init__(self, client: "httpx.AsyncClient", metrics: Metrics) -> None:
@@ -225,11 +225,13 @@
 
 
 @asynccontextmanager
-async def make_orders(*, metrics: Metrics, timeout: float) -> AsyncIterator[Orders]:
+async def make_control_client(
+    *, metrics: Metrics, timeout: float
+) -> AsyncIterator[ControlClient]:
     """Open what gives orders to backend servers."""
     import httpx  # noqa: PLC0415 - heavy
 
     async with httpx.AsyncClient(
         timeout=timeout, trust_env=False, verify=False
     ) as client:
-        yield Orders(client, metrics)
+        yield ControlClient(client, metrics)
--- a/dewridge/fleet/watcher.py
+++ b/dewridge/fleet/watcher.py
@@ -100,7 +100,7 @@
         membership: MembershipView,
         rumors: Rumors,
         metrics: Metrics,
-        on_own_notice: Callable[[float], None],
+        on_local_reclaim: Callable[[float], None],
         clock: Callable[[], float] = time.time,
     ) -> None:
         self._period = settings.poll_period
@@ -110,7 +110,7 @@
         self._membership = membership
         self._rumors = rumors
         self._metrics = metrics
-        self._on_own_notice = on_own_notice
+        self._on_own_notice = on_local_reclaim
         self._clock = clock
         self._random = random.Random(membership.me.host)
         self._absent_since: dict[BackendServerId, float] = {}
--- a/dewridge/tests/fleet/dispatch_tests.py
+++ b/dewridge/tests/fleet/dispatch_tests.py
@@ -24,7 +24,7 @@
     Cancellation,
     EngineOrder,
     OrderKind,
-    make_orders,
+    make_control_client,
     take_fence,
 )
 from dewridge.ids import (
@@ -207,7 +207,7 @@
         kept: list[str] = []
         async with (
             make_dispatch(metrics=Metrics(), connect_timeout=0.5) as dispatch,
-            make_orders(metrics=Metrics(), timeout=1.0) as orders,
+            make_control_client(metrics=Metrics(), timeout=1.0) as orders,
             dispatch(first, ORDER) as events,
         ):
             async for event in events:
@@ -244,7 +244,7 @@
         options = EngineOptions(checks_fencing=checks)
         async with (
             run_backend(options) as (_, [server]),
-            make_orders(metrics=Metrics(), timeout=1.0) as orders,
+            make_control_client(metrics=Metrics(), timeout=1.0) as orders,
         ):
             new = EngineOrder(OrderKind.LOAD, "drafting", 2)
             old = EngineOrder(OrderKind.UNLOAD, "drafting", number)
--- a/dewridge/tests/fleet/watcher_tests.py
+++ b/dewridge/tests/fleet/watcher_tests.py
@@ -94,7 +94,7 @@
             membership=self.views[index],
             rumors=self.views[index],
             metrics=Metrics(),
-            on_own_notice=lambda at: self.own_notices.append((index, at)),
+            on_local_reclaim=lambda at: self.own_notices.append((index, at)),
             clock=self.clock,
         )
 
