--- a/dewridge/fleet/__init__.py
+++ b/dewridge/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers: who they are, who is leaving, and how to talk to them."""
+"""Discovery of backend servers, their departures, and the calls to them."""
--- a/dewridge/fleet/clients.py
+++ b/dewridge/fleet/clients.py
@@ -1,4 +1,4 @@
-"""HTTP clients by backend server, so that each has a small pool of its own."""
+"""HTTP clients by backend server, each with its own small connection pool."""
 
 from collections import OrderedDict
 from collections.abc import AsyncIterator, Iterator
@@ -11,27 +11,28 @@
 if TYPE_CHECKING:
     import httpx
 
-CLIENTS_KEPT = 256
-"""Clients kept open. A host sends to a subset of the servers, far fewer than
-this; replaced servers come under new addresses and must not add up for good."""
+MAX_CLIENTS = 256
+"""Clients that stay open. A host sends to far fewer servers than this; without the
+limit, clients of replaced servers, whose addresses are new, would accumulate."""
 KEEPALIVE_SECONDS = 4.0
-"""Idle connections are dropped before servers commonly drop them (5 s): an attempt
-on a connection that closes at that moment may or may not have started."""
-IDLE_CONNECTIONS = 16
+"""Time after which an idle connection is closed. Servers commonly close theirs after
+5 s, and it is unknown whether an attempt sent at that moment started."""
+MAX_IDLE_CONNECTIONS = 16
+"""Idle connections that one client keeps open."""
 HEADERS = {"content-type": "application/json", "accept-encoding": "identity"}
 
 
 @dataclass
 class _Entry:
     client: "httpx.AsyncClient"
-    users: int = 0
+    user_count: int = 0
 
 
 class ClientTable:
-    """Clients by address, opened as they are needed.
+    """Clients by address, opened on first use.
 
-    The library's pool looks through all its connections for each request: with
-    one pool for all servers and 64 streams open, that was 3.5 ms a request.
+    httpx's pool scans all its connections for each request: a single pool for all
+    servers took 3.5 ms per request with 64 open streams.
     """
 
     def __init__(self) -> None:
@@ -39,38 +40,38 @@
 
     @contextmanager
     def use(self, address: str) -> Iterator["httpx.AsyncClient"]:
-        """Return the client of an address; it stays open while it is used."""
+        """Yield the client of an address; it stays open until the context exits."""
         entry = self._entries.get(address)
         if entry is None:
             entry = self._entries[address] = _Entry(self._open(address))
         self._entries.move_to_end(address)
-        entry.users += 1
+        entry.user_count += 1
         try:
             yield entry.client
         finally:
-            entry.users -= 1
+            entry.user_count -= 1
 
     def _open(self, address: str) -> "httpx.AsyncClient":
         import httpx  # noqa: PLC0415 - heavy
 
-        from dewridge.fleet.transport import GatheringTransport  # noqa: PLC0415
+        from dewridge.fleet.transport import BatchingTransport  # noqa: PLC0415
 
-        # Backend servers are reached by plain HTTP at listed addresses: no
-        # proxy of the environment, and no certificates to load, which would
-        # cost a megabyte for each client.
+        # Backend servers are reached over plain HTTP at listed addresses. Proxy
+        # settings of the environment are ignored, and no certificates are loaded:
+        # they would take a megabyte per client.
         return httpx.AsyncClient(
             base_url=f"http://{address}",
-            transport=GatheringTransport(IDLE_CONNECTIONS, KEEPALIVE_SECONDS),
+            transport=BatchingTransport(MAX_IDLE_CONNECTIONS, KEEPALIVE_SECONDS),
             trust_env=False,
             headers=HEADERS,
         )
 
     async def trim(self) -> None:
-        """Close the clients that were not used for longest, down to the bound."""
-        surplus = len(self._entries) - CLIENTS_KEPT
+        """Close the least recently used idle clients beyond `MAX_CLIENTS`."""
+        surplus = len(self._entries) - MAX_CLIENTS
         if surplus <= 0:
             return
-        idle = [a for a, entry in self._entries.items() if entry.users == 0]
+        idle = [a for a, entry in self._entries.items() if entry.user_count == 0]
         for address in idle[:surplus]:
             await self._entries.pop(address).client.aclose()
 
@@ -84,7 +85,7 @@
 
 @asynccontextmanager
 async def open_clients() -> AsyncIterator[ClientTable]:
-    """Open a table of clients and close them all in the end."""
+    """Open a table of clients and close them all on exit."""
     clients = ClientTable()
     try:
         yield clients
--- a/dewridge/fleet/dispatch.py
+++ b/dewridge/fleet/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends attempts to backend servers and streams what comes back."""
+"""Sends attempts to backend servers and streams their events back."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from contextlib import AbstractAsyncContextManager, aclosing, asynccontextmanager
@@ -27,19 +27,21 @@
 if TYPE_CHECKING:
     import httpx
 
-BODY_LIMIT = 8_000_000
-"""Bytes of a plain service's answer; more would not fit the memory of a host that
-holds a hundred of them."""
-REFUSAL_LIMIT = 10_000
+MAX_BODY_BYTES = 8_000_000
+"""Longest accepted answer of a plain service. A host that buffers a hundred longer
+ones would run out of memory."""
+MAX_REFUSAL_BYTES = 10_000
+"""Longest body that is read of an answer with an error status."""
 DRAIN_SECONDS = 0.01
-GATHER_SECONDS = 0.02
-"""Time between two reads of a stream once its first tokens have come. Half of the
-41 ms that may lie between tokens, so that an engine's own step and the way to the
-caller have the other half; the first token is never held up."""
+"""Longest wait for the end of the HTTP body after an attempt's last event."""
+BATCH_DELAY_SECONDS = 0.02
+"""Time between two reads of a stream after its first tokens: half of the 41 ms allowed
+between two tokens. The other half is left for the engine's step and the way to the
+caller. The first token is never delayed."""
 
 
 class CompletionBody(msgspec.Struct, omit_defaults=True):
-    """What an engine is sent."""
+    """Request body of an attempt on an engine."""
 
     prompt: str
     max_tokens: int
@@ -56,7 +58,7 @@
 
 
 class OperationBody(msgspec.Struct):
-    """What a plain service is sent."""
+    """Request body of an attempt on a plain service."""
 
     input: str
     attempt: str
@@ -65,7 +67,7 @@
 
 
 class OperationAnswer(msgspec.Struct):
-    """What a plain service answers."""
+    """Response body of a plain service."""
 
     attempt: str
     body: msgspec.Raw
@@ -75,13 +77,13 @@
 async def make_dispatch(
     *, metrics: Metrics, connect_timeout: float
 ) -> AsyncIterator[Dispatch]:
-    """Open what sends attempts; it owns the connections to backend servers."""
+    """Yield a function that sends attempts; close its connections on exit."""
     async with open_clients() as clients:
-        yield Sender(clients, metrics, connect_timeout).dispatch
+        yield AttemptSender(clients, metrics, connect_timeout).dispatch
 
 
-class Sender:
-    """Sends attempts over the connections of a table of clients."""
+class AttemptSender:
+    """Sends attempts with the HTTP clients of a `ClientTable`."""
 
     def __init__(
         self, clients: ClientTable, metrics: Metrics, connect_timeout: float
@@ -93,7 +95,7 @@
     def dispatch(
         self, server: BackendServer, order: AttemptOrder
     ) -> AbstractAsyncContextManager[AsyncIterator[AttemptEvent]]:
-        """Send one attempt; leaving the context closes its connection."""
+        """Send one attempt; exiting the context early closes the connection."""
         return aclosing(self._run(server, order))
 
     async def _run(
@@ -101,39 +103,45 @@
     ) -> AsyncGenerator[AttemptEvent, None]:
         import httpx  # noqa: PLC0415 - heavy
 
-        from dewridge.fleet.transport import gather_reads  # noqa: PLC0415
+        from dewridge.fleet.transport import set_batch_delay  # noqa: PLC0415
 
         self._metrics.add("attempts_total", service=order.service)
         await self._clients.trim()
         try:
             async with self._open(server, order) as response:
                 if response.status_code != STATUS_OK:
-                    content = await read_bounded(response, REFUSAL_LIMIT) or b""
+                    content = await read_bounded(response, MAX_REFUSAL_BYTES) or b""
                     refusal = read_refusal(response.status_code, content)
-                    yield self._fail(order, refusal)
+                    yield self._record_failure(order, refusal)
                 elif server.listed.kind is ServerKind.ENGINE:
                     chunks = response.aiter_raw()
                     async for event in self._read_stream(chunks, order):
                         if isinstance(event, AttemptTokens):
-                            gather_reads(response, GATHER_SECONDS)
+                            set_batch_delay(response, BATCH_DELAY_SECONDS)
                         elif isinstance(event, AttemptEnd):
-                            gather_reads(response, 0.0)
+                            set_batch_delay(response, 0.0)
                             await drain(chunks)
                         yield event
                 else:
                     yield await self._read_answer(response, order)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout):
-            # No connection was made, so that no byte of the attempt has left.
-            yield self._fail(order, Failure(ResultCode.NOT_STARTED, "no connection"))
+            # No connection was made, so no byte of the attempt was sent.
+            yield self._record_failure(
+                order, Failure(ResultCode.NOT_STARTED, "no connection")
+            )
         except httpx.TimeoutException:
-            # Something between the two ends may have lost track of the
-            # connection: it stays open, and nothing ever comes. Without this
-            # bound the caller would wait until its deadline.
+            # A device on the network path may have dropped the connection's state:
+            # it stays open, but no data arrives. Without this timeout the caller
+            # would wait until its deadline.
             reason = f"nothing came for {order.timeout:g} s"
-            yield self._fail(order, Failure(ResultCode.BACKEND_SERVER_SILENT, reason))
+            yield self._record_failure(
+                order, Failure(ResultCode.BACKEND_SERVER_SILENT, reason)
+            )
         except httpx.HTTPError as error:
             reason = type(error).__name__
-            yield self._fail(order, Failure(ResultCode.CONNECTION_LOST, reason))
+            yield self._record_failure(
+                order, Failure(ResultCode.CONNECTION_LOST, reason)
+            )
 
     @asynccontextmanager
     async def _open(
@@ -155,48 +163,56 @@
         lines = LineBuffer()
         reader = EventReader(order.attempt, order.first_sequence)
         async for chunk in chunks:
-            whole = lines.feed(chunk)
-            if whole is None:
+            complete = lines.feed(chunk)
+            if complete is None:
                 reason = "an event is too long"
-                yield self._fail(order, Failure(ResultCode.ANSWER_MISMATCHED, reason))
+                yield self._record_failure(
+                    order, Failure(ResultCode.ANSWER_MISMATCHED, reason)
+                )
                 return
-            for event in reader.read(whole):
+            for event in reader.read(complete):
                 is_last = not isinstance(event, AttemptTokens)
                 if is_last:
-                    self._count_drops(order, reader)
+                    self._record_dropped_events(order, reader)
                 if isinstance(event, Failure):
-                    self._fail(order, event)
+                    self._record_failure(order, event)
                 yield event
                 if is_last:
                     return
-        self._count_drops(order, reader)
-        yield self._fail(order, reader.finish())
+        self._record_dropped_events(order, reader)
+        yield self._record_failure(order, reader.finish())
 
     async def _read_answer(
         self, response: "httpx.Response", order: AttemptOrder
     ) -> AttemptEvent:
-        content = await read_bounded(response, BODY_LIMIT)
+        content = await read_bounded(response, MAX_BODY_BYTES)
         if content is None:
             reason = "the answer is too long"
-            return self._fail(order, Failure(ResultCode.BACKEND_SERVER_FAILED, reason))
+            return self._record_failure(
+                order, Failure(ResultCode.BACKEND_SERVER_FAILED, reason)
+            )
         try:
             answer = msgspec.json.decode(content, type=OperationAnswer)
         except msgspec.DecodeError:
             reason = "the answer is malformed"
-            return self._fail(order, Failure(ResultCode.BACKEND_SERVER_FAILED, reason))
+            return self._record_failure(
+                order, Failure(ResultCode.BACKEND_SERVER_FAILED, reason)
+            )
         if answer.attempt != order.attempt:
             self._metrics.add("attempt_events_dropped_total", reason="other_attempt")
             reason = "the answer is another attempt's"
-            return self._fail(order, Failure(ResultCode.ANSWER_MISMATCHED, reason))
+            return self._record_failure(
+                order, Failure(ResultCode.ANSWER_MISMATCHED, reason)
+            )
         return AttemptEnd(body=bytes(answer.body).decode())
 
-    def _fail(self, order: AttemptOrder, failure: Failure) -> Failure:
+    def _record_failure(self, order: AttemptOrder, failure: Failure) -> Failure:
         self._metrics.add(
             "attempt_failures_total", service=order.service, code=failure.code.name
         )
         return failure
 
-    def _count_drops(self, order: AttemptOrder, reader: EventReader) -> None:
+    def _record_dropped_events(self, order: AttemptOrder, reader: EventReader) -> None:
         for reason, count in reader.dropped.items():
             self._metrics.add(
                 "attempt_events_dropped_total", count, reason=reason.value
@@ -204,7 +220,7 @@
 
 
 def encode_order(server: BackendServer, order: AttemptOrder) -> tuple[str, bytes]:
-    """Return path and body of the call for an attempt."""
+    """Return the URL path and the body of the call for an attempt."""
     if server.listed.kind is ServerKind.PLAIN:
         call = OperationBody(order.input, order.attempt, order.key, order.account)
         return f"/v1/operations/{quote(order.operation)}", msgspec.json.encode(call)
@@ -225,22 +241,22 @@
 
 
 async def read_bounded(response: "httpx.Response", limit: int) -> bytes | None:
-    """Read a body; None if it is longer than the limit."""
-    parts: list[bytes] = []
+    """Read a body; None if it is longer than `limit` bytes."""
+    chunks: list[bytes] = []
     size = 0
     async for chunk in response.aiter_raw():
         size += len(chunk)
         if size > limit:
             return None
-        parts.append(chunk)
-    return b"".join(parts)
+        chunks.append(chunk)
+    return b"".join(chunks)
 
 
 async def drain(chunks: AsyncIterator[bytes]) -> None:
-    """Read what follows the end, so that the connection can be used again.
+    """Read the rest of the body after the last event, to reuse the connection.
 
-    It comes with the end or right after it; a server that holds it back costs
-    the caller no more than the bound.
+    It usually arrives with the last event or right after it; a server that delays
+    it delays the caller by `DRAIN_SECONDS` at most.
     """
     with trio.move_on_after(DRAIN_SECONDS):
         async for _ in chunks:
--- a/dewridge/fleet/events.py
+++ b/dewridge/fleet/events.py
@@ -1,4 +1,4 @@
-"""Reads an engine's events: checks each against the attempt and restores order."""
+"""Parser of an engine's event stream: checks and reorders an attempt's events."""
 
 from enum import Enum
 
@@ -9,17 +9,18 @@
 from dewridge.ids import AttemptId
 from dewridge.sentinels import Failure
 
-LINE_LIMIT = 1_000_000
-"""Bytes of one event; a server that sends no line end must not fill the memory."""
-HELD_EVENTS = 32
-"""Events that may wait for one that was overtaken. More than a few are a gap that
-will not close, and a caller waits for its tokens meanwhile."""
-PREFIX = b"data:"
-LAST = b"[DONE]"
+MAX_LINE_BYTES = 1_000_000
+"""Longest unfinished line that is buffered. Without a limit, a server that never sends
+a line break would fill the memory."""
+MAX_OUT_OF_ORDER_EVENTS = 32
+"""Events that may wait for an earlier one. More than a few mean that the missing event
+was lost, and the caller gets no tokens meanwhile."""
+DATA_PREFIX = b"data:"
+END_MARKER = b"[DONE]"
 
 
-class Drop(Enum):
-    """Why an event was dropped."""
+class DropReason(Enum):
+    """Reason for which an event was dropped."""
 
     MALFORMED = "malformed"
     OTHER_ATTEMPT = "other_attempt"
@@ -52,108 +53,110 @@
 
 
 class LineBuffer:
-    """Cuts a stream of bytes into lines of bounded length."""
+    """Splits a byte stream into lines of bounded length."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, chunk: bytes) -> list[bytes] | None:
-        """Return the lines that are whole now; None if one is too long."""
-        *lines, self._rest = (self._rest + chunk).split(b"\n")
-        return None if len(self._rest) > LINE_LIMIT else lines
+        """Add bytes; return the lines they complete, None if the rest is too long."""
+        *lines, self._partial_line = (self._partial_line + chunk).split(b"\n")
+        return None if len(self._partial_line) > MAX_LINE_BYTES else lines
 
 
 class EventReader:
     """Turns the lines of one attempt into its events.
 
-    Events of another attempt and ones that came before are dropped and
-    counted; one that overtook others waits for them. Without these checks a
-    caller could receive another caller's tokens, or its own twice or out of
-    order, with nothing to show it.
+    Events of another attempt and duplicates are dropped and counted; an event that
+    arrives early waits for those before it. Without these checks a caller could,
+    unnoticed, receive another caller's tokens, or its own twice or out of order.
+
+    Attributes:
+        dropped: number of dropped events by reason.
     """
 
     def __init__(self, attempt: AttemptId, first_sequence: int) -> None:
         self._attempt = attempt
-        self._next = first_sequence
-        self._held: dict[int, list[str]] = {}
+        self._next_sequence = first_sequence
+        self._out_of_order: dict[int, list[str]] = {}
         self._end: _Event | None = None
         self._decoder = msgspec.json.Decoder(_Event)
-        self.dropped: dict[Drop, int] = {}
+        self.dropped: dict[DropReason, int] = {}
 
     def read(self, lines: list[bytes]) -> list[AttemptEvent]:
-        """Return the events that follow from some lines, tokens joined.
+        """Parse lines and return their events, with all tokens in one event.
 
-        The last one is an AttemptEnd or a Failure if the attempt is over.
+        The last one is an AttemptEnd or a Failure if the attempt has ended.
         """
-        first = self._next
+        first_sequence = self._next_sequence
         tokens: list[str] = []
         for line in lines:
-            if not line.startswith(PREFIX):
+            if not line.startswith(DATA_PREFIX):
                 continue
-            failure = self._take(line[len(PREFIX) :].strip(), tokens)
+            failure = self._process_event(line[len(DATA_PREFIX) :].strip(), tokens)
             if failure is not None:
-                return [*make_tokens(first, tokens), failure]
-        events = make_tokens(first, tokens)
-        if self._end is not None and self._end.sequence == self._next:
-            return [*events, make_end(self._end)]
-        if len(self._held) > HELD_EVENTS:
-            return [*events, self._make_gap()]
+                return [*make_token_events(first_sequence, tokens), failure]
+        events = make_token_events(first_sequence, tokens)
+        if self._end is not None and self._end.sequence == self._next_sequence:
+            return [*events, make_end_event(self._end)]
+        if len(self._out_of_order) > MAX_OUT_OF_ORDER_EVENTS:
+            return [*events, self._make_gap_failure()]
         return events
 
     def finish(self) -> Failure:
-        """Say what it means that the stream ended before the attempt's end."""
-        if self._held or self._end is not None:
-            return self._make_gap()
+        """Return the failure of a stream that closed before the attempt's end."""
+        if self._out_of_order or self._end is not None:
+            return self._make_gap_failure()
         reason = "the stream ended before the answer's end"
         return Failure(ResultCode.CONNECTION_LOST, reason)
 
-    def _take(self, data: bytes, tokens: list[str]) -> Failure | None:
-        if data == LAST:
+    def _process_event(self, data: bytes, tokens: list[str]) -> Failure | None:
+        if data == END_MARKER:
             return None
         try:
             event = self._decoder.decode(data)
         except msgspec.DecodeError:
-            self._drop(Drop.MALFORMED)
+            self._count_drop(DropReason.MALFORMED)
             return None
         if event.error is not None:
             reason = f"the engine says: {event.error.type[:40]}"
             return Failure(ResultCode.BACKEND_SERVER_FAILED, reason)
         if event.attempt != self._attempt:
-            self._drop(Drop.OTHER_ATTEMPT)
+            self._count_drop(DropReason.OTHER_ATTEMPT)
         elif any(choice.finish_reason for choice in event.choices):
             self._end = event
         else:
-            self._add(event, tokens)
+            self._add_tokens(event, tokens)
         return None
 
-    def _add(self, event: _Event, tokens: list[str]) -> None:
-        run = event.tokens
-        if run is None:
-            run = [choice.text for choice in event.choices[:1]]
-        if event.sequence + len(run) <= self._next:
-            self._drop(Drop.DUPLICATE)
+    def _add_tokens(self, event: _Event, tokens: list[str]) -> None:
+        token_run = event.tokens
+        if token_run is None:
+            token_run = [choice.text for choice in event.choices[:1]]
+        if event.sequence + len(token_run) <= self._next_sequence:
+            self._count_drop(DropReason.DUPLICATE)
             return
-        self._held[event.sequence] = run
-        while self._next in self._held:
-            ready = self._held.pop(self._next)
-            tokens.extend(ready)
-            self._next += len(ready)
+        self._out_of_order[event.sequence] = token_run
+        while self._next_sequence in self._out_of_order:
+            ready_run = self._out_of_order.pop(self._next_sequence)
+            tokens.extend(ready_run)
+            self._next_sequence += len(ready_run)
 
-    def _drop(self, reason: Drop) -> None:
+    def _count_drop(self, reason: DropReason) -> None:
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
-    def _make_gap(self) -> Failure:
-        reason = f"tokens are missing from number {self._next} on"
+    def _make_gap_failure(self) -> Failure:
+        reason = f"tokens are missing from number {self._next_sequence} on"
         return Failure(ResultCode.ANSWER_MISMATCHED, reason)
 
 
-def make_tokens(first: int, tokens: list[str]) -> list[AttemptEvent]:
-    """Return tokens as one event, if there are any."""
-    return [AttemptTokens(first, tuple(tokens))] if tokens else []
+def make_token_events(first_sequence: int, tokens: list[str]) -> list[AttemptEvent]:
+    """Return a list of one event with the tokens, empty if there are none."""
+    return [AttemptTokens(first_sequence, tuple(tokens))] if tokens else []
 
 
-def make_end(event: _Event) -> AttemptEnd:
-    """Return the end of a whole answer."""
+def make_end_event(event: _Event) -> AttemptEnd:
+    """Return the end event of a complete answer."""
     usage = event.usage or _Usage()
     return AttemptEnd(
         recomputed=usage.recomputed_tokens,
--- a/dewridge/fleet/model.py
+++ b/dewridge/fleet/model.py
@@ -1,4 +1,4 @@
-"""Backend servers and attempts, as the rest of the system sees them."""
+"""Data types of backend servers and attempts."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import AbstractAsyncContextManager
@@ -18,23 +18,23 @@
 
 
 class ServerState(Enum):
-    """What the system knows of a backend server."""
+    """Availability of a backend server."""
 
     LIVE = "live"
     LEAVING = "leaving"
-    """No new work; never turns back into LIVE under the same id."""
+    """Gets no new work; the same id never becomes LIVE again."""
     GONE = "gone"
 
 
 @dataclass(frozen=True, slots=True)
 class BackendServer:
-    """A backend server with what the system has learned of it.
+    """A backend server and its state as known to this host.
 
     Attributes:
-        listed: what the host list said last.
-        leaving_at: seconds since 1970 when it goes, if it is leaving.
-        load: queued and running requests as last reported, with a lag.
-        load_at: seconds since 1970 of that report.
+        listed: its latest record in the host list.
+        leaving_at: Unix time in seconds when it leaves, if it is leaving.
+        load: queued and running requests as last reported; may be outdated.
+        load_at: Unix time in seconds of that report.
     """
 
     listed: ListedServer
@@ -50,7 +50,7 @@
 
 
 class Priority(Enum):
-    """The engines' own priorities."""
+    """Request priority as engines define it."""
 
     INTERACTIVE = 0
     BACKGROUND = 1
@@ -58,17 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOrder:
-    """What is sent to a backend server for one attempt.
+    """Parameters of one attempt on a backend server.
 
     Attributes:
         input: a prompt for an engine, a JSON document for a plain service.
-        tokens_done: tokens kept from earlier attempts; the engine goes on
-            after them (prefill with them, or an imported KV cache).
-        first_sequence: number that the next token must carry; equals
+        tokens_done: tokens retained from earlier attempts. The engine continues
+            after them, with a prefill or an imported KV cache.
+        first_sequence: sequence number of the first new token;
             `len(tokens_done)`.
         timeout: seconds without any byte after which the server counts as
             silent.
-        cache_handle: an exported KV cache to import, if there is one.
+        cache_handle: handle of an exported KV cache to import, if any.
     """
 
     attempt: AttemptId
@@ -86,7 +86,7 @@
 
     @property
     def first_sequence(self) -> int:
-        """Return the sequence number of the first token still to come."""
+        """Return the sequence number of the first token to generate."""
         return len(self.tokens_done)
 
 
@@ -95,7 +95,7 @@
     """Tokens of an attempt, in order and without a gap.
 
     Attributes:
-        sequence: number of the first of them within the answer.
+        sequence: position of the first of them within the answer.
     """
 
     sequence: int
@@ -104,12 +104,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """The whole answer has come.
+    """End of an attempt whose answer is complete.
 
     Attributes:
         body: a plain service's answer as JSON text; empty for an engine.
         recomputed: tokens that the engine had to compute again.
         cached: prompt tokens found in the engine's prefix cache.
+        usage: token counts by the name that the engine gives them.
     """
 
     body: str = ""
@@ -119,12 +120,13 @@
 
 
 AttemptEvent = AttemptTokens | AttemptEnd | Failure
-"""Failure codes of an attempt: NOT_STARTED and BACKEND_SERVER_LEAVING prove that
-nothing ran; BACKEND_SERVER_REJECTED says the input is at fault (nothing ran);
-CONNECTION_LOST, BACKEND_SERVER_SILENT, BACKEND_SERVER_FAILED and
-ANSWER_MISMATCHED leave it open. A Failure or an AttemptEnd is the last event."""
+"""One event of an attempt; the last one is an AttemptEnd or a Failure.
+
+The codes NOT_STARTED, BACKEND_SERVER_LEAVING and BACKEND_SERVER_REJECTED (invalid
+input) prove that nothing ran. With CONNECTION_LOST, BACKEND_SERVER_SILENT,
+BACKEND_SERVER_FAILED and ANSWER_MISMATCHED it is unknown whether anything ran."""
 
 AttemptStream = AbstractAsyncContextManager[AsyncIterator[AttemptEvent]]
 
 Dispatch = Callable[[BackendServer, AttemptOrder], AttemptStream]
-"""Sends one attempt; leaving the context closes the connection."""
+"""Sends one attempt; exiting the context early closes the connection."""
--- a/dewridge/fleet/orders.py
+++ b/dewridge/fleet/orders.py
@@ -1,4 +1,4 @@
-"""Cancel, export, load reports and fenced orders of backend servers."""
+"""Control calls to backend servers: cancel, cache export, load, state and orders."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -11,7 +11,7 @@
 
 from dewridge.codes import ResultCode
 from dewridge.fleet.model import BackendServer
-from dewridge.fleet.refusals import STATUS_OK, read_type
+from dewridge.fleet.refusals import STATUS_OK, read_error_type
 from dewridge.ids import AttemptId
 from dewridge.metrics.registry import Metrics
 from dewridge.providers.model import KeyValue
@@ -21,27 +21,28 @@
     import httpx
 
 FENCE_KEY = "fence"
-FENCE_TRIES = 20
+MAX_FENCE_ATTEMPTS = 20
+"""Attempts to allocate a fencing number while other hosts write the same key."""
 STALE_FENCE_TYPE = "stale_fence"
 
 T = TypeVar("T")
 
 
 class Cancellation(Enum):
-    """What an engine says of an attempt that it was told to cancel."""
+    """An engine's reply to the cancellation of an attempt."""
 
     CANCELLED = "cancelled"
-    """It ran and was stopped; nothing more comes of it."""
+    """The attempt was running and is stopped; no more events follow."""
     ABORTED = "aborted"
-    """It had been stopped before, as its connection closed."""
+    """The attempt had been stopped earlier because its connection closed."""
     DONE = "done"
-    """It had ended with a whole answer."""
+    """The attempt had ended with a complete answer."""
     UNKNOWN = "unknown"
-    """It never came; the engine will refuse it if it still does."""
+    """The engine has not received the attempt and rejects it if it arrives later."""
 
 
 class OrderKind(Enum):
-    """What an engine can be ordered to do."""
+    """Kind of an order to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -50,11 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """An order to an engine.
+    """An order to load or unload a model, or to change the engine's role.
 
     Attributes:
         subject: model, adapter or version, or the new role.
-        fence: fencing number; an older one must not overrule a newer one.
+        fence: fencing number; an order with a lower one than the latest is stale.
     """
 
     kind: OrderKind
@@ -63,7 +64,7 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine says of itself."""
+    """State that an engine reports: loaded services, role, latest fencing number."""
 
     services: tuple[str, ...]
     role: str
@@ -72,23 +73,29 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Load that an engine reports, as it was at a time in the past."""
+    """Load of a server at a past time.
+
+    Attributes:
+        at: Unix time in seconds of the measurement.
+        queued: queued requests.
+        running: running requests.
+    """
 
     at: float
     queued: int
     running: int
 
 
-class _Cancelled(msgspec.Struct):
+class _CancelReply(msgspec.Struct):
     state: Cancellation
 
 
-class _Exported(msgspec.Struct):
+class _ExportReply(msgspec.Struct):
     cache_handle: str
 
 
 class ControlClient:
-    """Calls to backend servers other than attempts."""
+    """Sends all calls to backend servers that are not attempts."""
 
     def __init__(self, client: "httpx.AsyncClient", metrics: Metrics) -> None:
         self._client = client
@@ -97,12 +104,13 @@
     async def cancel(
         self, server: BackendServer, attempt: AttemptId
     ) -> Cancellation | Failure:
-        """Cancel an attempt; every answer but DONE proves that it has ended.
+        """Cancel an attempt.
 
-        A failure proves nothing: the attempt may go on.
+        Every reply but DONE proves that the attempt is not running and gives no
+        answer. After a failure it may still be running.
         """
         path = f"/v1/attempts/{quote(attempt)}/cancel"
-        answer = await self._call(server, "cancel", "POST", path, reply=_Cancelled)
+        answer = await self._call(server, "cancel", "POST", path, reply=_CancelReply)
         return answer if isinstance(answer, Failure) else answer.state
 
     async def export_cache(
@@ -110,28 +118,29 @@
     ) -> str | Failure:
         """Export the KV cache of a running attempt and return its handle."""
         path = f"/v1/attempts/{quote(attempt)}/export"
-        answer = await self._call(server, "export", "POST", path, reply=_Exported)
+        answer = await self._call(server, "export", "POST", path, reply=_ExportReply)
         return answer if isinstance(answer, Failure) else answer.cache_handle
 
     async def read_load(self, server: BackendServer) -> LoadReport | Failure:
-        """Read a server's load, which it reports with a lag."""
+        """Read a server's load, which it reports with a delay."""
         return await self._call(server, "load", "GET", "/v1/load", reply=LoadReport)
 
     async def read_state(self, server: BackendServer) -> EngineState | Failure:
-        """Read what an engine has loaded, and its role."""
+        """Read an engine's loaded services and its role."""
         return await self._call(server, "state", "GET", "/v1/state", reply=EngineState)
 
     async def send(
         self, server: BackendServer, order: EngineOrder
     ) -> EngineState | Failure:
-        """Give an engine an order.
+        """Send an order to an engine.
 
-        An engine that does not check fencing numbers obeys an order that was
-        held up on its way and overruled since. Its state is read afterwards,
-        and an order whose effect it does not show has failed.
+        An engine that does not check fencing numbers also carries out a delayed
+        order that a newer one has superseded. Therefore its state is read after
+        the order, which fails if the state does not show its effect.
 
         Returns:
-            The engine's state after it, or FENCED if a newer order came first.
+            The engine's state after the order, or FENCED if a newer order
+            superseded it.
         """
         body = {
             "kind": order.kind.value,
@@ -145,7 +154,7 @@
         if isinstance(state, Failure) or server.listed.checks_fencing:
             return state
         state = await self.read_state(server)
-        if isinstance(state, Failure) or shows_effect(state, order):
+        if isinstance(state, Failure) or has_taken_effect(state, order):
             return state
         return Failure(ResultCode.FENCED, "another order overruled this one")
 
@@ -181,16 +190,16 @@
 
 
 def read_order_refusal(status: int, content: bytes) -> Failure:
-    """Return the failure that a refused call stands for."""
-    kind = read_type(content)
+    """Return the failure for a control call answered with an error status."""
+    kind = read_error_type(content)
     if kind == STALE_FENCE_TYPE:
         return Failure(ResultCode.FENCED, "a newer order came first")
     reason = f"status {status} {kind[:40]}".strip()
     return Failure(ResultCode.BACKEND_SERVER_FAILED, reason)
 
 
-def shows_effect(state: EngineState, order: EngineOrder) -> bool:
-    """Whether an engine's state is what an order asked for."""
+def has_taken_effect(state: EngineState, order: EngineOrder) -> bool:
+    """Whether an engine's state shows the effect of an order."""
     match order.kind:
         case OrderKind.LOAD:
             return order.subject in state.services
@@ -200,14 +209,14 @@
             return state.role == order.subject
 
 
-async def take_fence(key_value: KeyValue, prefix: str) -> int | Failure:
-    """Draw the next fencing number of the deployment.
+async def allocate_fencing_number(key_value: KeyValue, prefix: str) -> int | Failure:
+    """Allocate the next fencing number of the deployment.
 
-    A write whose answer is lost may have drawn a number that nobody uses,
-    which harms nothing: the next one is higher all the same.
+    A write whose answer is lost may leave a number unused. That is harmless: the
+    next one is higher still.
     """
     key = f"{prefix}{FENCE_KEY}"
-    for _ in range(FENCE_TRIES):
+    for _ in range(MAX_FENCE_ATTEMPTS):
         entry = await key_value.get(key)
         if isinstance(entry, Failure):
             return entry
@@ -228,7 +237,7 @@
 async def make_control_client(
     *, metrics: Metrics, timeout: float
 ) -> AsyncIterator[ControlClient]:
-    """Open what gives orders to backend servers."""
+    """Open a client for control calls to backend servers."""
     import httpx  # noqa: PLC0415 - heavy
 
     async with httpx.AsyncClient(
--- a/dewridge/fleet/refusals.py
+++ b/dewridge/fleet/refusals.py
@@ -1,4 +1,4 @@
-"""What a backend server's status says about whether an attempt ran."""
+"""Maps error answers of backend servers to failures that tell whether work began."""
 
 import msgspec
 
@@ -6,10 +6,11 @@
 from dewridge.sentinels import Failure
 
 STATUS_OK = 200
-REJECTIONS = (400, 413, 422)
-"""The input is at fault; nothing ran and no other server would take it."""
+REJECTION_STATUSES = (400, 413, 422)
+"""Statuses for invalid input: nothing ran, and any other server would reject it too."""
 
 NOT_STARTED_TYPES = ("overloaded", "cancelled", "model_not_loaded")
+"""Error types that servers return only for work that they did not begin."""
 LEAVING_TYPE = "leaving"
 
 
@@ -22,25 +23,25 @@
 
 
 def read_refusal(status: int, content: bytes) -> Failure:
-    """Return the failure that an answer other than 200 stands for.
+    """Return the failure for an answer with a status other than 200.
 
-    Only an error type that the server gives for work it did not begin proves
-    that nothing ran. A bare status may come from something between, after the
-    work was done: to send a call that may not be repeated again on its word
-    would put two letters into circulation.
+    Only an error type that the server returns for work it did not begin proves that
+    nothing ran. A status without one may come from an intermediary after the work was
+    done: a retry of a call that is not idempotent would then run it twice, for
+    example issue two letters.
     """
-    kind = read_type(content)
+    kind = read_error_type(content)
     if kind == LEAVING_TYPE:
         return Failure(ResultCode.BACKEND_SERVER_LEAVING, "the server is leaving")
     if kind in NOT_STARTED_TYPES:
         return Failure(ResultCode.NOT_STARTED, f"the server says: {kind}")
-    if status in REJECTIONS:
+    if status in REJECTION_STATUSES:
         return Failure(ResultCode.BACKEND_SERVER_REJECTED, f"status {status}")
     return Failure(ResultCode.BACKEND_SERVER_FAILED, f"status {status}")
 
 
-def read_type(content: bytes) -> str:
-    """Return the error type of a refusal; empty if it has none."""
+def read_error_type(content: bytes) -> str:
+    """Return the error type in an answer's body; empty if there is none."""
     try:
         return msgspec.json.decode(content, type=_Body).error.type
     except msgspec.DecodeError:
--- a/dewridge/fleet/transport.py
+++ b/dewridge/fleet/transport.py
@@ -1,4 +1,4 @@
-"""HTTP transport to backend servers whose streams gather what they read."""
+"""HTTP transport to backend servers that can batch the reads of a stream."""
 
 from collections.abc import AsyncIterator, Iterable, Iterator
 from contextlib import contextmanager
@@ -9,33 +9,33 @@
 import trio
 
 
-class GatheringStream(httpcore.AsyncNetworkStream):
-    """A connection on which reads can be made to lie some time apart.
+class BatchingStream(httpcore.AsyncNetworkStream):
+    """A connection with a minimum time between two reads.
 
-    An engine sends an event a step, every few milliseconds, and each read
-    costs the same whether it brings one token or five. What comes between two
-    reads waits in the kernel's buffer.
+    An engine sends an event per step, every few milliseconds, and a read costs the
+    same whether it returns one token or five. Data that arrives between two reads
+    stays in the kernel's buffer.
 
     Attributes:
-        gather: seconds between two reads; the next request sets it back to 0.
+        batch_delay: seconds between two reads; a write resets it to 0.
     """
 
     def __init__(self, stream: httpcore.AsyncNetworkStream) -> None:
         self._stream = stream
         self._read_at = 0.0
-        self.gather = 0.0
+        self.batch_delay = 0.0
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read what has come, once the time since the last read has passed."""
-        if self.gather:
-            await trio.sleep_until(self._read_at + self.gather)
+        """Read available data, once the batch delay since the last read has passed."""
+        if self.batch_delay:
+            await trio.sleep_until(self._read_at + self.batch_delay)
         content = await self._stream.read(max_bytes, timeout)
         self._read_at = trio.current_time()
         return content
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write, and read the answer without delay."""
-        self.gather = 0.0
+        """Write, and reset the batch delay so that the response is read at once."""
+        self.batch_delay = 0.0
         await self._stream.write(buffer, timeout)
 
     async def aclose(self) -> None:
@@ -43,12 +43,12 @@
         await self._stream.aclose()
 
     def get_extra_info(self, info: str) -> Any:
-        """Return what the library knows of the connection."""
+        """Return a property of the underlying connection."""
         return self._stream.get_extra_info(info)
 
 
-class GatheringBackend(httpcore.AsyncNetworkBackend):
-    """Makes connections whose streams can gather."""
+class BatchingBackend(httpcore.AsyncNetworkBackend):
+    """Opens TCP connections that can batch reads."""
 
     def __init__(self) -> None:
         self._backend = httpcore.TrioBackend()
@@ -61,35 +61,35 @@
         local_address: str | None = None,
         socket_options: Iterable[httpcore.SOCKET_OPTION] | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Connect to an address."""
-        return GatheringStream(
+        """Open a TCP connection."""
+        return BatchingStream(
             await self._backend.connect_tcp(
                 host, port, timeout, local_address, socket_options
             )
         )
 
     async def sleep(self, seconds: float) -> None:
-        """Wait."""
+        """Sleep for a number of seconds."""
         await trio.sleep(seconds)
 
 
-class GatheringTransport(httpx.AsyncBaseTransport):
-    """Transport of an `httpx.AsyncClient` over gathering connections."""
+class BatchingTransport(httpx.AsyncBaseTransport):
+    """Transport for `httpx.AsyncClient` over connections that can batch reads."""
 
-    def __init__(self, idle_connections: int, keepalive: float) -> None:
+    def __init__(self, idle_connections: int, keepalive_seconds: float) -> None:
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=None,
             max_keepalive_connections=idle_connections,
-            keepalive_expiry=keepalive,
-            network_backend=GatheringBackend(),
+            keepalive_expiry=keepalive_seconds,
+            network_backend=BatchingBackend(),
         )
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request and return the beginning of its answer."""
+        """Send a request and return its response once the head has arrived."""
         url = request.url
         assert isinstance(request.stream, httpx.AsyncByteStream)
         with map_errors():
-            answer = await self._pool.handle_async_request(
+            response = await self._pool.handle_async_request(
                 httpcore.Request(
                     method=request.method,
                     url=httpcore.URL(
@@ -104,10 +104,10 @@
                 )
             )
         return httpx.Response(
-            status_code=answer.status,
-            headers=answer.headers,
-            stream=Body(answer),
-            extensions=answer.extensions,
+            status_code=response.status,
+            headers=response.headers,
+            stream=ResponseBody(response),
+            extensions=response.extensions,
         )
 
     async def aclose(self) -> None:
@@ -115,25 +115,25 @@
         await self._pool.aclose()
 
 
-class Body(httpx.AsyncByteStream):
-    """The body of an answer as it comes."""
+class ResponseBody(httpx.AsyncByteStream):
+    """A response body that is streamed as it arrives."""
 
-    def __init__(self, answer: httpcore.Response) -> None:
-        self._answer = answer
+    def __init__(self, response: httpcore.Response) -> None:
+        self._response = response
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         with map_errors():
-            async for part in self._answer.aiter_stream():
+            async for part in self._response.aiter_stream():
                 yield part
 
     async def aclose(self) -> None:
-        """Close the answer; its connection is reused if it was read to its end."""
-        await self._answer.aclose()
+        """Close the response; a connection read to the end of the body is reused."""
+        await self._response.aclose()
 
 
 @contextmanager
 def map_errors() -> Iterator[None]:
-    """Turn the lower library's errors into those of the same name above it."""
+    """Re-raise httpcore errors as the httpx errors of the same name."""
     try:
         yield
     except (
@@ -141,12 +141,12 @@
         httpcore.NetworkError,
         httpcore.ProtocolError,
     ) as error:
-        made: type[httpx.TransportError] = getattr(httpx, type(error).__name__)
-        raise made(str(error)) from error
+        error_type: type[httpx.TransportError] = getattr(httpx, type(error).__name__)
+        raise error_type(str(error)) from error
 
 
-def gather_reads(answer: httpx.Response, seconds: float) -> None:
-    """Let the rest of an answer be read at some distance of time."""
-    stream = answer.extensions.get("network_stream")
-    if isinstance(stream, GatheringStream):
-        stream.gather = seconds
+def set_batch_delay(response: httpx.Response, seconds: float) -> None:
+    """Set the minimum time between two reads for the rest of a response."""
+    stream = response.extensions.get("network_stream")
+    if isinstance(stream, BatchingStream):
+        stream.batch_delay = seconds
--- a/dewridge/fleet/watcher.py
+++ b/dewridge/fleet/watcher.py
@@ -1,4 +1,4 @@
-"""Learns of backend servers and spreads what it learns to all entry hosts."""
+"""Polls the platform for backend servers and spreads changes to all entry hosts."""
 
 import random
 import time
@@ -27,27 +27,29 @@
 from dewridge.settings.schema import PlatformSettings
 
 DUTY = "fleet"
-HOLDERS = 2
-"""Hosts that poll the platform. One would leave a gap of a few seconds whenever it
-dies; more would add calls. At 440 hosts polling each by itself, twice a second,
-the platform would see 1,760 calls a second in place of 8."""
+DUTY_HOLDERS = 2
+"""Hosts that poll the platform. With a single one, nobody would poll for a few seconds
+after it crashes; more would add calls. If each of 440 hosts polled twice a second, the
+platform would get 1,760 calls a second instead of 8."""
 HEARTBEAT_PERIODS = 8
-"""Polls between two rumors that only say that the list is still being read."""
+"""Polls between two heartbeats: rumors that report that the list is being polled."""
 STALE_PERIODS = 24
-"""A host that heard no listing for this many periods polls by itself: the holders
-of the duty may be cut off from it or from the platform."""
-MISMATCHES = 3
-"""Heartbeats that may disagree with this host's table before it reads the list
-itself; changes still on their way explain the first ones."""
+"""Poll periods without a heartbeat after which a host polls on its own: it or the
+platform may be partitioned from the holders of the duty."""
+MISMATCH_THRESHOLD = 3
+"""Successive heartbeats differing from this host's table after which it polls the list
+on its own. The first ones may differ because changes are still being spread."""
 ABSENT_SECONDS = 5.0
-"""A server missing from the list this long counts as gone. A list that is wrong
-for a moment would otherwise take live servers out of use."""
+"""Time after which a server missing from the list counts as removed. Otherwise a list
+that is wrong for a moment would take live servers out of use."""
 JITTER = 0.2
-"""Share by which periods vary, so that hosts do not poll at the same moment."""
+"""Width of the random variation of the poll period, as a share of it; it keeps hosts
+from polling at the same moment."""
 
-GONE_KEPT = 3_600.0
-"""Seconds that members remember a server as gone: longer than the host list lags.
-For ever, the servers replaced in a year would fill every host's memory."""
+GONE_RETENTION_SECONDS = 3_600.0
+"""Time for which members retain the rumor that a server is removed; it exceeds the lag
+of the host list. Without expiry, the servers replaced in a year would fill the memory
+of every host."""
 
 KIND_SERVER = "server"
 KIND_LEAVING = "server_leaving"
@@ -57,38 +59,42 @@
 T = TypeVar("T")
 
 VERSION_WITHOUT_TIME = 1
-"""A leaving whose time is known has that time, in ms, as its version: all hosts
-that see it make the same rumor, and it spreads once."""
+"""Version of the rumor of a departure without a known time. If the time is known, it is
+the version, in ms: all hosts that see the departure then create the same rumor, which
+spreads once."""
 
 
 class ServerPayload(msgspec.Struct):
-    """Payload of a rumor of what the host list says of a server."""
+    """Payload of a rumor with a server's record in the host list."""
 
     listed: ListedServer
     gone: bool = False
 
 
 class LeavingPayload(msgspec.Struct):
-    """Payload of a rumor that a backend server leaves."""
+    """Payload of a rumor that a backend server is leaving."""
 
     at: float | None
     source: str
 
 
 class ReclaimPayload(msgspec.Struct):
-    """Payload of a rumor that the cloud takes an entry host back."""
+    """Payload of a rumor that the cloud reclaims an entry host."""
 
     at: float
 
 
 class ListingPayload(msgspec.Struct):
-    """Payload of a heartbeat: what the list held, in short."""
+    """Payload of a heartbeat: digest of the polling host's server table."""
 
     digest: int
 
 
 class FleetWatcher:
-    """Polls the host list and the cloud if that is this host's duty."""
+    """Polls the host list and the cloud while this host holds that duty.
+
+    Changes are spread to all entry hosts as rumors.
+    """
 
     def __init__(
         self,
@@ -110,50 +116,52 @@
         self._membership = membership
         self._rumors = rumors
         self._metrics = metrics
-        self._on_own_notice = on_local_reclaim
+        self._on_local_reclaim = on_local_reclaim
         self._clock = clock
         self._random = random.Random(membership.me.host)
         self._absent_since: dict[BackendServerId, float] = {}
         self._versions: dict[str, int] = {}
-        self._last_heard = 0.0
+        self._last_listing_at = 0.0
         self._mismatches = 0
-        self._own_notice: float | None = None
-        self._known_digest: int | None = None
+        self._local_reclaim_at: float | None = None
+        self._cached_digest: int | None = None
         self._is_polling = False
         self._polls = 0
-        rumors.subscribe_rumors(KIND_SERVER, self._hear_server)
-        rumors.subscribe_rumors(KIND_LEAVING, self._hear_leaving)
-        rumors.subscribe_rumors(KIND_HOST_RECLAIM, self._hear_host_reclaim)
-        rumors.subscribe_rumors(KIND_LISTING, self._hear_listing)
-        table.subscribe(self._note_change)
+        rumors.subscribe_rumors(KIND_SERVER, self._receive_server)
+        rumors.subscribe_rumors(KIND_LEAVING, self._receive_leaving)
+        rumors.subscribe_rumors(KIND_HOST_RECLAIM, self._receive_host_reclaim)
+        rumors.subscribe_rumors(KIND_LISTING, self._receive_heartbeat)
+        table.subscribe(self._handle_change)
 
     async def run(self) -> None:
-        """Poll when it is this host's turn, for as long as the host runs."""
+        """Poll periodically while `must_poll` is true; never returns."""
         while True:
             self._set_polling(self.must_poll())
             if self._is_polling:
                 await self.poll()
-            self._table.forget_gone()
-            spread = 1 + JITTER * (self._random.random() - 0.5)
-            await trio.sleep(self._period * spread)
+            self._table.drop_expired()
+            factor = 1 + JITTER * (self._random.random() - 0.5)
+            await trio.sleep(self._period * factor)
 
     def must_poll(self) -> bool:
-        """Whether this host reads the platform itself now."""
-        if has_duty(DUTY, self._membership, HOLDERS):
+        """Whether this host has to poll the platform itself now."""
+        if has_duty(DUTY, self._membership, DUTY_HOLDERS):
             return True
-        silence = self._clock() - self._last_heard
-        if silence > STALE_PERIODS * self._period:
+        silent_for = self._clock() - self._last_listing_at
+        if silent_for > STALE_PERIODS * self._period:
             return True
-        return self._mismatches >= MISMATCHES
+        return self._mismatches >= MISMATCH_THRESHOLD
 
     def _set_polling(self, polling: bool) -> None:
         if polling != self._is_polling:
             self._is_polling = polling
             self._metrics.set_gauge("fleet_polling", float(polling))
-            log.info("fleet watcher {} the platform", "polls" if polling else "leaves")
+            log.info(
+                "fleet watcher {} the platform", "polls" if polling else "stops polling"
+            )
 
     async def poll(self) -> None:
-        """Read the host list and the notices once, and spread what is new."""
+        """Poll the host list and the reclaim notices once, and spread changes."""
         self._polls += 1
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._poll_host_list)
@@ -167,18 +175,18 @@
         self._mismatches = 0
         for listed in listing:
             self._absent_since.pop(listed.backend_server, None)
-            if self._is_news(listed):
+            if self._has_changed(listed):
                 self._spread_server(listed)
-        # An empty list while servers are known is a fault of the list: to
-        # believe it would refuse every request, and attempts show soon enough
-        # which servers are gone.
+        # An empty list while servers are known is a fault of the list. To apply it
+        # would reject every request; failed attempts soon show which servers are
+        # down.
         if listing:
-            self._find_absent({listed.backend_server for listed in listing})
-        self._last_heard = self._clock()
+            self._spread_absent({listed.backend_server for listed in listing})
+        self._last_listing_at = self._clock()
         if self._polls % HEARTBEAT_PERIODS == 1:
             self._spread_heartbeat()
 
-    def _is_news(self, listed: ListedServer) -> bool:
+    def _has_changed(self, listed: ListedServer) -> bool:
         known = self._table.find(listed.backend_server)
         if known is None:
             return listed.state is not HostState.GONE
@@ -186,9 +194,9 @@
             return True
         return known.state is ServerState.GONE and not self._table.is_leaving(known.id)
 
-    def _find_absent(self, present: set[BackendServerId]) -> None:
+    def _spread_absent(self, present: set[BackendServerId]) -> None:
         now = self._clock()
-        for server in self._table.all():
+        for server in self._table.list_present():
             if server.id in present:
                 continue
             since = self._absent_since.setdefault(server.id, now)
@@ -213,7 +221,7 @@
         subject = listed.backend_server
         version = max(int(self._clock() * 1000), self._versions.get(subject, 0) + 1)
         payload = msgspec.json.encode(ServerPayload(listed, gone))
-        lifetime = GONE_KEPT if gone else None
+        lifetime = GONE_RETENTION_SECONDS if gone else None
         self._spread(Rumor(KIND_SERVER, subject, version, payload, lifetime=lifetime))
 
     def _spread_leaving(
@@ -229,7 +237,7 @@
         self._spread(Rumor(KIND_HOST_RECLAIM, notice.subject, version, payload))
 
     def _spread_heartbeat(self) -> None:
-        payload = msgspec.json.encode(ListingPayload(self._find_digest()))
+        payload = msgspec.json.encode(ListingPayload(self._compute_digest()))
         version = int(self._clock() * 1000)
         self._spread(Rumor(KIND_LISTING, "host_list", version, payload, routine=True))
 
@@ -237,50 +245,50 @@
         self._metrics.add("fleet_rumors_total", kind=rumor.kind)
         self._rumors.spread(rumor)
 
-    def _note_change(self, server: BackendServer) -> None:
-        self._known_digest = None
+    def _handle_change(self, server: BackendServer) -> None:
+        self._cached_digest = None
         if server.state is ServerState.LEAVING:
-            # Whoever sees it first, a refusal of the server's own included,
-            # tells all: others would go on sending to it for as long as the
-            # host list and the notices lag.
-            at = self._table.find_announced(server.id)
+            # The host that learns of it first, perhaps because the server rejected
+            # a request, spreads it. The others would otherwise send requests to the
+            # server until the lagging host list or a notice shows its departure.
+            at = self._table.find_leaving_time(server.id)
             self._spread_leaving(server.id, at, "server")
 
-    def _hear_server(self, rumor: Rumor) -> None:
+    def _receive_server(self, rumor: Rumor) -> None:
         self._versions[rumor.subject] = rumor.version
         payload = self._decode(rumor, ServerPayload)
         if payload is None:
             return
         if payload.gone:
-            self._table.note_gone(payload.listed.backend_server)
+            self._table.record_gone(payload.listed.backend_server)
         else:
             self._table.merge(payload.listed)
 
-    def _hear_leaving(self, rumor: Rumor) -> None:
+    def _receive_leaving(self, rumor: Rumor) -> None:
         payload = self._decode(rumor, LeavingPayload)
         if payload is not None:
             server = BackendServerId(rumor.subject)
             self._table.note_leaving(server, payload.at, payload.source)
 
-    def _hear_host_reclaim(self, rumor: Rumor) -> None:
-        me = self._membership.me
+    def _receive_host_reclaim(self, rumor: Rumor) -> None:
+        local_member = self._membership.me
         payload = self._decode(rumor, ReclaimPayload)
-        if payload is None or rumor.subject != me.host:
+        if payload is None or rumor.subject != local_member.host:
             return
-        started = me.incarnation / 1e6
-        # A notice from before this start was for the host's predecessor.
-        if payload.at > started and payload.at != self._own_notice:
-            self._own_notice = payload.at
-            log.info("the cloud takes this host back")
-            self._on_own_notice(payload.at)
-
-    def _hear_listing(self, rumor: Rumor) -> None:
+        started_at = local_member.incarnation / 1e6
+        # A notice from before this process started was for a previous incarnation.
+        if payload.at > started_at and payload.at != self._local_reclaim_at:
+            self._local_reclaim_at = payload.at
+            log.info("the cloud reclaims this host")
+            self._on_local_reclaim(payload.at)
+
+    def _receive_heartbeat(self, rumor: Rumor) -> None:
         payload = self._decode(rumor, ListingPayload)
         if payload is None:
             return
-        self._last_heard = self._clock()
-        agrees = payload.digest == self._find_digest()
-        self._mismatches = 0 if agrees else self._mismatches + 1
+        self._last_listing_at = self._clock()
+        is_same = payload.digest == self._compute_digest()
+        self._mismatches = 0 if is_same else self._mismatches + 1
 
     def _decode(self, rumor: Rumor, kind: type[T]) -> T | None:
         try:
@@ -289,22 +297,22 @@
             self._metrics.add("fleet_rumors_malformed_total", kind=rumor.kind)
             return None
 
-    def _find_digest(self) -> int:
-        if self._known_digest is None:
-            state = xxhash.xxh3_64()
-            for server in self._table.all():
+    def _compute_digest(self) -> int:
+        if self._cached_digest is None:
+            hasher = xxhash.xxh3_64()
+            for server in self._table.list_present():
                 names = ",".join(server.listed.services)
                 line = f"{server.id}|{server.listed.address}|{names};"
-                state.update(line.encode())
-            self._known_digest = state.intdigest()
-        return self._known_digest
+                hasher.update(line.encode())
+            self._cached_digest = hasher.intdigest()
+        return self._cached_digest
 
     async def describe(self) -> dict[str, Any]:
-        """Return the state for a dump."""
+        """Return the watcher's state for a state dump."""
         return {
             "polls_platform": self._is_polling,
             "polls": self._polls,
-            "seconds_since_listing": self._clock() - self._last_heard,
+            "seconds_since_listing": self._clock() - self._last_listing_at,
             "absent": sorted(self._absent_since),
             "servers": self._table.describe(),
         }
--- a/dewridge/providers/__init__.py
+++ b/dewridge/providers/__init__.py
@@ -1,1 +1,1 @@
-"""Thin adapters to the platform's services."""
+"""HTTP adapters to the platform's services."""
--- a/dewridge/providers/channel.py
+++ b/dewridge/providers/channel.py
@@ -1,4 +1,4 @@
-"""HTTP calls to one of the platform's services, counted, with their failures told."""
+"""HTTP calls to one of the platform's services, with metrics and typed failures."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -15,39 +15,40 @@
     import httpx
 
 CONNECT_SHARE = 0.5
-"""Share of a call's time that connecting may take. Were it the whole, a timeout
-while connecting, which proves that nothing was sent, would look like one that
-came afterwards, which proves nothing."""
+"""Share of a call's timeout that connecting may take. If it could take all of it, a
+timeout while connecting, which proves that nothing was sent, would look like a later
+one, which proves nothing."""
 KEEPALIVE_SECONDS = 4.0
-"""Idle connections are dropped before servers commonly drop them (5 s): a write
-on a connection that closes at that moment has an unknown outcome."""
-CONNECTIONS = 32
+"""Time after which an idle connection is closed. Servers commonly close theirs after
+5 s, and a write sent at that moment has an unknown outcome."""
+MAX_CONNECTIONS = 32
+"""Open connections to one service."""
 
 
-class Trouble(Enum):
-    """Why a call has no answer."""
+class CallFailure(Enum):
+    """Reason for which a call has no answer."""
 
     NOT_SENT = "not_sent"
-    """It provably never left."""
+    """The call was certainly not sent."""
     LOST = "lost"
-    """It may have been carried out."""
+    """The call may have been carried out."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An answer of any status."""
+    """An HTTP answer of any status."""
 
     status: int
     content: bytes
 
     @property
     def is_server_error(self) -> bool:
-        """Whether the service says that it failed."""
+        """Whether the status reports a failure of the service (5xx)."""
         return self.status >= 500
 
 
 class Channel:
-    """Calls one service and keeps count of them."""
+    """Calls one service and records metrics of the calls."""
 
     def __init__(
         self,
@@ -71,37 +72,37 @@
         params: dict[str, Any] | None = None,
         content: bytes | None = None,
         wait: float = 0.0,
-    ) -> Answer | Trouble:
+    ) -> Answer | CallFailure:
         """Make one call.
 
         Args:
-            kind: name under which it is counted.
+            kind: name of the call in metrics.
             method: HTTP method.
             path: path below the service's URL.
             params: query parameters.
             content: body.
-            wait: seconds that the service itself may hold the call.
+            wait: seconds for which the service may delay its answer (long poll).
         """
         service = self._service
         self._metrics.add("platform_calls_total", service=service, kind=kind)
-        begin = trio.current_time()
-        result = await self._try(method, path, params, content, self._timeout + wait)
+        started_at = trio.current_time()
+        result = await self._send(method, path, params, content, self._timeout + wait)
         if wait == 0.0:
-            taken = trio.current_time() - begin
+            elapsed = trio.current_time() - started_at
             self._metrics.observe(
-                "platform_call_seconds", taken, service=service, kind=kind
+                "platform_call_seconds", elapsed, service=service, kind=kind
             )
-        self._note(result, kind)
+        self._record_result(result, kind)
         return result
 
-    async def _try(
+    async def _send(
         self,
         method: str,
         path: str,
         params: dict[str, Any] | None,
         content: bytes | None,
         timeout: float,
-    ) -> Answer | Trouble:
+    ) -> Answer | CallFailure:
         import httpx  # noqa: PLC0415 - heavy
 
         limits = httpx.Timeout(timeout, connect=CONNECT_SHARE * self._timeout)
@@ -111,16 +112,16 @@
                     method, path, params=params, content=content, timeout=limits
                 )
             except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout):
-                return Trouble.NOT_SENT
+                return CallFailure.NOT_SENT
             except httpx.HTTPError:
-                return Trouble.LOST
+                return CallFailure.LOST
             return Answer(answer.status_code, answer.content)
-        return Trouble.LOST
+        return CallFailure.LOST
 
-    def _note(self, result: Answer | Trouble, kind: str) -> None:
-        failed = isinstance(result, Trouble) or result.is_server_error
+    def _record_result(self, result: Answer | CallFailure, kind: str) -> None:
+        failed = isinstance(result, CallFailure) or result.is_server_error
         if failed:
-            reason = result.value if isinstance(result, Trouble) else "server_error"
+            reason = result.value if isinstance(result, CallFailure) else "server_error"
             self._count_failure(kind, reason)
         if failed == self._is_up:
             self._is_up = not failed
@@ -131,8 +132,8 @@
                 "platform service {} is {}", self._service, "down" if failed else "up"
             )
 
-    def note_malformed(self, kind: str) -> None:
-        """Count an answer that is not what the interface says."""
+    def record_malformed(self, kind: str) -> None:
+        """Count an answer that cannot be decoded."""
         self._count_failure(kind, "malformed")
 
     def _count_failure(self, kind: str, reason: str) -> None:
@@ -145,15 +146,15 @@
 async def open_channel(
     service: str, url: str, timeout: float, metrics: Metrics
 ) -> AsyncIterator[Channel]:
-    """Open a channel to a service; connections are made as they are needed."""
+    """Open a channel to a service; it connects on the first call."""
     import httpx  # noqa: PLC0415 - heavy
 
     limits = httpx.Limits(
-        max_connections=CONNECTIONS, keepalive_expiry=KEEPALIVE_SECONDS
+        max_connections=MAX_CONNECTIONS, keepalive_expiry=KEEPALIVE_SECONDS
     )
-    # Mostly the platform is reached by plain HTTP at addresses from the settings: no
-    # proxy of the environment, no redirect, and certificates only where the URL
-    # asks for them, since loading them costs megabytes in each process.
+    # The platform is mostly reached over plain HTTP at addresses from the settings.
+    # Proxy settings of the environment are ignored and redirects not followed.
+    # Certificates are loaded for https URLs only; they take megabytes per process.
     client = httpx.AsyncClient(
         base_url=url,
         limits=limits,
--- a/dewridge/providers/cloud.py
+++ b/dewridge/providers/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's reclaim notices over HTTP."""
+"""HTTP client of the cloud's reclaim notices."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -7,7 +7,7 @@
 
 from dewridge.codes import ResultCode
 from dewridge.metrics.registry import Metrics
-from dewridge.providers.channel import Channel, Trouble, open_channel
+from dewridge.providers.channel import CallFailure, Channel, open_channel
 from dewridge.providers.model import Cloud, ReclaimNotice
 from dewridge.sentinels import Failure
 
@@ -19,22 +19,22 @@
 
 
 class HttpCloud:
-    """Implements `platform.model.Cloud`."""
+    """Implements `dewridge.providers.model.Cloud`."""
 
     def __init__(self, channel: Channel) -> None:
         self._channel = channel
 
     async def fetch_notices(self) -> list[ReclaimNotice] | Failure:
-        """Read the notices in force."""
+        """Read the current reclaim notices."""
         answer = await self._channel.call("notices", "GET", "/v1/notices")
-        if isinstance(answer, Trouble):
+        if isinstance(answer, CallFailure):
             return Failure(ResultCode.PLATFORM_DOWN, f"cloud: {answer.value}")
         if answer.status != STATUS_OK:
             return Failure(ResultCode.PLATFORM_DOWN, f"cloud: status {answer.status}")
         try:
             return msgspec.json.decode(answer.content, type=_Notices).notices
         except msgspec.DecodeError:
-            self._channel.note_malformed("notices")
+            self._channel.record_malformed("notices")
             return Failure(ResultCode.PLATFORM_MALFORMED, "cloud: malformed")
 
 
@@ -42,6 +42,6 @@
 async def make_cloud(
     url: str, *, timeout: float, metrics: Metrics
 ) -> AsyncIterator[Cloud]:
-    """Open the cloud API at a URL."""
+    """Open a client of the cloud API at a URL."""
     async with open_channel("cloud", url, timeout, metrics) as channel:
         yield HttpCloud(channel)
--- a/dewridge/providers/model.py
+++ b/dewridge/providers/model.py
@@ -1,4 +1,4 @@
-"""What the platform's services offer, as the rest of the system sees them."""
+"""Interfaces and data types of the platform's services."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One key of the key-value service.
+    """A key of the key-value service with its value.
 
     Attributes:
-        key: its name.
-        value: its bytes, at most a megabyte; empty when absent.
-        revision: grows with each write of the key; 0 when absent.
+        key: name of the key.
+        value: bytes of the value, at most a megabyte; empty if the key is absent.
+        revision: increases with each write of the key; 0 if the key is absent.
     """
 
     key: str
@@ -24,18 +24,18 @@
 
     @property
     def is_absent(self) -> bool:
-        """Whether the key holds no value."""
+        """Whether the key does not exist."""
         return self.revision == 0
 
 
 class KeyValue(Protocol):
-    """The key-value service. Every method counts as one call towards its rates."""
+    """The key-value service. Each method is one call towards its rate limits."""
 
     async def get(self, key: str) -> Entry | Failure:
         """Read a key. An absent key is an entry with revision 0."""
 
     async def list_entries(self, prefix: str) -> list[Entry] | Failure:
-        """Read all keys under a prefix."""
+        """Read all keys with a prefix."""
 
     async def compare_and_swap(
         self, key: str, value: bytes, expected_revision: int
@@ -44,12 +44,12 @@
 
         Returns:
             The entry written, or a failure: KEY_VALUE_CONFLICT (not written),
-            KEY_VALUE_DOWN (not written, it never left), or KEY_VALUE_UNKNOWN
-            (it may or may not have been written; read back).
+            KEY_VALUE_DOWN (not written because it was not sent), or
+            KEY_VALUE_UNKNOWN (may have been written; read the key again).
         """
 
     async def delete(self, key: str, expected_revision: int) -> Entry | Failure:
-        """Delete a key if its revision is the expected one; errors as a write."""
+        """Delete a key if its revision is the expected one; fails as a write does."""
 
     async def watch(
         self, key: str, after_revision: int, timeout: float
@@ -62,7 +62,7 @@
 
 
 class HostState(Enum):
-    """What the host list or the cloud says of a host."""
+    """State of a backend server in the host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -70,7 +70,7 @@
 
 
 class ServerKind(Enum):
-    """What runs on a backend server."""
+    """Kind of service that runs on a backend server."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -78,16 +78,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A backend server as the host list gives it.
+    """A backend server's record in the host list.
 
     Attributes:
-        backend_server: its id, new for each replacement.
-        address: IP number and port, `a.b.c.d:n`.
+        backend_server: id of the server; each replacement has a new one.
+        address: IP address and port, `a.b.c.d:n`.
         services: the services that it can serve now.
-        machine_class: the cloud's name for the kind of machine.
-        price: money per hour.
-        capacity: requests that it runs side by side at most.
-        checks_fencing: whether it refuses an order with an old fencing number.
+        machine_class: the cloud's name for the type of machine.
+        price: price per hour.
+        reclaimable: whether the cloud may reclaim it at short notice.
+        capacity: maximum number of concurrent requests.
+        checks_fencing: whether it rejects an order with an old fencing number.
     """
 
     backend_server: BackendServerId
@@ -105,11 +106,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReclaimNotice:
-    """The cloud's word that a host will be taken away.
+    """The cloud's announcement that it will reclaim a host.
 
     Attributes:
         subject: id of the backend server or the entry host.
-        at: seconds since 1970 when it goes.
+        at: Unix time in seconds at which the host is shut down.
     """
 
     subject: str
@@ -117,14 +118,14 @@
 
 
 class HostList(Protocol):
-    """The lagging list of live and leaving backend servers."""
+    """The platform's list of live and leaving backend servers; it lags."""
 
     async def fetch(self) -> list[ListedServer] | Failure:
-        """Read the whole list: PLATFORM_DOWN or PLATFORM_MALFORMED on failure."""
+        """Read the full list; fails with PLATFORM_DOWN or PLATFORM_MALFORMED."""
 
 
 class Cloud(Protocol):
-    """The cloud's notices of hosts that it takes back."""
+    """The cloud API for notices of hosts that it reclaims."""
 
     async def fetch_notices(self) -> list[ReclaimNotice] | Failure:
-        """Read the notices in force."""
+        """Read the current reclaim notices."""
--- a/dewridge/tests/fleet/dispatch_tests.py
+++ b/dewridge/tests/fleet/dispatch_tests.py
@@ -1,4 +1,8 @@
-"""Attempts bring whole answers of their own, or say what is known of them."""
+"""Tests of attempts and control calls against simulated backend servers.
+
+An attempt yields its own complete answer, or a failure that does not claim more than
+is known.
+"""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -9,7 +13,7 @@
 import trio
 
 from dewridge.codes import ResultCode
-from dewridge.fleet.dispatch import GATHER_SECONDS, make_dispatch
+from dewridge.fleet.dispatch import BATCH_DELAY_SECONDS, make_dispatch
 from dewridge.fleet.events import EventReader
 from dewridge.fleet.model import (
     AttemptEnd,
@@ -24,8 +28,8 @@
     Cancellation,
     EngineOrder,
     OrderKind,
+    allocate_fencing_number,
     make_control_client,
-    take_fence,
 )
 from dewridge.ids import (
     AttemptId,
@@ -59,7 +63,7 @@
     Priority.BACKGROUND,
     timeout=1.0,
 )
-CALL = replace(ORDER, operation=OperationName("issue_letter"), max_tokens=0)
+PLAIN_ORDER = replace(ORDER, operation=OperationName("issue_letter"), max_tokens=0)
 
 
 @asynccontextmanager
@@ -71,14 +75,14 @@
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             group = BackendGroup(plan, options)
-            line = await group.start(nursery)
+            ready = await group.start(nursery)
             kind = ServerKind.ENGINE if is_engine else ServerKind.PLAIN
-            fences = getattr(options, "checks_fencing", True)
+            checks_fencing = getattr(options, "checks_fencing", True)
             yield (
                 group,
                 [
-                    make_server(name, address, kind, fences)
-                    for name, address in line["servers"].items()
+                    make_server(name, address, kind, checks_fencing)
+                    for name, address in ready["servers"].items()
                 ],
             )
             nursery.cancel_scope.cancel()
@@ -103,7 +107,9 @@
     return BackendServer(listed, ServerState.LIVE)
 
 
-async def send(server: BackendServer, order: AttemptOrder) -> list[AttemptEvent]:
+async def send_attempt(
+    server: BackendServer, order: AttemptOrder
+) -> list[AttemptEvent]:
     async with (
         make_dispatch(metrics=Metrics(), connect_timeout=0.5) as dispatch,
         dispatch(server, order) as events,
@@ -120,7 +126,7 @@
     return tokens
 
 
-def find_code(events: list[AttemptEvent]) -> ResultCode:
+def get_failure_code(events: list[AttemptEvent]) -> ResultCode:
     last = events[-1]
     assert isinstance(last, Failure), last
     return last.code
@@ -129,12 +135,12 @@
 @pytest.mark.parametrize(
     "mode", ["none", "late", "duplicate", "reorder", "misdirect", "slow"]
 )
-async def test_an_answer_is_whole_and_its_own(mode: str) -> None:
-    # An engine sends events late, twice, out of order or with another
-    # attempt's among them. A caller must not notice any of it.
+async def test_misordered_events_give_the_correct_answer(mode: str) -> None:
+    # The engine sends events late, twice, out of order or mixed with another
+    # attempt's. The caller must still get the correct answer.
     async with run_backend(EngineOptions(step=0.002)) as (group, [server]):
         group.misbehave(Misbehaviour(Mode(mode), seconds=0.02))
-        events = await send(server, ORDER)
+        events = await send_attempt(server, ORDER)
         assert check_answer(PROMPT, TOKENS, join_tokens(events))
         assert isinstance(events[-1], AttemptEnd)
 
@@ -148,37 +154,40 @@
         ("down", ResultCode.NOT_STARTED),
     ],
 )
-async def test_a_broken_stream_is_never_taken_for_an_answer(
+async def test_broken_stream_is_not_a_complete_answer(
     mode: str, code: ResultCode
 ) -> None:
-    # An engine ends, falls silent or fails midway. The caller must not be
-    # given the part for the whole, and only the engine that refuses
-    # connections counts as one that did not start.
+    # The engine's stream is truncated, stalls or fails midway, or the engine rejects
+    # connections. A partial answer must not count as complete, and only the rejected
+    # connection may be reported as not started.
     async with run_backend(EngineOptions(step=0.002)) as (group, [server]):
         group.misbehave(Misbehaviour(Mode(mode)))
-        events = await send(server, replace(ORDER, timeout=0.3))
-        assert find_code(events) is code
+        events = await send_attempt(server, replace(ORDER, timeout=0.3))
+        assert get_failure_code(events) is code
         assert len(join_tokens(events)) < TOKENS
 
 
-async def test_refusals_that_prove_that_nothing_ran() -> None:
-    # An engine that is leaving or full refuses before it begins. The request
-    # goes elsewhere at once, also one that may not be repeated.
+async def test_rejections_that_prove_that_nothing_ran() -> None:
+    # An engine that is leaving or full rejects an attempt before it begins. Such an
+    # attempt can be retried on another server at once, even if it is not idempotent.
     async with run_backend(EngineOptions(queue=0)) as (group, [server]):
-        assert find_code(await send(server, ORDER)) is ResultCode.NOT_STARTED
+        assert (
+            get_failure_code(await send_attempt(server, ORDER))
+            is ResultCode.NOT_STARTED
+        )
         group.leave(LeavingOrder())
-        refused = await send(server, ORDER)
-        assert find_code(refused) is ResultCode.BACKEND_SERVER_LEAVING
+        rejected = await send_attempt(server, ORDER)
+        assert get_failure_code(rejected) is ResultCode.BACKEND_SERVER_LEAVING
         assert group.read_log() == []
 
 
-async def test_a_bare_status_proves_nothing() -> None:
-    # A worker fails after it has drawn a serial number and answers 500; a
-    # second run of the call would put a second letter into circulation.
+async def test_status_without_error_type_is_a_failure_of_unknown_outcome() -> None:
+    # A worker allocates a serial number, then fails with status 500. The failure must
+    # not count as "not started": a retry would issue a second letter.
     async with run_backend(PlainOptions(work=0.001)) as (group, [server]):
         group.misbehave(Misbehaviour(Mode.ERROR))
-        failed = await send(server, CALL)
-        assert find_code(failed) is ResultCode.BACKEND_SERVER_FAILED
+        failed = await send_attempt(server, PLAIN_ORDER)
+        assert get_failure_code(failed) is ResultCode.BACKEND_SERVER_FAILED
         assert [line.state for line in group.read_log()] == ["done"]
 
 
@@ -190,76 +199,86 @@
         ("silent", ResultCode.BACKEND_SERVER_SILENT),
     ],
 )
-async def test_a_plain_answer_is_whole_and_its_own(mode: str, code: ResultCode) -> None:
-    # A worker answers with another call's letter, half of one, or never.
+async def test_plain_answer_must_be_complete_and_match_the_attempt(
+    mode: str, code: ResultCode
+) -> None:
+    # A worker returns another call's letter, half a letter or nothing. None of these
+    # may count as the answer to this call.
     async with run_backend(PlainOptions(work=0.001)) as (group, [server]):
-        [good] = await send(server, CALL)
-        assert isinstance(good, AttemptEnd)
-        assert '"serial":"server-000001"' in good.body
+        [end] = await send_attempt(server, PLAIN_ORDER)
+        assert isinstance(end, AttemptEnd)
+        assert '"serial":"server-000001"' in end.body
         group.misbehave(Misbehaviour(Mode(mode)))
-        assert find_code(await send(server, replace(CALL, timeout=0.3))) is code
+        assert (
+            get_failure_code(
+                await send_attempt(server, replace(PLAIN_ORDER, timeout=0.3))
+            )
+            is code
+        )
 
 
-async def test_an_attempt_resumes_with_an_exported_cache() -> None:
-    # The engine of a long draft is reclaimed. Another one goes on after the
-    # tokens kept, with the exported cache, and computes nothing again.
+async def test_attempt_resumes_with_an_exported_cache() -> None:
+    # An attempt is stopped after a few tokens, as when its engine is reclaimed.
+    # Another engine imports the exported cache, continues after the retained tokens
+    # and recomputes nothing.
     async with run_backend(EngineOptions(step=0.01), 2) as (_, [first, second]):
-        kept: list[str] = []
+        retained: list[str] = []
         async with (
             make_dispatch(metrics=Metrics(), connect_timeout=0.5) as dispatch,
-            make_control_client(metrics=Metrics(), timeout=1.0) as orders,
+            make_control_client(metrics=Metrics(), timeout=1.0) as client,
             dispatch(first, ORDER) as events,
         ):
             async for event in events:
                 assert isinstance(event, AttemptTokens)
-                kept.extend(event.tokens)
-                if len(kept) >= 3:
+                retained.extend(event.tokens)
+                if len(retained) >= 3:
                     break
-            handle = await orders.export_cache(first, ORDER.attempt)
+            handle = await client.export_cache(first, ORDER.attempt)
             assert isinstance(handle, str)
-            cancelled = await orders.cancel(first, ORDER.attempt)
+            cancelled = await client.cancel(first, ORDER.attempt)
             assert cancelled is Cancellation.CANCELLED
         order = replace(
             ORDER,
             attempt=AttemptId("attempt-2"),
-            tokens_done=tuple(kept),
+            tokens_done=tuple(retained),
             cache_handle=handle,
         )
-        rest = await send(second, order)
+        rest = await send_attempt(second, order)
         for event in rest:
             if isinstance(event, AttemptTokens):
-                assert event.sequence == len(kept)
-                kept.extend(event.tokens)
-        assert check_answer(PROMPT, TOKENS, kept)
+                assert event.sequence == len(retained)
+                retained.extend(event.tokens)
+        assert check_answer(PROMPT, TOKENS, retained)
         assert isinstance(rest[-1], AttemptEnd)
         assert rest[-1].recomputed == 0
 
 
-async def test_an_overruled_order_is_found_out_either_way() -> None:
-    # A host is paused, another one orders the opposite, and the first wakes
-    # up. One engine refuses the old number; one obeys it, and its state shows.
-    number = await take_fence(MemoryKeyValue(), "dewridge/")
-    assert number == 1
+async def test_superseded_order_is_rejected_or_its_effect_reported() -> None:
+    # A paused host sends its order after another host has ordered the opposite. An
+    # engine that checks fencing numbers rejects the old order; any other carries it
+    # out, and the returned state shows the effect.
+    first_fence = await allocate_fencing_number(MemoryKeyValue(), "dewridge/")
+    assert first_fence == 1
     for checks in (True, False):
         options = EngineOptions(checks_fencing=checks)
         async with (
             run_backend(options) as (_, [server]),
-            make_control_client(metrics=Metrics(), timeout=1.0) as orders,
+            make_control_client(metrics=Metrics(), timeout=1.0) as client,
         ):
             new = EngineOrder(OrderKind.LOAD, "drafting", 2)
-            old = EngineOrder(OrderKind.UNLOAD, "drafting", number)
-            state = await orders.send(server, new)
+            old = EngineOrder(OrderKind.UNLOAD, "drafting", first_fence)
+            state = await client.send(server, new)
             assert not isinstance(state, Failure)
             assert "drafting" in state.services
-            outcome = await orders.send(server, old)
+            outcome = await client.send(server, old)
             assert isinstance(outcome, Failure) is checks
             if isinstance(outcome, Failure):
                 assert outcome.code is ResultCode.FENCED
 
 
-def test_a_gap_that_does_not_close_is_a_failure() -> None:
-    # Events are lost between engine and host. To pass on what follows would
-    # give the caller a draft with a hole in it.
+def test_lost_event_is_a_failure() -> None:
+    # An event is lost between the engine and the host. Forwarding the tokens after it
+    # would give the caller an answer with a gap.
     reader = EventReader(AttemptId("a"), 0)
     lines = [
         f'data: {{"attempt":"a","sequence":{n},"tokens":["t"]}}'.encode()
@@ -268,12 +287,12 @@
     ]
     events = reader.read(lines)
     assert events[0] == AttemptTokens(0, ("t",) * 5)
-    assert find_code(events) is ResultCode.ANSWER_MISMATCHED
+    assert get_failure_code(events) is ResultCode.ANSWER_MISMATCHED
 
 
-async def test_a_fast_stream_is_read_in_bursts() -> None:
-    # A read for each token of a fast engine fills the host's core, and all
-    # its callers' tokens come late.
+async def test_fast_stream_is_read_in_batches() -> None:
+    # With one read per token of a fast engine, the host's CPU core is saturated and
+    # the tokens of all its callers are delayed.
     order = replace(ORDER, max_tokens=60)
     times: list[float] = []
     async with (
@@ -286,5 +305,5 @@
                 times += [trio.current_time()] * len(event.tokens)
     assert len(times) == 60
     gaps = [later - earlier for earlier, later in pairwise(times)]
-    assert sum(gap > GATHER_SECONDS / 2 for gap in gaps) >= 3
+    assert sum(gap > BATCH_DELAY_SECONDS / 2 for gap in gaps) >= 3
     assert sum(gap < 0.001 for gap in gaps) >= 30
--- a/dewridge/tests/fleet/watcher_tests.py
+++ b/dewridge/tests/fleet/watcher_tests.py
@@ -1,4 +1,4 @@
-"""Servers and their leaving are learned once and known everywhere."""
+"""Tests that server changes polled by a few hosts reach the tables of all hosts."""
 
 from dataclasses import replace
 
@@ -7,7 +7,7 @@
 from dewridge.codes import ResultCode
 from dewridge.fleet.model import BackendServer, ServerState
 from dewridge.fleet.table import ServerTable
-from dewridge.fleet.watcher import ABSENT_SECONDS, HOLDERS, FleetWatcher
+from dewridge.fleet.watcher import ABSENT_SECONDS, DUTY_HOLDERS, FleetWatcher
 from dewridge.ids import (
     BackendServerId,
     FailureDomain,
@@ -44,7 +44,7 @@
 
 
 class FakePlatform:
-    """Host list and cloud in memory."""
+    """In-memory host list and cloud."""
 
     def __init__(self) -> None:
         self.listing: list[ListedServer] | Failure = [make_listed()]
@@ -60,7 +60,7 @@
 
 
 class Clock:
-    """Time that a test steps."""
+    """Clock that a test advances by hand."""
 
     now = 1_000_000.0
 
@@ -69,7 +69,7 @@
 
 
 class Fleet:
-    """Eight hosts that hear each other's rumors."""
+    """Eight hosts that receive each other's rumors."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -81,7 +81,7 @@
         self.views = [FakeMembership(members, m.host) for m in members]
         for view in self.views:
             view.others = [other for other in self.views if other is not view]
-        self.own_notices: list[tuple[int, float]] = []
+        self.reclaim_notices: list[tuple[int, float]] = []
         self.tables = [ServerTable(self.clock) for _ in members]
         self.watchers = [self.make_watcher(n) for n in range(len(members))]
 
@@ -94,7 +94,7 @@
             membership=self.views[index],
             rumors=self.views[index],
             metrics=Metrics(),
-            on_local_reclaim=lambda at: self.own_notices.append((index, at)),
+            on_local_reclaim=lambda at: self.reclaim_notices.append((index, at)),
             clock=self.clock,
         )
 
@@ -104,7 +104,7 @@
                 await watcher.poll()
         self.clock.now += SETTINGS.poll_period
 
-    def states(self) -> set[ServerState | None]:
+    def find_states(self) -> set[ServerState | None]:
         found = [table.find(ENGINE) for table in self.tables]
         return {server.state if server else None for server in found}
 
@@ -114,87 +114,88 @@
     return Fleet()
 
 
-async def test_calls_do_not_grow_with_the_hosts(fleet: Fleet) -> None:
+async def test_platform_calls_do_not_grow_with_hosts(fleet: Fleet) -> None:
     for _ in range(40):
         await fleet.step()
-    assert fleet.states() == {ServerState.LIVE}
-    # The very first step may find every host without any word of a listing.
-    assert fleet.platform.calls <= 40 * HOLDERS + len(fleet.tables)
+    assert fleet.find_states() == {ServerState.LIVE}
+    # In the first step every host may poll, as none has received a heartbeat yet.
+    assert fleet.platform.calls <= 40 * DUTY_HOLDERS + len(fleet.tables)
 
 
-async def test_a_notice_reaches_all_and_an_older_list_does_not_undo_it(
+async def test_notice_reaches_all_hosts_and_a_lagging_list_does_not_revert_it(
     fleet: Fleet,
 ) -> None:
-    # The cloud announces a reclaim while the host list lags and still shows
-    # the server as live. Work sent to it would be cut off.
+    # The cloud announces a reclaim while the lagging host list still shows the server
+    # as live. Requests sent to it would be interrupted.
     await fleet.step()
     fleet.platform.notices = [ReclaimNotice(ENGINE, fleet.clock.now + 3)]
     for _ in range(4):
         await fleet.step()
-    assert fleet.states() == {ServerState.LEAVING}
+    assert fleet.find_states() == {ServerState.LEAVING}
     fleet.platform.notices = []
     fleet.platform.listing = [replace(make_listed(), price=2.0)]
     await fleet.step()
-    assert fleet.states() == {ServerState.LEAVING}
+    assert fleet.find_states() == {ServerState.LEAVING}
     assert [s.listed.price for s in fleet.tables[3].servers(FINDINGS)] == [2.0]
 
 
-async def test_a_refusal_seen_by_one_host_reaches_all(fleet: Fleet) -> None:
-    # The engine itself refuses new work before any notice. The other hosts
-    # would each have to run into it.
+async def test_departure_seen_by_one_host_reaches_all(fleet: Fleet) -> None:
+    # An engine that is leaving rejects new work before any notice. Unless the host
+    # that sees this spreads it, every other host has to be rejected as well.
     await fleet.step()
-    heard: list[BackendServer] = []
-    fleet.tables[7].subscribe(heard.append)
+    changes: list[BackendServer] = []
+    fleet.tables[7].subscribe(changes.append)
     fleet.tables[2].note_leaving(ENGINE, None, "refusal")
-    assert fleet.states() == {ServerState.LEAVING}
-    assert [server.state for server in heard] == [ServerState.LEAVING]
-    assert heard[0].leaving_at is not None
+    assert fleet.find_states() == {ServerState.LEAVING}
+    assert [server.state for server in changes] == [ServerState.LEAVING]
+    assert changes[0].leaving_at is not None
 
 
-async def test_a_broken_list_takes_no_server_out_of_use(fleet: Fleet) -> None:
-    # The host list restarts empty, or fails, for longer than a server may be
-    # missing. Callers would be refused though every server is alive.
+async def test_faulty_list_removes_no_server(fleet: Fleet) -> None:
+    # The host list is empty after a restart, or fails, for longer than a server may be
+    # missing. If servers were removed, requests would be rejected although every
+    # server is live.
     await fleet.step()
     empty: list[ListedServer] = []
-    for broken in (empty, Failure(ResultCode.PLATFORM_DOWN, "down")):
-        fleet.platform.listing = broken
+    for listing in (empty, Failure(ResultCode.PLATFORM_DOWN, "down")):
+        fleet.platform.listing = listing
         for _ in range(int(ABSENT_SECONDS / SETTINGS.poll_period) + 2):
             await fleet.step()
-        assert fleet.states() == {ServerState.LIVE}
+        assert fleet.find_states() == {ServerState.LIVE}
 
 
-async def test_a_server_that_left_the_list_is_gone_and_may_come_back(
+async def test_server_missing_from_the_list_is_removed_and_may_return(
     fleet: Fleet,
 ) -> None:
     await fleet.step()
     fleet.platform.listing = [make_listed("engine-2")]
     await fleet.step()
-    assert fleet.states() == {ServerState.LIVE}
+    assert fleet.find_states() == {ServerState.LIVE}
     for _ in range(int(ABSENT_SECONDS / SETTINGS.poll_period) + 2):
         await fleet.step()
-    assert fleet.states() == {ServerState.GONE}
+    assert fleet.find_states() == {ServerState.GONE}
     fleet.platform.listing = [make_listed(), make_listed("engine-2")]
     await fleet.step()
-    assert fleet.states() == {ServerState.LIVE}
+    assert fleet.find_states() == {ServerState.LIVE}
 
 
-async def test_a_host_that_hears_nothing_polls_by_itself(fleet: Fleet) -> None:
-    # A host is cut off from its peers. Without this it would send work to
-    # servers that have long gone.
+async def test_host_without_heartbeats_polls_on_its_own(fleet: Fleet) -> None:
+    # A host is partitioned from its peers. If it did not poll, it would send requests
+    # to servers that were removed long ago.
     await fleet.step()
-    lonely = next(n for n in range(8) if not fleet.watchers[n].must_poll())
+    partitioned = next(n for n in range(8) if not fleet.watchers[n].must_poll())
     for view in fleet.views:
         view.others = []
     for _ in range(30):
         fleet.clock.now += SETTINGS.poll_period
-    assert fleet.watchers[lonely].must_poll()
+    assert fleet.watchers[partitioned].must_poll()
 
 
-async def test_a_host_hears_of_its_own_reclaim(fleet: Fleet) -> None:
-    # The hosts that poll are others than the one that the cloud takes back.
+async def test_host_receives_its_own_reclaim_notice(fleet: Fleet) -> None:
+    # The reclaimed host is not one of those that poll the cloud.
     await fleet.step()
     at = fleet.clock.now + 5
     fleet.platform.notices = [ReclaimNotice("host-5", at)]
     for _ in range(3):
         await fleet.step()
-    assert fleet.own_notices == [(5, at)]
+    assert fleet.reclaim_notices == [(5, at)]
--- a/dewridge/tests/providers/adapters_tests.py
+++ b/dewridge/tests/providers/adapters_tests.py
@@ -1,4 +1,4 @@
-"""Each failure of the platform gets its code, and no answer raises."""
+"""Tests that platform failures map to result codes and never raise an exception."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -39,41 +39,41 @@
         yield key_value, metrics
 
 
-async def strike(platform: Platform, target: str, mode: str) -> None:
-    """Put a fault in force; a listener takes a moment to close."""
+async def inject_fault(platform: Platform, target: str, mode: str) -> None:
+    """Inject a fault and wait a moment, since a listener does not close at once."""
     platform.set_fault(Fault(target, FaultMode(mode)))
     await trio.sleep(0.05)
 
 
-def find_code(result: object) -> ResultCode:
+def get_failure_code(result: object) -> ResultCode:
     assert isinstance(result, Failure), result
     return result.code
 
 
-async def test_the_key_value_service_reads_writes_and_watches() -> None:
+async def test_key_value_service_reads_writes_and_watches() -> None:
     async with run_platform() as platform, open_key_value(platform) as (kv, metrics):
         absent = await kv.get("a/b c")
         assert isinstance(absent, Entry)
         assert absent.is_absent
         written = await kv.compare_and_swap("a/b c", b"\x00one", 0)
         assert written == Entry("a/b c", b"\x00one", 1)
-        lost = await kv.compare_and_swap("a/b c", b"two", 0)
-        assert find_code(lost) is ResultCode.KEY_VALUE_CONFLICT
+        conflict = await kv.compare_and_swap("a/b c", b"two", 0)
+        assert get_failure_code(conflict) is ResultCode.KEY_VALUE_CONFLICT
         assert await kv.list_entries("a/") == [written]
         assert await kv.watch("a/b c", 0, 1.0) == written
-        nothing = await kv.watch("a/b c", 1, 0.05)
-        assert find_code(nothing) is ResultCode.KEY_VALUE_TIMEOUT
+        timeout = await kv.watch("a/b c", 1, 0.05)
+        assert get_failure_code(timeout) is ResultCode.KEY_VALUE_TIMEOUT
         assert await kv.delete("a/b c", 1) == Entry("a/b c", b"", 0)
         kind = {"service": "key_value", "kind": "swap"}
         assert metrics.read("platform_calls_total", **kind) == 2
 
 
-async def test_a_watch_outlasts_the_time_of_a_call() -> None:
-    # A watch waits longer than any other call may. Cut by the timeout of a
-    # call, it would look like an outage several times a second.
+async def test_watch_may_exceed_the_call_timeout() -> None:
+    # A watch waits longer than the timeout of other calls. With that timeout it would
+    # fail several times a second, which would look like an outage.
     async with run_platform() as platform, open_key_value(platform) as (kv, _):
-        nothing = await kv.watch("k", 0, 3 * TIMEOUT)
-        assert find_code(nothing) is ResultCode.KEY_VALUE_TIMEOUT
+        timeout = await kv.watch("k", 0, 3 * TIMEOUT)
+        assert get_failure_code(timeout) is ResultCode.KEY_VALUE_TIMEOUT
 
 
 @pytest.mark.parametrize(
@@ -86,47 +86,56 @@
         ("garble", ResultCode.KEY_VALUE_UNKNOWN, ResultCode.PLATFORM_MALFORMED, True),
     ],
 )
-async def test_only_a_write_that_never_left_counts_as_not_written(
+async def test_only_an_unsent_write_counts_as_not_written(
     mode: str, write_code: ResultCode, read_code: ResultCode, took_effect: bool
 ) -> None:
-    # The service fails while a claim is written, and some of these failures
-    # hide a write that took effect. If the adapter called that one "not
-    # written", a letter would be issued twice.
+    # The service fails during the write of a claim, and with some faults the write
+    # still takes effect. If the adapter reported that one as not written, a call would
+    # run twice and, for example, issue two letters.
     async with run_platform() as platform, open_key_value(platform) as (kv, _):
         await kv.get("k")
-        await strike(platform, "key_value", mode)
-        assert find_code(await kv.compare_and_swap("k", b"v", 0)) is write_code
-        assert find_code(await kv.get("k")) is read_code
-        await strike(platform, "key_value", "none")
+        await inject_fault(platform, "key_value", mode)
+        assert get_failure_code(await kv.compare_and_swap("k", b"v", 0)) is write_code
+        assert get_failure_code(await kv.get("k")) is read_code
+        await inject_fault(platform, "key_value", "none")
         entry = await kv.get("k")
         assert isinstance(entry, Entry)
         assert entry.is_absent is not took_effect
 
 
-async def test_one_record_from_a_newer_platform_does_not_hide_the_others() -> None:
-    # The platform is upgraded first and lists a kind of server that this
-    # release does not know. Operators would see every service without servers.
+async def test_unknown_record_does_not_hide_the_others() -> None:
+    # A newer platform lists a kind of server that this release does not know. If the
+    # full list were rejected, every service would appear to have no servers.
     metrics = Metrics()
     async with run_platform() as platform:
         url = platform.listeners["host_list"].url
-        strange = HostRecord("x-1", "127.0.0.1:2", "zona-a", "quantum", ("findings",))
+        unknown = HostRecord("x-1", "127.0.0.1:2", "zona-a", "quantum", ("findings",))
         async with make_host_list(url, timeout=TIMEOUT, metrics=metrics) as host_list:
-            platform.directory.register(strange)
-            assert find_code(await host_list.fetch()) is ResultCode.PLATFORM_MALFORMED
+            platform.directory.register(unknown)
+            assert (
+                get_failure_code(await host_list.fetch())
+                is ResultCode.PLATFORM_MALFORMED
+            )
             platform.directory.register(RECORD)
             servers = await host_list.fetch()
             assert not isinstance(servers, Failure)
             assert [server.backend_server for server in servers] == ["engine-1"]
-            await strike(platform, "host_list", "garble")
-            assert find_code(await host_list.fetch()) is ResultCode.PLATFORM_MALFORMED
-            await strike(platform, "host_list", "down")
-            assert find_code(await host_list.fetch()) is ResultCode.PLATFORM_DOWN
+            await inject_fault(platform, "host_list", "garble")
+            assert (
+                get_failure_code(await host_list.fetch())
+                is ResultCode.PLATFORM_MALFORMED
+            )
+            await inject_fault(platform, "host_list", "down")
+            assert get_failure_code(await host_list.fetch()) is ResultCode.PLATFORM_DOWN
 
 
-async def test_notices_are_read_and_an_outage_is_told() -> None:
+async def test_notices_are_read_and_an_outage_is_reported() -> None:
     async with run_platform() as platform:
         url = platform.listeners["cloud"].url
         async with make_cloud(url, timeout=TIMEOUT, metrics=Metrics()) as cloud:
             assert await cloud.fetch_notices() == []
-            await strike(platform, "cloud", "error")
-            assert find_code(await cloud.fetch_notices()) is ResultCode.PLATFORM_DOWN
+            await inject_fault(platform, "cloud", "error")
+            assert (
+                get_failure_code(await cloud.fetch_notices())
+                is ResultCode.PLATFORM_DOWN
+            )
