--- a/dewridge/fleet/table.py
+++ b/dewridge/fleet/table.py
@@ -56,7 +56,7 @@
         return [s for _, s in known if s.state is not ServerState.GONE]
 
     def subscribe(self, listener: Listener) -> None:
-        """Call `listener` on each change of a server; it must not block."""
+        """Call `listener` synchronously on each change; it must not block."""
         self._listeners.append(listener)
 
     def merge(self, listed: ListedServer) -> None:
