--- a/dewridge/policy/recovery.py
+++ b/dewridge/policy/recovery.py
@@ -92,7 +92,7 @@
 def make_resume(parameters: Mapping[str, float], rng: random.Random) -> Recovery:
     """Make the policy that retains tokens and bounds retries."""
     budget_share = parameters["retry_share"]
-    max_attempts = parameters["attempts"]
+    attempt_limit = parameters["attempts"]
     min_pause = parameters["backoff"]
     max_pause = parameters["backoff_limit"]
     export_tokens = parameters["export_tokens"]
@@ -118,7 +118,7 @@
             # that most servers are full, and immediate retries would slow them more.
             pause = find_pause(entry.refused - 1) if entry.refused > 1 else 0.0
             return check_deadline(entry, pause, now, rng)
-        if entry.lost >= max_attempts:
+        if entry.lost >= attempt_limit:
             # A request that crashes every server that runs it has to fail before it
             # has crashed all of them.
             return abandon(entry, ResultCode.ATTEMPTS_EXHAUSTED, "attempts used up")
