--- a/dewridge/composition.py
+++ b/dewridge/composition.py
@@ -205,8 +205,8 @@
     membership = MembershipService(
         settings=settings.membership,
         peers=peers,
-        me=me,
-        seeds=registration.find_seeds,
+        local_member=me,
+        find_seeds=registration.find_seeds,
         metrics=metrics,
         seed=seed,
         on_fenced=lifecycle.fenced.set,
--- a/dewridge/configuration/freshness.py
+++ b/dewridge/configuration/freshness.py
@@ -36,7 +36,7 @@
     _present: dict[HostId, Incarnation] = field(default_factory=dict)
     _lost: dict[HostId, float] = field(default_factory=dict)
 
-    def note_member(self, member: Member, now: float) -> None:
+    def handle_member_change(self, member: Member, now: float) -> None:
         """Record a change of another member's state."""
         if member.host == self.me:
             return
@@ -51,7 +51,7 @@
             self._lost[member.host] = now
         self.look(now)
 
-    def note_confirmed(self, now: float) -> None:
+    def record_confirmation(self, now: float) -> None:
         """Record that the key-value service named the revision known here."""
         self.confirmed_at = max(self.confirmed_at, now)
 
--- a/dewridge/configuration/head.py
+++ b/dewridge/configuration/head.py
@@ -20,13 +20,13 @@
 """Changes remembered in the head. A writer whose answer was lost finds its mark
 here; at 21,000 changes a day this covers half an hour of looking back."""
 
-OBJECT_LIMIT = 100_000
+MAX_OBJECT_BYTES = 100_000
 """Largest object in bytes; the key-value service holds values up to a megabyte."""
 
 S = TypeVar("S", bound=msgspec.Struct)
 
 
-class ObjectPlace(msgspec.Struct, frozen=True):
+class ObjectLocation(msgspec.Struct, frozen=True):
     """Where an object's bytes lie, and the revision that put them there."""
 
     revision: int
@@ -47,7 +47,7 @@
 
     format: int = FORMAT
     revision: int = 0
-    objects: dict[str, ObjectPlace] = {}
+    objects: dict[str, ObjectLocation] = {}
     recent: tuple[Change, ...] = ()
 
 
@@ -81,12 +81,12 @@
     change = Change(revision, name, mark, operator)
     return Head(
         revision=revision,
-        objects={**head.objects, name: ObjectPlace(revision, key)},
+        objects={**head.objects, name: ObjectLocation(revision, key)},
         recent=(*head.recent, change)[-RECENT_LIMIT:],
     )
 
 
-def find_mark(head: Head, mark: str) -> int | None:
+def find_revision_by_mark(head: Head, mark: str) -> int | None:
     """Return the revision that a mark's change made, if the head remembers it."""
     return next((c.revision for c in head.recent if c.mark == mark), None)
 
--- a/dewridge/configuration/service.py
+++ b/dewridge/configuration/service.py
@@ -13,13 +13,17 @@
 from dewridge.configuration.checks import check_profile_change, check_service_change
 from dewridge.configuration.freshness import Freshness
 from dewridge.configuration.head import (
-    OBJECT_LIMIT,
+    MAX_OBJECT_BYTES,
     Head,
     StoredObject,
     build_configuration,
 )
 from dewridge.configuration.model import Configuration, Profile, Service
-from dewridge.configuration.store import ConfigurationStore, ProposedChange, ReadHead
+from dewridge.configuration.store import (
+    ConfigurationStore,
+    ProposedChange,
+    VersionedHead,
+)
 from dewridge.ids import OperatorName, ProfileName, ServiceName
 from dewridge.membership.model import MembershipView, MemberState, Rumor, Rumors
 from dewridge.membership.ranking import has_duty
@@ -84,7 +88,7 @@
         self._random = Random(seed)
         self._objects: dict[str, StoredObject] = {}
         self._configuration = Configuration()
-        self._freshness = Freshness(settings.stale_limit, membership.me.host)
+        self._freshness = Freshness(settings.stale_limit, membership.local_member.host)
         self._heard = 0
         self._origin = ""
         self._news = trio.Event()
@@ -93,7 +97,7 @@
         rumors.subscribe_rumors(HEAD_RUMOR, self._hear_head)
         rumors.subscribe_rumors(CONFIRMED_RUMOR, self._hear_confirmed)
         membership.subscribe(
-            lambda member: self._freshness.note_member(member, self._clock())
+            lambda member: self._freshness.handle_member_change(member, self._clock())
         )
 
     # ---- what the other parts read ----------------------------------------
@@ -235,8 +239,10 @@
         check: Callable[[Head], Failure | None],
     ) -> int | Failure:
         value = msgspec.json.encode(content)
-        if len(value) > OBJECT_LIMIT:
-            return Failure(ResultCode.MALFORMED_PROFILE, f"over {OBJECT_LIMIT} bytes")
+        if len(value) > MAX_OBJECT_BYTES:
+            return Failure(
+                ResultCode.MALFORMED_PROFILE, f"over {MAX_OBJECT_BYTES} bytes"
+            )
         if not self._freshness.has_majority(self._clock()):
             # The hosts on the other side of a cut would go on without the
             # change; only a side with a majority may accept one.
@@ -291,7 +297,7 @@
         self._spread(revision)
 
     def _spread(self, revision: int) -> None:
-        origin = msgspec.json.encode(_Origin(self._membership.me.address))
+        origin = msgspec.json.encode(_Origin(self._membership.local_member.address))
         self._rumors.spread(Rumor(HEAD_RUMOR, "head", revision, origin))
 
     def _hear_head(self, rumor: Rumor) -> None:
@@ -308,7 +314,7 @@
     def _hear_confirmed(self, rumor: Rumor) -> None:
         """Take a watching host's word that its revision is the service's own."""
         if int.from_bytes(rumor.payload, "big") <= self._configuration.revision:
-            self._freshness.note_confirmed(self._clock())
+            self._freshness.record_confirmation(self._clock())
 
     async def _answer_pull(
         self, peer: PeerIdentity, message: Any
@@ -352,7 +358,7 @@
                 await trio.sleep(PULL_PAUSE * self._random.uniform(0.5, 1.5))
 
     def _choose_source(self, tries: int) -> str | None:
-        me = self._membership.me
+        me = self._membership.local_member
         others = [
             member.address
             for member in self._membership.members()
@@ -399,7 +405,7 @@
     def _has_watch_duty(self) -> bool:
         return has_duty("configuration-watch", self._membership, WATCHERS)
 
-    async def _read_next(self, key_revision: int) -> ReadHead | Failure:
+    async def _read_next(self, key_revision: int) -> VersionedHead | Failure:
         if key_revision < 0:
             return await self._store.read_head()
         timeout = min(CONFIRM_PERIOD, self._settings.watch_timeout)
@@ -412,7 +418,7 @@
         self._metrics.add("configuration_reads_failed", code=failure.code.name)
         await trio.sleep(RETRY_PAUSE * self._random.uniform(0.5, 1.5))
 
-    async def _take_head(self, read: ReadHead) -> None:
+    async def _take_head(self, read: VersionedHead) -> None:
         known = self._configuration.revision
         if read.head.revision < known:
             await self._restore_head(read)
@@ -426,7 +432,7 @@
             self._apply(read.head.revision, objects)
         self._confirm()
 
-    async def _restore_head(self, read: ReadHead) -> None:
+    async def _restore_head(self, read: VersionedHead) -> None:
         """Put the revision known here back where an older copy was restored."""
         log.warning(
             "key-value service fell back to configuration revision {}, {} is known",
@@ -443,7 +449,7 @@
     def _confirm(self) -> None:
         """Tell all that the service holds the revision known here, as of now."""
         now = self._clock()
-        self._freshness.note_confirmed(now)
+        self._freshness.record_confirmation(now)
         revision = self._configuration.revision
         stamp = int(time.time() * 1000)
         payload = revision.to_bytes(8, "big")
--- a/dewridge/configuration/store.py
+++ b/dewridge/configuration/store.py
@@ -10,11 +10,11 @@
 from dewridge.codes import ResultCode
 from dewridge.configuration.head import (
     Head,
-    ObjectPlace,
+    ObjectLocation,
     StoredObject,
     advance_head,
     decode_head,
-    find_mark,
+    find_revision_by_mark,
 )
 from dewridge.providers.model import Entry, KeyValue
 from dewridge.sentinels import Failure
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class ReadHead:
+class VersionedHead:
     """A head with the key-value service's own revision of its key."""
 
     head: Head
@@ -79,21 +79,21 @@
         """Key of the head."""
         return f"{self._prefix}head"
 
-    async def read_head(self) -> ReadHead | Failure:
+    async def read_head(self) -> VersionedHead | Failure:
         """Read the head; errors as `KeyValue.get`, or PLATFORM_MALFORMED."""
         return self._decode(await self._key_value.get(self.head_key))
 
-    async def watch_head(self, after: int, timeout: float) -> ReadHead | Failure:
+    async def watch_head(self, after: int, timeout: float) -> VersionedHead | Failure:
         """Wait for another head than the one of key revision `after`."""
         return self._decode(await self._key_value.watch(self.head_key, after, timeout))
 
-    def _decode(self, entry: Entry | Failure) -> ReadHead | Failure:
+    def _decode(self, entry: Entry | Failure) -> VersionedHead | Failure:
         if isinstance(entry, Failure):
             return entry
         head = decode_head(entry.value)
         if isinstance(head, Failure):
             return head
-        return ReadHead(head, entry.revision)
+        return VersionedHead(head, entry.revision)
 
     async def read_objects(
         self, head: Head, known: dict[str, StoredObject]
@@ -134,7 +134,7 @@
                 last = read
                 await trio.sleep(SETTLE_PAUSE)
                 continue
-            revision = find_mark(read.head, mark)
+            revision = find_revision_by_mark(read.head, mark)
             if revision is not None:
                 return AcceptedChange(read.head, revision)
             # The mark is absent from a head that was read after the doubtful
@@ -191,7 +191,7 @@
             await self._key_value.delete(place.key, entry.revision)
 
     async def restore(
-        self, revision: int, objects: dict[str, StoredObject], read: ReadHead
+        self, revision: int, objects: dict[str, StoredObject], read: VersionedHead
     ) -> Failure | None:
         """Write back a revision that the key-value service has lost.
 
@@ -200,13 +200,13 @@
         and a change made from it would carry a revision already used.
         """
         mark = uuid.uuid4().hex
-        places: dict[str, ObjectPlace] = {}
+        places: dict[str, ObjectLocation] = {}
         for stored in objects.values():
             key = f"{self._prefix}objects/{stored.name}/{mark}"
             written = await self._write_object(key, stored.value)
             if isinstance(written, Failure):
                 return written
-            places[stored.name] = ObjectPlace(stored.revision, key)
+            places[stored.name] = ObjectLocation(stored.revision, key)
         head = Head(revision=revision, objects=places, recent=read.head.recent)
         swapped = await self._key_value.compare_and_swap(
             self.head_key, msgspec.json.encode(head), read.key_revision
--- a/dewridge/fleet/watcher.py
+++ b/dewridge/fleet/watcher.py
@@ -112,7 +112,7 @@
         self._metrics = metrics
         self._on_own_notice = on_own_notice
         self._clock = clock
-        self._random = random.Random(membership.me.host)
+        self._random = random.Random(membership.local_member.host)
         self._absent_since: dict[BackendServerId, float] = {}
         self._versions: dict[str, int] = {}
         self._last_heard = 0.0
@@ -263,7 +263,7 @@
             self._table.handle_leaving(server, payload.at, payload.source)
 
     def _hear_host_reclaim(self, rumor: Rumor) -> None:
-        me = self._membership.me
+        me = self._membership.local_member
         payload = self._decode(rumor, ReclaimPayload)
         if payload is None or rumor.subject != me.host:
             return
--- a/dewridge/frontend/entry.py
+++ b/dewridge/frontend/entry.py
@@ -37,7 +37,9 @@
     """
     members = list(membership.members())
     if is_leaving:
-        members = [member for member in members if member.host != membership.me.host]
+        members = [
+            member for member in members if member.host != membership.local_member.host
+        ]
     chosen = choose_entry_hosts(account, members, size, caller)
     hosts = (EntryHost(each.frontend_address, each.failure_domain) for each in chosen)
     return EntryList(tuple(hosts), ttl)
--- a/dewridge/membership/exchanges.py
+++ b/dewridge/membership/exchanges.py
@@ -18,9 +18,9 @@
     read_rumor_versions,
 )
 from dewridge.membership.model import Member, MemberState, Rumor
-from dewridge.membership.rumors import measure
-from dewridge.membership.state import GroupState, name_news
-from dewridge.membership.table import Accusation
+from dewridge.membership.rumors import measure_rumor
+from dewridge.membership.state import GroupState, list_update_keys
+from dewridge.membership.table import LocalClaim
 from dewridge.metrics.registry import Metrics
 from dewridge.peers.model import Message, PeerIdentity, Peers
 from dewridge.peers.wire import ttypes
@@ -45,7 +45,7 @@
 own incarnation is over, and one fenced host would take all others with it."""
 
 
-class Relayed(Enum):
+class RelayResult(Enum):
     """What came of asking a member to probe another one."""
 
     REACHED = "reached"
@@ -53,11 +53,11 @@
     NO_ANSWER = "no_answer"
 
 
-class Exchanges:
+class MessageExchange:
     """Talks with other members and keeps the state up to date with what they say.
 
     Attributes:
-        has_given_up: whether this incarnation is over; it then stays silent.
+        is_terminated: whether this incarnation is over; it then stays silent.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         metrics: Metrics,
         on_fenced: Callable[[], None],
     ) -> None:
-        self.has_given_up = False
+        self.is_terminated = False
         self._peers = peers
         self._state = state
         self._table = state.table
@@ -91,11 +91,11 @@
         """Probe a member; whether that incarnation of it answered."""
         now = trio.current_time()
         known = self._table.find(target.host)
-        records, rumors = self._state.take_news(now, about=known)
+        records, rumors = self._state.select_updates(now, about=known)
         self._sequence += 1
         message = ttypes.Probe(
             sequence=self._sequence,
-            members=records + self._state.make_doubts(),
+            members=records + self._state.make_suspect_records(),
             rumors=rumors,
             target_incarnation=target.incarnation,
         )
@@ -106,24 +106,26 @@
         self._take_in(reply.members, reply.rumors)
         return bool(reply.incarnation == target.incarnation)
 
-    async def relay(self, relay: Member, target: Member, timeout: float) -> Relayed:
+    async def relay(self, relay: Member, target: Member, timeout: float) -> RelayResult:
         """Ask a member to probe another one."""
-        record = make_record(target, whole=True)
+        record = make_record(target, with_addresses=True)
         message = ttypes.RelayProbe(target=record, timeout=timeout)
         self._metrics.add("membership_relay_probes")
         # The relay needs the timeout for its probe; as much again for the way.
         reply = await self._call(relay.address, message, 2 * timeout)
         if not isinstance(reply, ttypes.RelayProbeReply):
-            return Relayed.NO_ANSWER
-        return Relayed.REACHED if reply.reached else Relayed.NOT_REACHED
+            return RelayResult.NO_ANSWER
+        return RelayResult.REACHED if reply.reached else RelayResult.NOT_REACHED
 
     async def join(self, address: str, timeout: float) -> bool:
         """Introduce this host to a member and learn all that it knows."""
-        message = ttypes.Join(me=make_record(self._table.me, whole=True))
+        message = ttypes.Join(
+            me=make_record(self._table.local_member, with_addresses=True)
+        )
         reply = await self._call(address, message, timeout)
         if not isinstance(reply, ttypes.JoinReply):
             return False
-        self._take_in(reply.members, reply.rumors, hearsay=True)
+        self._take_in(reply.members, reply.rumors, from_sync=True)
         return True
 
     async def compare(self, address: str, timeout: float) -> int | None:
@@ -132,7 +134,7 @@
         Returns:
             How many items went either way; None if the member did not answer.
         """
-        message = ttypes.CompareState(hashes=self._state.buckets.read())
+        message = ttypes.CompareState(hashes=self._state.buckets.list_hashes())
         reply = await self._call(address, message, timeout)
         if not isinstance(reply, ttypes.CompareStateReply):
             return None
@@ -142,14 +144,14 @@
         answer = await self._call(address, exchange, timeout)
         if not isinstance(answer, ttypes.ExchangeStateReply):
             return None
-        self._take_in(answer.members, answer.rumors, hearsay=True)
+        self._take_in(answer.members, answer.rumors, from_sync=True)
         sent = len(exchange.members) + len(exchange.rumors)
         return sent + len(answer.members or []) + len(answer.rumors or [])
 
     async def _call(
         self, address: str, message: Message, timeout: float
     ) -> Message | Failure:
-        if self.has_given_up:
+        if self.is_terminated:
             await trio.lowlevel.checkpoint()
             return _GIVEN_UP
         reply = await self._peers.call(address, message, timeout)
@@ -164,17 +166,17 @@
     async def _answer_probe(
         self, peer: PeerIdentity, probe: Message
     ) -> Message | Failure:
-        if self.has_given_up:
+        if self.is_terminated:
             return _GIVEN_UP
         self._note_contact()
-        before = self._table.me
+        before = self._table.local_member
         self._take_in(probe.members, probe.rumors)
         prober = self._table.find(peer.host)
-        known = name_news(probe.members, probe.rumors)
+        known = list_update_keys(probe.members, probe.rumors)
         now = trio.current_time()
-        records, rumors = self._state.take_news(now, about=prober, known=known)
-        records += self._state.find_corrections(probe.members)
-        me = self._table.me
+        records, rumors = self._state.select_updates(now, about=prober, known=known)
+        records += self._state.make_corrections(probe.members)
+        me = self._table.local_member
         if me != before or probe.target_incarnation not in (0, None, me.incarnation):
             records.append(make_record(me))
         return ttypes.ProbeReply(
@@ -187,7 +189,7 @@
     async def _answer_relay(
         self, peer: PeerIdentity, ask: Message
     ) -> Message | Failure:
-        if self.has_given_up:
+        if self.is_terminated:
             return _GIVEN_UP
         self._note_contact()
         target = read_member(ask.target)
@@ -199,12 +201,12 @@
     async def _answer_join(
         self, peer: PeerIdentity, join: Message
     ) -> Message | Failure:
-        if self.has_given_up:
+        if self.is_terminated:
             return _GIVEN_UP
         self._note_contact()
         self._take_in([join.me], [])
         now = trio.current_time()
-        rumors = self._fit(self._state.rumors, measure)
+        rumors = self._fit(self._state.rumors, measure_rumor)
         return ttypes.JoinReply(
             members=self._state.make_records(),
             rumors=self._state.make_rumors(rumors, now),
@@ -213,7 +215,7 @@
     async def _answer_compare(
         self, peer: PeerIdentity, ask: Message
     ) -> Message | Failure:
-        if self.has_given_up:
+        if self.is_terminated:
             return _GIVEN_UP
         self._note_contact()
         differing = set(self._state.buckets.find_differing(ask.hashes or []))
@@ -241,9 +243,9 @@
             if rumor.version > heard.get((rumor.kind, rumor.subject), -1)
         ]
         return ttypes.ExchangeState(
-            members=[make_record(member, whole=True) for member in members],
+            members=[make_record(member, with_addresses=True) for member in members],
             rumors=self._state.make_rumors(
-                self._fit(rumors, measure), trio.current_time()
+                self._fit(rumors, measure_rumor), trio.current_time()
             ),
             wanted_members=[
                 host for host, v in theirs.items() if is_behind(v, self._table)
@@ -254,22 +256,22 @@
     async def _answer_exchange(
         self, peer: PeerIdentity, exchange: Message
     ) -> Message | Failure:
-        if self.has_given_up:
+        if self.is_terminated:
             return _GIVEN_UP
         self._note_contact()
-        before = self._table.me
-        self._take_in(exchange.members, exchange.rumors, hearsay=True)
+        before = self._table.local_member
+        self._take_in(exchange.members, exchange.rumors, from_sync=True)
         found = [self._table.find(HostId(h)) for h in exchange.wanted_members or []]
         members = [member for member in found if member is not None]
-        if self._table.me != before:
-            members.append(self._table.me)
+        if self._table.local_member != before:
+            members.append(self._table.local_member)
         wanted = [
             self._state.rumors.find(version.kind, version.subject)
             for version in exchange.wanted_rumors or []
         ]
-        rumors = self._fit([r for r in wanted if r is not None], measure)
+        rumors = self._fit([r for r in wanted if r is not None], measure_rumor)
         return ttypes.ExchangeStateReply(
-            members=[make_record(member, whole=True) for member in members],
+            members=[make_record(member, with_addresses=True) for member in members],
             rumors=self._state.make_rumors(rumors, trio.current_time()),
         )
 
@@ -296,29 +298,29 @@
         records: list[Message] | None,
         rumors: list[Message] | None,
         *,
-        hearsay: bool = False,
+        from_sync: bool = False,
     ) -> None:
         now = trio.current_time()
-        self._state.merge(records, rumors, now, hearsay=hearsay)
-        self.answer_accusations()
+        self._state.merge(records, rumors, now, from_sync=from_sync)
+        self.handle_local_claims()
 
-    def answer_accusations(self) -> None:
+    def handle_local_claims(self) -> None:
         """Refute what others claim of this host, or give this incarnation up."""
-        accusations = self._table.take_accusations()
-        if Accusation.SUPERSEDED in accusations:
+        accusations = self._table.pop_local_claims()
+        if LocalClaim.SUPERSEDED in accusations:
             self._give_up("fenced, or superseded by a newer incarnation")
-        elif Accusation.DEAD in accusations and self._was_isolated():
+        elif LocalClaim.DEAD in accusations and self._was_isolated():
             self._give_up("declared dead while it stood still or was cut off")
         elif accusations:
             self._metrics.add("membership_refutations")
-            if Accusation.SUSPECT in accusations:
-                self._health.note_own_fault()
-            self._state.note_me(self._table.refute())
+            if LocalClaim.SUSPECT in accusations:
+                self._health.record_local_fault()
+            self._state.broadcast_local_member(self._table.refute())
 
     def _note_contact(self) -> None:
         now = trio.current_time()
         since = now - (self._last_contact if self._last_contact is not None else now)
-        if since > self._table.find_suspicion_time():
+        if since > self._table.compute_suspicion_time():
             self._isolated_until = now + ISOLATION_MEMORY
             self._table.restart_suspicions(now)
         self._last_contact = now
@@ -333,9 +335,9 @@
         return sum(1 for _ in self._table.others()) >= COMPANY
 
     def _give_up(self, reason: str) -> None:
-        if self.has_given_up:
+        if self.is_terminated:
             return
-        self.has_given_up = True
+        self.is_terminated = True
         self._metrics.add("membership_given_up")
         log.warning("this incarnation is over: {}", reason)
         self._on_fenced()
--- a/dewridge/membership/health.py
+++ b/dewridge/membership/health.py
@@ -12,11 +12,11 @@
     def __init__(self) -> None:
         self._score = 0
 
-    def note_answered(self) -> None:
+    def record_answered_probe(self) -> None:
         """A probe of this host was answered in time."""
         self._score = max(0, self._score - 1)
 
-    def note_own_fault(self) -> None:
+    def record_local_fault(self) -> None:
         """A sign that this host or its links are slow.
 
         Its probe found nobody, not even through relays that all were thought to
@@ -25,6 +25,6 @@
         self._score = min(WORST, self._score + 1)
 
     @property
-    def stretch(self) -> int:
+    def timeout_multiplier(self) -> int:
         """By how much to multiply timeouts; 1 for a healthy host."""
         return self._score + 1
--- a/dewridge/membership/messages.py
+++ b/dewridge/membership/messages.py
@@ -14,7 +14,7 @@
 _SHORT_STATES = (MemberState.SUSPECT, MemberState.DEAD)
 
 
-def make_record(member: Member, *, whole: bool = False) -> Message:
+def make_record(member: Member, *, with_addresses: bool = False) -> Message:
     """Return a member's record.
 
     A suspect's or dead member's is sent without addresses, which whoever hears
@@ -26,7 +26,7 @@
         state=member.state.value,
         refutation=member.refutation,
     )
-    if whole or member.state not in _SHORT_STATES:
+    if with_addresses or member.state not in _SHORT_STATES:
         record.failure_domain = member.failure_domain
         record.address = member.address
         record.frontend_address = member.frontend_address
--- a/dewridge/membership/model.py
+++ b/dewridge/membership/model.py
@@ -41,7 +41,7 @@
     refutation: int = 0
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether new work and copies may be given to it."""
         return self.state is MemberState.ALIVE
 
@@ -50,7 +50,7 @@
     """What other parts read of the membership; answered from memory."""
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """This host's own entry."""
 
     def members(self) -> Sequence[Member]:
--- a/dewridge/membership/news.py
+++ b/dewridge/membership/news.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class NewsKind(Enum):
+class UpdateKind(Enum):
     """What a piece of news is about."""
 
     MEMBER = "member"
@@ -14,10 +14,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsKey:
+class UpdateKey:
     """Names a piece of news; its content is looked up when it is sent."""
 
-    kind: NewsKind
+    kind: UpdateKind
     subject: str
     detail: str = ""
 
@@ -43,44 +43,44 @@
     return math.ceil(multiplier * math.log10(members + 1)) + EXTRA_TRANSMISSIONS
 
 
-class News:
+class UpdateQueue:
     """News still to be sent, that sent least often first."""
 
     def __init__(self) -> None:
-        self._sent: dict[NewsKey, int] = {}
+        self._sent: dict[UpdateKey, int] = {}
 
-    def add(self, key: NewsKey, *, is_pressing: bool = False) -> None:
+    def add(self, key: UpdateKey, *, is_urgent: bool = False) -> None:
         """Start telling something anew; an earlier version is told no more.
 
         Args:
             key: what to tell.
-            is_pressing: whether it goes before all that is not, and is told
+            is_urgent: whether it goes before all that is not, and is told
                 PRESSING_LEAD times more.
         """
         self._sent.pop(key, None)
-        self._sent[key] = -PRESSING_LEAD if is_pressing else 0
+        self._sent[key] = -PRESSING_LEAD if is_urgent else 0
 
-    def drop(self, key: NewsKey) -> None:
+    def drop(self, key: UpdateKey) -> None:
         """Stop telling something."""
         self._sent.pop(key, None)
 
-    def take(
+    def select_for_message(
         self,
-        size_of: Callable[[NewsKey], int | None],
+        size_of: Callable[[UpdateKey], int | None],
         size_limit: int,
-        times: int,
-        known: frozenset[NewsKey] = frozenset(),
-    ) -> list[NewsKey]:
+        max_transmissions: int,
+        known: frozenset[UpdateKey] = frozenset(),
+    ) -> list[UpdateKey]:
         """Choose what goes into one message, and count it as sent.
 
         Args:
             size_of: bytes that an item takes; None if it is known no more.
             size_limit: bytes for all of them. One item larger than that still
                 goes, alone, as it would never be sent otherwise.
-            times: sendings after which an item is news no more.
+            max_transmissions: sendings after which an item is news no more.
             known: what the receiver told just now; sent back it would be wasted.
         """
-        chosen: list[NewsKey] = []
+        chosen: list[UpdateKey] = []
         left = size_limit
         waiting = [key for key in self._sent if key not in known]
         for key in sorted(waiting, key=self._sent.__getitem__):
@@ -94,7 +94,7 @@
                 break
         for key in chosen:
             self._sent[key] += 1
-            if self._sent[key] >= times:
+            if self._sent[key] >= max_transmissions:
                 del self._sent[key]
         return chosen
 
--- a/dewridge/membership/prober.py
+++ b/dewridge/membership/prober.py
@@ -6,7 +6,7 @@
 import trio
 
 from dewridge.ids import HostId
-from dewridge.membership.exchanges import Exchanges, Relayed
+from dewridge.membership.exchanges import MessageExchange, RelayResult
 from dewridge.membership.health import LocalHealth
 from dewridge.membership.model import Member, MemberState
 from dewridge.membership.state import GroupState
@@ -85,7 +85,7 @@
         self,
         *,
         settings: MembershipSettings,
-        exchanges: Exchanges,
+        exchanges: MessageExchange,
         state: GroupState,
         health: LocalHealth,
         random: Random,
@@ -103,25 +103,25 @@
         state.wake_spreader = self._wake
         state.subscribe(self._note_member)
 
-    async def probe_in_turn(self) -> None:
+    async def run_probes(self) -> None:
         """Probe one member each period, for ever."""
         async with trio.open_nursery() as nursery:
             due = trio.current_time()
             while True:
-                due += self.find_period() * self._health.stretch
+                due += self.find_period() * self._health.timeout_multiplier
                 await trio.sleep_until(due)
                 late = trio.current_time() - due
                 if late > self._settings.probe_timeout:
                     self._note_late(late)
                     due = trio.current_time()
-                if self._exchanges.has_given_up:
+                if self._exchanges.is_terminated:
                     continue
-                self._state.expire(trio.current_time(), self._health.stretch)
+                self._state.expire(trio.current_time(), self._health.timeout_multiplier)
                 target = self._order.take(self._list_others())
                 if target is not None:
                     nursery.start_soon(self._check, target)
 
-    async def spread_news(self) -> None:
+    async def run_urgent_updates(self) -> None:
         """Pass on urgent news at once, for ever."""
         async with trio.open_nursery() as nursery:
             while True:
@@ -135,7 +135,7 @@
                             self._exchanges.probe, target, self._find_timeout()
                         )
 
-    async def tell_now(self, contacts: int) -> None:
+    async def send_updates_now(self, contacts: int) -> None:
         """Tell some members the news and wait until they have it."""
         async with trio.open_nursery() as nursery:
             for target in self._choose(contacts):
@@ -163,7 +163,7 @@
         # This process did not get its processor, or was stopped. Probes and
         # suspicions measured across that gap say nothing of the others.
         self._metrics.add("membership_late_timers")
-        self._health.note_own_fault()
+        self._health.record_local_fault()
         if late > self._settings.suspicion / 2:
             self._state.table.restart_suspicions(trio.current_time())
 
@@ -171,40 +171,42 @@
         timeout = self._find_timeout()
         began = trio.current_time()
         if await self._exchanges.probe(target, timeout):
-            self._health.note_answered()
+            self._health.record_answered_probe()
             return
         answers = await self._ask_others(target, timeout)
-        if Relayed.REACHED in answers:
+        if RelayResult.REACHED in answers:
             self._metrics.add("membership_probes_relayed")
             return
         if trio.current_time() - began > 4 * timeout:
             # The timers above end after three timeouts; this one fired far too late,
             # so the replies may well lie here unread.
-            self._health.note_own_fault()
+            self._health.record_local_fault()
             return
-        if answers and Relayed.NOT_REACHED not in answers:
+        if answers and RelayResult.NOT_REACHED not in answers:
             # Not one of several members answered. Rather than that all of them are
             # gone, it is this host that is slow or cut off.
-            self._health.note_own_fault()
+            self._health.record_local_fault()
         self._metrics.add("membership_probes_failed")
-        self._state.note(self._state.table.suspect(target, trio.current_time()))
+        self._state.handle_changes(
+            self._state.table.suspect(target, trio.current_time())
+        )
 
-    async def _ask_others(self, target: Member, timeout: float) -> list[Relayed]:
+    async def _ask_others(self, target: Member, timeout: float) -> list[RelayResult]:
         """Try again over a new connection, and over relays, until one reaches it."""
         relays = [m for m in self._choose(self._settings.relays + 1) if m != target]
-        answers: list[Relayed] = []
+        answers: list[RelayResult] = []
         async with trio.open_nursery() as nursery:
 
             async def ask(relay: Member) -> None:
                 answers.append(await self._exchanges.relay(relay, target, timeout))
-                if answers[-1] is Relayed.REACHED:
+                if answers[-1] is RelayResult.REACHED:
                     nursery.cancel_scope.cancel()
 
             async def try_again() -> None:
                 # The first probe may have gone over a connection that went silent
                 # on the way; the transport opens a new one after such a loss.
                 if await self._exchanges.probe(target, timeout):
-                    answers.append(Relayed.REACHED)
+                    answers.append(RelayResult.REACHED)
                     nursery.cancel_scope.cancel()
 
             nursery.start_soon(try_again)
@@ -213,7 +215,7 @@
         return answers
 
     def _find_timeout(self) -> float:
-        return self._settings.probe_timeout * self._health.stretch
+        return self._settings.probe_timeout * self._health.timeout_multiplier
 
     def _list_others(self) -> list[Member]:
         return self._state.table.list_live()[1:]
--- a/dewridge/membership/ranking.py
+++ b/dewridge/membership/ranking.py
@@ -21,7 +21,7 @@
     return xxhash.xxh3_64_intdigest(f"{subject}|{member.host}".encode()), member.host
 
 
-def find_home(request: RequestId, members: Iterable[Member]) -> list[Member]:
+def make_preference_list(request: RequestId, members: Iterable[Member]) -> list[Member]:
     """Order the members that may hold a request: one a failure domain.
 
     Of each failure domain it takes the host ranked first, so that the loss of
@@ -29,7 +29,7 @@
     """
     home: list[Member] = []
     domains = set()
-    for member in rank_members(request, (m for m in members if m.takes_work)):
+    for member in rank_members(request, (m for m in members if m.accepts_work)):
         if member.failure_domain not in domains:
             domains.add(member.failure_domain)
             home.append(member)
@@ -47,9 +47,9 @@
     domains than that, other hosts of any failure domain fill the places.
     """
     known = list(members)
-    home = [m for m in find_home(request, known) if m.host != owner.host]
+    home = [m for m in make_preference_list(request, known) if m.host != owner.host]
     chosen = [m for m in home if m.failure_domain != owner.failure_domain][:count]
-    spare = [m for m in rank_members(request, known) if m.takes_work]
+    spare = [m for m in rank_members(request, known) if m.accepts_work]
     for member in spare:
         if len(chosen) >= count:
             break
@@ -64,6 +64,6 @@
     Views of the membership differ for a while, so two hosts may both say yes;
     a duty must be harmless when carried out twice.
     """
-    live = [member for member in view.members() if member.takes_work]
+    live = [member for member in view.members() if member.accepts_work]
     first = rank_members(duty, live)[:holders]
-    return any(member.host == view.me.host for member in first)
+    return any(member.host == view.local_member.host for member in first)
--- a/dewridge/membership/rumors.py
+++ b/dewridge/membership/rumors.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from dewridge.membership.buckets import Buckets, find_bucket
+from dewridge.membership.buckets import BucketHashes, find_bucket
 from dewridge.membership.model import Rumor
 
 PAYLOAD_LIMIT = 16_384
 """Bytes of one payload. Rumors ride on probes, of which a node sends a few a second
 within 3 KB; longer content is fetched by those who hear of it."""
-COUNT_LIMIT = 20_000
+MAX_RUMORS = 20_000
 BYTES_LIMIT = 4_000_000
 """Bounds on what is kept: four rumors for each of 4,900 workers in a sixteenth of the
 64 MB for control. A part that spreads without end would otherwise fill every host's
@@ -20,13 +20,13 @@
 lifetime of their own. A backend server that was seen leaving is gone within minutes
 and the host list lags by less than an hour; a host that woke up after two days has no
 work left to harm. Without it a year of replaced servers would be told to each new host
-and fill COUNT_LIMIT, and then new servers would not be heard of."""
+and fill MAX_RUMORS, and then new servers would not be heard of."""
 
 ITEM_OVERHEAD = 40
 """Bytes that a rumor takes on the wire besides its texts."""
 
 
-class Reception(Enum):
+class MergeResult(Enum):
     """What became of a rumor that was heard."""
 
     NEW = "new"
@@ -44,28 +44,28 @@
 class RumorTable:
     """Rumors by kind and subject."""
 
-    def __init__(self, buckets: Buckets) -> None:
+    def __init__(self, buckets: BucketHashes) -> None:
         self._buckets = buckets
         self._kept: dict[tuple[str, str], _Kept] = {}
         self._bytes = 0
 
-    def merge(self, rumor: Rumor, age: float, now: float) -> Reception:
+    def merge(self, rumor: Rumor, age: float, now: float) -> MergeResult:
         """Keep a rumor if it is newer than what is known."""
         place = rumor.kind, rumor.subject
         known = self._kept.get(place)
         if known is not None and known.rumor.version >= rumor.version:
-            return Reception.KNOWN
+            return MergeResult.KNOWN
         if age > find_lifetime(rumor):
-            return Reception.EXPIRED
-        size = measure(rumor)
+            return MergeResult.EXPIRED
+        size = measure_rumor(rumor)
         if len(rumor.payload) > PAYLOAD_LIMIT or not self._has_room(size, known):
-            return Reception.OVER_LIMIT
+            return MergeResult.OVER_LIMIT
         if known is not None:
             self._drop(place)
         self._kept[place] = _Kept(rumor, now - age)
         self._bytes += size
         self._toggle(rumor)
-        return Reception.NEW
+        return MergeResult.NEW
 
     def find(self, kind: str, subject: str) -> Rumor | None:
         """Look up a rumor."""
@@ -97,13 +97,13 @@
 
     def _has_room(self, size: int, known: _Kept | None) -> bool:
         if known is not None:
-            size -= measure(known.rumor)
-        has_place = known is not None or len(self._kept) < COUNT_LIMIT
+            size -= measure_rumor(known.rumor)
+        has_place = known is not None or len(self._kept) < MAX_RUMORS
         return has_place and self._bytes + size <= BYTES_LIMIT
 
     def _drop(self, place: tuple[str, str]) -> None:
         kept = self._kept.pop(place)
-        self._bytes -= measure(kept.rumor)
+        self._bytes -= measure_rumor(kept.rumor)
         self._toggle(kept.rumor)
 
     def _toggle(self, rumor: Rumor) -> None:
@@ -116,7 +116,7 @@
         return len(self._kept)
 
 
-def measure(rumor: Rumor) -> int:
+def measure_rumor(rumor: Rumor) -> int:
     """Return about how many bytes a rumor takes in a message."""
     texts = len(rumor.kind) + len(rumor.subject) + len(rumor.payload)
     return ITEM_OVERHEAD + texts
--- a/dewridge/membership/service.py
+++ b/dewridge/membership/service.py
@@ -9,7 +9,7 @@
 
 from dewridge.codes import ResultCode
 from dewridge.ids import HostId
-from dewridge.membership.exchanges import Exchanges
+from dewridge.membership.exchanges import MessageExchange
 from dewridge.membership.health import LocalHealth
 from dewridge.membership.model import Member, MemberState, Rumor
 from dewridge.membership.prober import Prober
@@ -57,8 +57,8 @@
         *,
         settings: MembershipSettings,
         peers: Peers,
-        me: Member,
-        seeds: FindSeeds,
+        local_member: Member,
+        find_seeds: FindSeeds,
         metrics: Metrics,
         seed: int,
         on_fenced: Callable[[], None] = lambda: None,
@@ -68,21 +68,21 @@
         Args:
             settings: periods and timeouts.
             peers: carries the messages.
-            me: this host's own entry.
-            seeds: finds peer addresses to join through.
+            local_member: this host's own entry.
+            find_seeds: finds peer addresses to join through.
             metrics: counters.
             seed: for all random choices.
             on_fenced: called once, when this incarnation must end: it was fenced,
                 a newer one exists, or it was declared dead while cut off.
         """
         self._random = Random(seed)
-        self._seeds = seeds
+        self._seeds = find_seeds
         self._metrics = metrics
         self._joined = trio.Event()
         self._health = LocalHealth()
-        self._state = GroupState(me, settings, metrics)
+        self._state = GroupState(local_member, settings, metrics)
         self._table = self._state.table
-        self._exchanges = Exchanges(
+        self._exchanges = MessageExchange(
             peers=peers,
             state=self._state,
             health=self._health,
@@ -101,9 +101,9 @@
     # -- MembershipView and Rumors -------------------------------------------------
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """This host's own entry."""
-        return self._table.me
+        return self._table.local_member
 
     def members(self) -> Sequence[Member]:
         """All known members, this host included, in any state but DEAD."""
@@ -119,8 +119,8 @@
 
     def spread(self, rumor: Rumor) -> None:
         """Tell all members, unless a version as high is known already."""
-        self._state.hear(rumor, 0.0, trio.current_time())
-        self._exchanges.answer_accusations()
+        self._state.receive_rumor(rumor, 0.0, trio.current_time())
+        self._exchanges.handle_local_claims()
 
     def subscribe_rumors(self, kind: str, listener: Callable[[Rumor], None]) -> None:
         """Call `listener` on each new version, and now with those known."""
@@ -128,7 +128,7 @@
 
     def check_peer(self, peer: PeerIdentity) -> Failure | None:
         """Say why a peer must not be listened to; for `PeerTransport.is_refused`."""
-        if self._table.is_gone(peer.host, peer.incarnation):
+        if self._table.is_obsolete(peer.host, peer.incarnation):
             return Failure(ResultCode.FENCED, "fenced or superseded incarnation")
         return None
 
@@ -138,8 +138,8 @@
         """Join, probe, spread and compare until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._keep_joined)
-            nursery.start_soon(self._prober.probe_in_turn)
-            nursery.start_soon(self._prober.spread_news)
+            nursery.start_soon(self._prober.run_probes)
+            nursery.start_soon(self._prober.run_urgent_updates)
             nursery.start_soon(self._compare_in_turn)
 
     async def wait_joined(self) -> None:
@@ -148,20 +148,20 @@
 
     async def leave(self) -> None:
         """Announce that this host goes, to some members before returning."""
-        if self.me.state is not MemberState.LEAVING:
-            self._state.note_me(self._table.leave())
-        await self._prober.tell_now(LEAVE_CONTACTS)
+        if self.local_member.state is not MemberState.LEAVING:
+            self._state.broadcast_local_member(self._table.leave())
+        await self._prober.send_updates_now(LEAVE_CONTACTS)
 
     async def describe(self) -> dict[str, Any]:
         """Return the membership as this host sees it, for a dump."""
         return {
-            "me": _describe(self.me),
+            "me": _describe(self.local_member),
             "joined": self._joined.is_set(),
-            "given_up": self._exchanges.has_given_up,
-            "stretch": self._health.stretch,
+            "given_up": self._exchanges.is_terminated,
+            "stretch": self._health.timeout_multiplier,
             "members": [_describe(member) for member in self._table.others()],
             "rumors": len(self._state.rumors),
-            "news": self._state.news_count,
+            "news": self._state.pending_update_count,
         }
 
     async def _keep_joined(self) -> None:
@@ -174,7 +174,7 @@
             await trio.sleep(
                 self._find_search_period() * self._random.uniform(0.5, 1.5)
             )
-            if self._exchanges.has_given_up:
+            if self._exchanges.is_terminated:
                 continue
             if self._is_alone():
                 await self._join()
@@ -209,8 +209,8 @@
         pause = self._find_compare_period()
         while True:
             await trio.sleep(pause * self._random.uniform(0.5, 1.5))
-            others = [m for m in self._table.list_live()[1:] if m.takes_work]
-            if not others or self._exchanges.has_given_up:
+            others = [m for m in self._table.list_live()[1:] if m.accepts_work]
+            if not others or self._exchanges.is_terminated:
                 continue
             address = self._random.choice(others).address
             moved = await self._exchanges.compare(address, JOIN_TIMEOUT)
--- a/dewridge/membership/state.py
+++ b/dewridge/membership/state.py
@@ -8,7 +8,7 @@
 from loguru import logger as log
 
 from dewridge.ids import HostId, Incarnation
-from dewridge.membership.buckets import Buckets
+from dewridge.membership.buckets import BucketHashes
 from dewridge.membership.messages import (
     make_record,
     make_rumor,
@@ -17,8 +17,13 @@
     read_rumors,
 )
 from dewridge.membership.model import FENCED_RUMOR, Member, MemberState, Rumor
-from dewridge.membership.news import News, NewsKey, NewsKind, count_transmissions
-from dewridge.membership.rumors import Reception, RumorTable, measure
+from dewridge.membership.news import (
+    UpdateKey,
+    UpdateKind,
+    UpdateQueue,
+    count_transmissions,
+)
+from dewridge.membership.rumors import MergeResult, RumorTable, measure_rumor
 from dewridge.membership.table import MemberTable
 from dewridge.metrics.registry import Metrics
 from dewridge.peers.model import Message
@@ -64,13 +69,13 @@
     def __init__(
         self, me: Member, settings: MembershipSettings, metrics: Metrics
     ) -> None:
-        self.buckets = Buckets()
+        self.buckets = BucketHashes()
         self.table = MemberTable(me, self.buckets, settings.suspicion)
         self.rumors = RumorTable(self.buckets)
         self.wake_spreader: Callable[[], None] = lambda: None
         self._multiplier = settings.retransmissions
         self._metrics = metrics
-        self._news = News()
+        self._news = UpdateQueue()
         self._listeners: list[Listener] = []
         self._rumor_listeners: dict[str, list[RumorListener]] = {}
         self._told: dict[HostId, tuple[Incarnation, MemberState]] = {}
@@ -91,40 +96,42 @@
         rumors: list[Message] | None,
         now: float,
         *,
-        hearsay: bool = False,
+        from_sync: bool = False,
     ) -> int:
         """Take in what a message tells; returns how many items were new."""
         items = len(records or []) + len(rumors or [])
-        is_news = not hearsay or items <= HEARSAY_NEWS
+        is_news = not from_sync or items <= HEARSAY_NEWS
         count = 0
         for claim in read_members(records):
-            changes = self.table.merge(claim, now, hearsay=hearsay)
-            count += self.note(changes, is_news=is_news)
+            changes = self.table.merge(claim, now, from_sync=from_sync)
+            count += self.handle_changes(changes, is_broadcast=is_news)
         for rumor, age in read_rumors(rumors):
-            count += self.hear(rumor, age, now, is_news=is_news)
+            count += self.receive_rumor(rumor, age, now, is_broadcast=is_news)
         return count
 
-    def note(self, changes: Iterable[Member], *, is_news: bool = True) -> int:
+    def handle_changes(
+        self, changes: Iterable[Member], *, is_broadcast: bool = True
+    ) -> int:
         """Tell listeners, and others if it is news, of changes; returns how many."""
         count = 0
         for member in changes:
             count += 1
-            if is_news:
-                key = NewsKey(NewsKind.MEMBER, member.host)
-                self._news.add(key, is_pressing=_is_pressing(member))
+            if is_broadcast:
+                key = UpdateKey(UpdateKind.MEMBER, member.host)
+                self._news.add(key, is_urgent=_is_pressing(member))
             self._tell(member)
-        if count and is_news:
+        if count and is_broadcast:
             self.wake_spreader()
         return count
 
-    def note_me(self, me: Member) -> None:
+    def broadcast_local_member(self, me: Member) -> None:
         """Tell other members of a change of this host's own entry."""
-        self._news.add(NewsKey(NewsKind.MEMBER, me.host), is_pressing=True)
+        self._news.add(UpdateKey(UpdateKind.MEMBER, me.host), is_urgent=True)
         self.wake_spreader()
         log.info("this host is {}, refutation {}", me.state.name, me.refutation)
 
-    def hear(
-        self, rumor: Rumor, age: float, now: float, *, is_news: bool = True
+    def receive_rumor(
+        self, rumor: Rumor, age: float, now: float, *, is_broadcast: bool = True
     ) -> bool:
         """Keep a rumor, tell listeners, and others if it is news.
 
@@ -132,28 +139,28 @@
             Whether it was not known.
         """
         reception = self.rumors.merge(rumor, age, now)
-        if reception is Reception.OVER_LIMIT:
+        if reception is MergeResult.OVER_LIMIT:
             self._metrics.add("membership_rumors_refused", kind=rumor.kind)
-        if reception is not Reception.NEW:
+        if reception is not MergeResult.NEW:
             return False
         self._metrics.add("membership_rumors_heard", kind=rumor.kind)
-        if is_news:
-            key = NewsKey(NewsKind.RUMOR, rumor.kind, rumor.subject)
-            self._news.add(key, is_pressing=not rumor.routine)
-        if is_news and not rumor.routine:
+        if is_broadcast:
+            key = UpdateKey(UpdateKind.RUMOR, rumor.kind, rumor.subject)
+            self._news.add(key, is_urgent=not rumor.routine)
+        if is_broadcast and not rumor.routine:
             self.wake_spreader()
         if rumor.kind == FENCED_RUMOR:
             host, incarnation = HostId(rumor.subject), Incarnation(rumor.version)
-            self.note(self.table.fence(host, incarnation, now))
+            self.handle_changes(self.table.fence(host, incarnation, now))
         for listener in self._rumor_listeners.get(rumor.kind, []):
             self._call(listener, rumor)
         return True
 
-    def take_news(
+    def select_updates(
         self,
         now: float,
         about: Member | None = None,
-        known: frozenset[NewsKey] = frozenset(),
+        known: frozenset[UpdateKey] = frozenset(),
     ) -> tuple[list[Message], list[Message]]:
         """Return the records and rumors for one message.
 
@@ -166,7 +173,7 @@
         times = count_transmissions(self._multiplier, self.table.alive_count)
         if len(self._news) > BACKLOG:
             times = min(times, BACKLOG_TRANSMISSIONS)
-        keys = self._news.take(self._measure, NEWS_BYTES, times, known)
+        keys = self._news.select_for_message(self._measure, NEWS_BYTES, times, known)
         members = [self.table.find(HostId(k.subject)) for k in keys if _is_member(k)]
         records = [make_record(member) for member in members if member is not None]
         if about is not None and about.state in _DOUBTED:
@@ -177,7 +184,7 @@
         rumors = [rumor for rumor in heard if rumor is not None]
         return records, self.make_rumors(rumors, now)
 
-    def make_doubts(self) -> list[Message]:
+    def make_suspect_records(self) -> list[Message]:
         """Return the records of the suspects that will soon count as dead.
 
         A refutation that missed this host is told no more after a second. Without
@@ -185,7 +192,7 @@
         """
         return [make_record(m) for m in self.table.list_suspects(DOUBTS)]
 
-    def find_corrections(self, records: list[Message] | None) -> list[Message]:
+    def make_corrections(self, records: list[Message] | None) -> list[Message]:
         """Return records for whoever holds a member for gone that refuted it.
 
         Its refutation may be told no more when a late claim still goes around;
@@ -205,27 +212,27 @@
 
     def make_records(self) -> list[Message]:
         """Return the records of all members that are not dead."""
-        return [make_record(m, whole=True) for m in self.table.list_live()]
+        return [make_record(m, with_addresses=True) for m in self.table.list_live()]
 
     @property
-    def news_count(self) -> int:
+    def pending_update_count(self) -> int:
         """Pieces of news still to be told."""
         return len(self._news)
 
     def expire(self, now: float, stretch: float) -> None:
         """Let suspicions and lifetimes run out."""
-        self.note(self.table.expire(now, stretch))
+        self.handle_changes(self.table.expire(now, stretch))
         self.rumors.expire(now)
         if len(self._told) > 2 * TOLD_LIMIT:
             known = {member.host for member in self.table.others()}
             self._told = {h: told for h, told in self._told.items() if h in known}
 
-    def _measure(self, key: NewsKey) -> int | None:
-        if key.kind is NewsKind.MEMBER:
+    def _measure(self, key: UpdateKey) -> int | None:
+        if key.kind is UpdateKind.MEMBER:
             member = self.table.find(HostId(key.subject))
             return None if member is None else measure_record(member)
         rumor = self.rumors.find(key.subject, key.detail)
-        return None if rumor is None else measure(rumor)
+        return None if rumor is None else measure_rumor(rumor)
 
     def _tell(self, member: Member) -> None:
         now_told = member.incarnation, member.state
@@ -245,12 +252,12 @@
             log.opt(exception=error).error("a listener failed")
 
 
-def name_news(
+def list_update_keys(
     records: list[Message] | None, rumors: list[Message] | None
-) -> frozenset[NewsKey]:
+) -> frozenset[UpdateKey]:
     """Return what a message tells of."""
-    told = [NewsKey(NewsKind.MEMBER, record.host) for record in records or []]
-    told += [NewsKey(NewsKind.RUMOR, r.kind, r.subject) for r in rumors or []]
+    told = [UpdateKey(UpdateKind.MEMBER, record.host) for record in records or []]
+    told += [UpdateKey(UpdateKind.RUMOR, r.kind, r.subject) for r in rumors or []]
     return frozenset(told)
 
 
@@ -258,5 +265,5 @@
     return member.state is not MemberState.ALIVE or member.refutation > 0
 
 
-def _is_member(key: NewsKey) -> bool:
-    return key.kind is NewsKind.MEMBER
+def _is_member(key: UpdateKey) -> bool:
+    return key.kind is UpdateKind.MEMBER
--- a/dewridge/membership/table.py
+++ b/dewridge/membership/table.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from dewridge.ids import HostId, Incarnation
-from dewridge.membership.buckets import Buckets, find_bucket
+from dewridge.membership.buckets import BucketHashes, find_bucket
 from dewridge.membership.model import Member, MemberState
 
 DEAD_KEPT = 21_600.0
@@ -32,7 +32,7 @@
 itself raises its refutation, and so overrules what others claim."""
 
 
-class Accusation(Enum):
+class LocalClaim(Enum):
     """What others claim of this host itself."""
 
     SUSPECT = "suspect"
@@ -50,18 +50,18 @@
 class MemberTable:
     """Members by host, each in its newest incarnation."""
 
-    def __init__(self, me: Member, buckets: Buckets, suspicion: float) -> None:
+    def __init__(self, me: Member, buckets: BucketHashes, suspicion: float) -> None:
         self._me = me
         self._buckets = buckets
         self._suspicion = suspicion
         self._entries: dict[HostId, _Entry] = {}
         self._fenced: dict[HostId, Incarnation] = {}
-        self._accusations: set[Accusation] = set()
+        self._accusations: set[LocalClaim] = set()
         self._alive = 1
         self._toggle(me)
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """This host's own entry."""
         return self._me
 
@@ -96,7 +96,7 @@
         known = self.find(claim.host)
         return known is None or _rank(claim) > _rank(known)
 
-    def is_gone(self, host: HostId, incarnation: Incarnation) -> bool:
+    def is_obsolete(self, host: HostId, incarnation: Incarnation) -> bool:
         """Whether an incarnation is fenced, or older than one that is known."""
         if incarnation <= self._fenced.get(host, 0):
             return True
@@ -104,14 +104,14 @@
         return known is not None and known.incarnation > incarnation
 
     def merge(
-        self, claim: Member, now: float, *, hearsay: bool = False
+        self, claim: Member, now: float, *, from_sync: bool = False
     ) -> list[Member]:
         """Take in a claim about a member.
 
         Args:
             claim: what another member believes.
             now: the time.
-            hearsay: whether it comes from comparing all that both know, in
+            from_sync: whether it comes from comparing all that both know, in
                 place of news. A death is then first taken as a suspicion: when
                 a cut between two halves heals, each holds the other's members
                 for dead, and taking that over would kill all of both at once.
@@ -128,7 +128,7 @@
         if known is None and (claim.state is MemberState.DEAD or not claim.address):
             return []
         if known is not None:
-            claim = self._complete(claim, known.member, hearsay)
+            claim = self._complete(claim, known.member, from_sync)
             if _rank(claim) <= _rank(known.member):
                 return []
         return self._put(claim, now)
@@ -147,7 +147,7 @@
             del self._fenced[next(iter(self._fenced))]
         if host == self._me.host:
             if self._me.incarnation <= incarnation:
-                self._accusations.add(Accusation.SUPERSEDED)
+                self._accusations.add(LocalClaim.SUPERSEDED)
             return []
         known = self._entries.get(host)
         if known is None or known.member.incarnation > incarnation:
@@ -161,7 +161,7 @@
             now: the time.
             stretch: by how much this host's own slowness lengthens the time.
         """
-        limit = now - self.find_suspicion_time() * stretch
+        limit = now - self.compute_suspicion_time() * stretch
         over = [
             entry.member
             for entry in self._entries.values()
@@ -193,7 +193,7 @@
             if entry.member.state is MemberState.SUSPECT:
                 entry.changed_at = now
 
-    def find_suspicion_time(self) -> float:
+    def compute_suspicion_time(self) -> float:
         """Return the seconds that a suspect has to refute.
 
         It grows with the logarithm of the count, as the suspicion's way to the
@@ -215,20 +215,20 @@
             )
         )
 
-    def take_accusations(self) -> set[Accusation]:
+    def pop_local_claims(self) -> set[LocalClaim]:
         """Return what was claimed of this host since the last call."""
         accusations, self._accusations = self._accusations, set()
         return accusations
 
     def _hear_of_me(self, claim: Member) -> None:
         if claim.incarnation > self._me.incarnation:
-            self._accusations.add(Accusation.SUPERSEDED)
+            self._accusations.add(LocalClaim.SUPERSEDED)
         elif _rank(claim) <= _rank(self._me):
             return
         elif claim.state is MemberState.DEAD:
-            self._accusations.add(Accusation.DEAD)
+            self._accusations.add(LocalClaim.DEAD)
         else:
-            self._accusations.add(Accusation.SUSPECT)
+            self._accusations.add(LocalClaim.SUSPECT)
         if claim.incarnation == self._me.incarnation:
             top = max(self._me.refutation, claim.refutation)
             self._replace_me(replace(self._me, refutation=top))
--- a/dewridge/policy/entry.py
+++ b/dewridge/policy/entry.py
@@ -20,7 +20,7 @@
         """Failure domain of the host."""
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether the host accepts new work."""
 
 
@@ -44,7 +44,7 @@
         caller: names a caller within the account, such as its address. It spreads the
             callers of a large account, which would otherwise all use the same host.
     """
-    live = [member for member in members if member.takes_work]
+    live = [member for member in members if member.accepts_work]
     subject = f"{account}|{caller}"
     live.sort(key=lambda member: _score(subject, member.host))
     domain_counts: dict[FailureDomain, int] = {}
--- a/dewridge/requests/claiming.py
+++ b/dewridge/requests/claiming.py
@@ -112,7 +112,7 @@
         bucket = find_bucket(
             intent.request, settings.claim_window, settings.claim_buckets
         )
-        members = [m for m in self._shared.membership.members() if m.takes_work]
+        members = [m for m in self._shared.membership.members() if m.accepts_work]
         ranked = rank_members(f"claims/{bucket}", members)
         if ranked and ranked[0].host != self._shared.local_member.host:
             message = wire.Claim(bucket=bucket, requests=[encode_intent(intent)])
--- a/dewridge/requests/committer.py
+++ b/dewridge/requests/committer.py
@@ -204,7 +204,7 @@
         return grants
 
     def _count_writers(self) -> int:
-        members = sum(1 for m in self._shared.membership.members() if m.takes_work)
+        members = sum(1 for m in self._shared.membership.members() if m.accepts_work)
         return min(members, self._shared.settings.claim_buckets)
 
     def _note_reachable(self, reachable: bool) -> None:
--- a/dewridge/requests/ending.py
+++ b/dewridge/requests/ending.py
@@ -7,7 +7,7 @@
 
 from dewridge.codes import TABLE, Outcome, ResultCode
 from dewridge.ids import HostId
-from dewridge.membership.ranking import find_home
+from dewridge.membership.ranking import make_preference_list
 from dewridge.policy.model import Abandoned
 from dewridge.requests.answers import Answer
 from dewridge.requests.model import EndedEvent
@@ -105,7 +105,7 @@
         that ask again by the key get it in place of "unknown".
         """
         hosts = set(record.replicas)
-        home = find_home(record.request, self._shared.membership.members())
+        home = make_preference_list(record.request, self._shared.membership.members())
         hosts |= {m.host for m in home[: self._shared.query_fanout]}
         self._shared.metrics.add("requests_delivered_late")
         self._shared.table.store(record, self._shared.clock())
--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -6,7 +6,7 @@
 from dewridge.codes import Outcome, ResultCode
 from dewridge.ids import HostId, Incarnation, RequestId
 from dewridge.membership.model import Member, MemberState
-from dewridge.membership.ranking import find_home
+from dewridge.membership.ranking import make_preference_list
 from dewridge.peers.wire import ttypes as wire
 from dewridge.requests.answers import Answer, adopt, renew_generation
 from dewridge.requests.attempts import Attempts
@@ -139,7 +139,7 @@
             if host == self._shared.local_member.host:
                 return True
             member = self._shared.membership.find(host)
-            if member is not None and member.takes_work:
+            if member is not None and member.accepts_work:
                 return False
         return True
 
@@ -246,7 +246,7 @@
         is asked as well: the request may have ended long ago under an owner of
         which this copy's owner, cut off or paused, never heard.
         """
-        home = find_home(record.request, self._shared.membership.members())
+        home = make_preference_list(record.request, self._shared.membership.members())
         asked = {self._shared.local_member.host}
         answered: set[HostId] = set()
         hosts = {*others, *(m.host for m in home[: self._shared.query_fanout])} - asked
--- a/dewridge/requests/following.py
+++ b/dewridge/requests/following.py
@@ -11,7 +11,7 @@
 
 from dewridge.codes import Outcome, ResultCode
 from dewridge.ids import Generation, HostId, RequestId
-from dewridge.membership.ranking import find_home, rank_members
+from dewridge.membership.ranking import make_preference_list, rank_members
 from dewridge.peers.model import PeerIdentity
 from dewridge.peers.wire import ttypes as wire
 from dewridge.requests.answers import Answer, Close, make_whole
@@ -306,9 +306,9 @@
         members = [
             member
             for member in self._shared.membership.members()
-            if member.takes_work and member.host != self._shared.local_member.host
+            if member.accepts_work and member.host != self._shared.local_member.host
         ]
-        home = find_home(request, members)
+        home = make_preference_list(request, members)
         rest = [m for m in rank_members(request, members) if m not in home]
         addresses = [member.frontend_address for member in home + rest]
         return tuple(addresses[:MOVED_ADDRESSES])
--- a/dewridge/requests/handoff.py
+++ b/dewridge/requests/handoff.py
@@ -212,11 +212,11 @@
     def _find_targets(self, record: Record) -> list[HostId]:
         members = {m.host: m for m in self._shared.membership.members()}
         replicas = [h for h in record.replicas if h in members]
-        live = [h for h in replicas if members[h].takes_work]
+        live = [h for h in replicas if members[h].accepts_work]
         rest = [
             h
             for h, member in members.items()
-            if member.takes_work
+            if member.accepts_work
             and h not in live
             and h != self._shared.local_member.host
         ]
--- a/dewridge/requests/locating.py
+++ b/dewridge/requests/locating.py
@@ -8,7 +8,7 @@
 from dewridge.codes import Outcome
 from dewridge.ids import HostId, RequestId
 from dewridge.membership.model import MemberState
-from dewridge.membership.ranking import find_home
+from dewridge.membership.ranking import make_preference_list
 from dewridge.peers.wire import ttypes as wire
 from dewridge.requests.codec import decode_end, decode_record
 from dewridge.requests.records import Record
@@ -75,7 +75,7 @@
         return found if found is not None and found.is_owner else None
 
     async def _ask_home(self, request: RequestId) -> list[Located]:
-        home = find_home(request, self._shared.membership.members())
+        home = make_preference_list(request, self._shared.membership.members())
         reach = [m.host for m in home[: self._shared.query_fanout]]
         found: list[Located] = []
 
@@ -103,7 +103,7 @@
             replace(member, state=MemberState.ALIVE)
             for member in self._shared.membership.members()
         ]
-        home = find_home(request, members)
+        home = make_preference_list(request, members)
         hosts = {m.host for m in home[: self._shared.query_fanout]} | also
         hosts.discard(self._shared.local_member.host)
         whole = Whole()
--- a/dewridge/requests/refusals.py
+++ b/dewridge/requests/refusals.py
@@ -14,7 +14,7 @@
 from dewridge.codes import ResultCode
 from dewridge.ids import HostId, RequestId
 from dewridge.membership.model import Member, MemberState
-from dewridge.membership.ranking import find_home
+from dewridge.membership.ranking import make_preference_list
 from dewridge.peers.wire import ttypes as wire
 from dewridge.requests.codec import decode_end, decode_record, encode_end
 from dewridge.requests.keys import read_request_time
@@ -71,7 +71,7 @@
             member = self._shared.membership.find(host)
             if member is not None:
                 members[host] = replace(member, state=MemberState.ALIVE)
-        preference_list = find_home(request, members.values())
+        preference_list = make_preference_list(request, members.values())
         queried_hosts = {m.host for m in preference_list[: self._shared.query_fanout]}
         return any(host in queried_hosts for host in failed_hosts)
 
@@ -142,7 +142,9 @@
         ballot: Ballot,
         extra_hosts: frozenset[HostId],
     ) -> dict[HostId, Any]:
-        preference_list = find_home(request, self._shared.membership.members())
+        preference_list = make_preference_list(
+            request, self._shared.membership.members()
+        )
         queried_hosts = {
             m.host for m in preference_list[: self._shared.query_fanout]
         } | extra_hosts
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -230,7 +230,7 @@
         hosts = sorted(
             member.host
             for member in self._shared.membership.members()
-            if member.takes_work or member.host == self._shared.local_member.host
+            if member.accepts_work or member.host == self._shared.local_member.host
         )
         index = hosts.index(self._shared.local_member.host)
         now = self._shared.clock()
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -107,7 +107,7 @@
             membership=membership,
             clock=clock,
             metrics=metrics,
-            table=RecordTable(membership.me.host),
+            table=RecordTable(membership.local_member.host),
             jobs=Jobs(metrics),
         )
         suspects = SuspectRequests(shared, rumors, probe_server)
@@ -365,7 +365,7 @@
         members = [
             m
             for m in self._shared.membership.members()
-            if m.takes_work and m.host != local_member.host
+            if m.accepts_work and m.host != local_member.host
         ]
         local_usage = self._usage.read_local()
         usage_by_process = {(local_member.host, local_member.incarnation): local_usage}
--- a/dewridge/requests/shared.py
+++ b/dewridge/requests/shared.py
@@ -78,7 +78,7 @@
     @property
     def local_member(self) -> Member:
         """Return the membership entry of this host."""
-        return self.membership.me
+        return self.membership.local_member
 
     @property
     def query_fanout(self) -> int:
@@ -100,7 +100,7 @@
         if not self.leaving:
             return False
         members = self.membership.members()
-        return any(m.takes_work and m.host != self.local_member.host for m in members)
+        return any(m.accepts_work and m.host != self.local_member.host for m in members)
 
     def make_ballot(self, request: RequestId, above_epoch: int = 0) -> Ballot:
         """Return a ballot of this host with an epoch above all known ones."""
--- a/dewridge/slopes/members.py
+++ b/dewridge/slopes/members.py
@@ -86,14 +86,14 @@
         service = MembershipService(
             settings=MembershipSettings(),
             peers=transport,
-            me=Member(
+            local_member=Member(
                 host,
                 identity.incarnation,
                 identity.failure_domain,
                 transport.address,
                 transport.address,
             ),
-            seeds=find_seeds,
+            find_seeds=find_seeds,
             metrics=self._metrics,
             seed=seed * 10_000 + number,
         )
--- a/dewridge/slopes/tables.py
+++ b/dewridge/slopes/tables.py
@@ -21,7 +21,7 @@
 
 from dewridge.configuration.head import (
     Head,
-    ObjectPlace,
+    ObjectLocation,
     StoredObject,
     build_configuration,
 )
@@ -138,7 +138,7 @@
         value = Profile(ProfileName(f"profile-{number}"), choice, choice, choice)
         objects[name] = StoredObject(name, number, msgspec.json.encode(value))
     configuration, _ = build_configuration(size, objects)
-    places = {name: ObjectPlace(1, name) for name in objects}
+    places = {name: ObjectLocation(1, name) for name in objects}
     return configuration, objects, msgspec.json.encode(Head(objects=places))
 
 
--- a/dewridge/tests/fakes.py
+++ b/dewridge/tests/fakes.py
@@ -115,7 +115,7 @@
         self.others: list[FakeMembership] = []
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         return self.all[self._host]
 
     def members(self) -> list[Member]:
--- a/dewridge/tests/frontend/fakes.py
+++ b/dewridge/tests/frontend/fakes.py
@@ -102,7 +102,7 @@
         self._members = list(members)
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         return self._members[0]
 
     def members(self) -> Sequence[Member]:
--- a/dewridge/tests/membership/networks.py
+++ b/dewridge/tests/membership/networks.py
@@ -130,8 +130,8 @@
         service = MembershipService(
             settings=self.settings,
             peers=peers,
-            me=member,
-            seeds=find_seeds,
+            local_member=member,
+            find_seeds=find_seeds,
             metrics=metrics,
             seed=number * 1_000 + incarnation,
             on_fenced=partial(self.fenced.append, host),
--- a/dewridge/tests/membership/service_tests.py
+++ b/dewridge/tests/membership/service_tests.py
@@ -5,7 +5,7 @@
 import trio
 
 from dewridge.ids import HostId
-from dewridge.membership.buckets import BUCKETS
+from dewridge.membership.buckets import BUCKET_COUNT
 from dewridge.membership.model import FENCED_RUMOR, MemberState, Rumor
 from dewridge.peers.model import Message, PeerIdentity
 from dewridge.peers.wire import ttypes
@@ -93,10 +93,12 @@
         accuser = group.services["host-1"]
         victim = accuser.find(HostId("host-4"))
         assert victim is not None
-        accuser._state.note(accuser._table.suspect(victim, trio.current_time()))
+        accuser._state.handle_changes(
+            accuser._table.suspect(victim, trio.current_time())
+        )
         assert MemberState.SUSPECT in states(group, "host-4")
         await group.wait(lambda: states(group, "host-4") == {MemberState.ALIVE}, 2)
-        assert group.services["host-4"].me.refutation == 1
+        assert group.services["host-4"].local_member.refutation == 1
         await trio.sleep(10)
         assert states(group, "host-4") == {MemberState.ALIVE}
 
@@ -179,7 +181,7 @@
         await trio.sleep(10)  # the allowance for urgent news was used up by the start
         await group.services["host-7"].leave()
         await group.wait(lambda: states(group, "host-7") == {MemberState.LEAVING}, 2)
-        assert not group.services["host-7"].me.takes_work
+        assert not group.services["host-7"].local_member.accepts_work
 
     run_group(24, scenario)
 
@@ -232,7 +234,7 @@
             ttypes.Join: ttypes.JoinReply(members=[ttypes.MemberRecord()]),
             ttypes.RelayProbe: ttypes.RelayProbeReply(),
             ttypes.CompareState: ttypes.CompareStateReply(
-                differing=[-1, 99, *range(BUCKETS)],
+                differing=[-1, 99, *range(BUCKET_COUNT)],
                 members=[ttypes.MemberVersion(host="host-1")],
                 rumors=[ttypes.RumorVersion(kind="k", subject="s")],
             ),
@@ -249,6 +251,6 @@
         alive = {f"host-{n}" for n in range(8)} - {"host-3"}
         for host in alive:
             members = group.services[host].members()
-            assert alive <= {m.host for m in members if m.takes_work}
+            assert alive <= {m.host for m in members if m.accepts_work}
 
     run_group(8, scenario)
--- a/dewridge/tests/policy/entry_tests.py
+++ b/dewridge/tests/policy/entry_tests.py
@@ -25,7 +25,7 @@
     for account in range(50):
         chosen = choose_entry_hosts(f"account-{account}", make_members(9), 4)
         assert len({member.failure_domain for member in chosen}) == 4
-        assert all(member.takes_work for member in chosen)
+        assert all(member.accepts_work for member in chosen)
 
 
 def test_accounts_and_callers_are_spread_evenly() -> None:
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -166,7 +166,7 @@
     """One host's view; the deployment tells it what its probes would find."""
 
     def __init__(self, me: Member) -> None:
-        self.me = me
+        self.local_member = me
         self.known: dict[HostId, Member] = {me.host: me}
         self.listeners: list[Callable[[Member], None]] = []
         self.rumor_listeners: dict[str, list[Callable[[Rumor], None]]] = {}
@@ -186,8 +186,8 @@
         if self.known.get(member.host) == member:
             return
         self.known[member.host] = member
-        if member.host == self.me.host:
-            self.me = member
+        if member.host == self.local_member.host:
+            self.local_member = member
         for listener in self.listeners:
             listener(member)
 
@@ -490,8 +490,11 @@
         view = FakeMembership(member)
         view.others = self.views
         for other in self.views.values():
-            if other.me.host != name and not self.nodes[other.me.host].is_dead:
-                view.known[other.me.host] = other.me
+            if (
+                other.local_member.host != name
+                and not self.nodes[other.local_member.host].is_dead
+            ):
+                view.known[other.local_member.host] = other.local_member
         self.nodes[name] = node
         self.views[name] = view
         node.service = RequestService(
