--- a/dewridge/configuration/__init__.py
+++ b/dewridge/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Profiles and services: revisions, acceptance and spreading."""
+"""Profiles and services: their revisions, acceptance of changes and distribution."""
--- a/dewridge/configuration/checks.py
+++ b/dewridge/configuration/checks.py
@@ -1,11 +1,11 @@
-"""Checks of what operators publish: all problems at once, a plain line each."""
+"""Validation of published profiles and services; reports all problems at once."""
 
 from dewridge.configuration.model import Configuration, Profile, Service
 from dewridge.policy.registry import check_profile
 
 
 def check_profile_change(profile: Profile) -> list[str]:
-    """Return what is wrong with a profile."""
+    """Return the problems of a profile, one line each."""
     problems = [] if profile.name else ["the profile has no name"]
     if "/" in profile.name:
         problems.append("a profile's name holds no slash")
@@ -13,7 +13,7 @@
 
 
 def check_service_change(service: Service, configuration: Configuration) -> list[str]:
-    """Return what is wrong with a service, also with regard to its profile."""
+    """Return the problems of a service and of its reference to a profile."""
     problems = [] if service.name else ["the service has no name"]
     if "/" in service.name:
         problems.append("a service's name holds no slash")
--- a/dewridge/configuration/freshness.py
+++ b/dewridge/configuration/freshness.py
@@ -1,4 +1,4 @@
-"""Whether a host may trust the configuration that it has; pure."""
+"""Tracks whether this host's configuration may be outdated. No I/O."""
 
 from dataclasses import dataclass, field
 
@@ -7,38 +7,42 @@
 from dewridge.membership.model import Member, MemberState
 from dewridge.sentinels import Failure
 
-LOST_MEMORY = 60.0
-"""Seconds that a host which went without a word counts among the known ones. A
-cut looks like a crash from inside; a minute outlives every cut that is shorter
-than the suspicion and restart of a real crash."""
+LOST_HOST_SECONDS = 60.0
+"""Seconds that a host which failed without leaving counts as a known host. From
+inside, a partition looks like crashes of the other hosts; a minute is longer than
+any partition shorter than the suspicion and restart of a real crash."""
 
 
 @dataclass
 class Freshness:
-    """Remembers when the configuration was last confirmed, and who is missing.
+    """Tracks when the configuration was last confirmed and which hosts were lost.
 
-    A change may be accepted by hosts that this one can't hear. It would go on
-    under the old configuration without anyone noticing; so it stops admitting
-    unless, within the limit, the key-value service confirmed its revision or
-    it has been among a majority of the known hosts. A change is only accepted
-    by a host among a majority, so two sides of a cut never both go on.
+    Hosts that this one can't reach may have accepted a change, and this host
+    would continue under the old configuration unnoticed. It therefore stops
+    admitting requests unless, within the limit, the key-value service confirmed
+    its revision or it was among a majority of the known hosts. A change is only
+    accepted by a host among a majority, so the two sides of a partition never
+    both continue.
 
     Attributes:
-        limit: seconds that a confirmation holds. Shorter than the time in which
-            a change must be in force everywhere, less the time it spreads.
-        me: this host, which always counts as present.
+        limit: seconds that a confirmation is valid. Shorter than the time within
+            which a change must be in force everywhere, less the time that its
+            distribution takes.
+        local_host: id of this host, which always counts as present.
+        confirmed_at: when the key-value service last confirmed the revision.
+        majority_at: when this host was last among a majority of the known hosts.
     """
 
     limit: float
-    me: HostId
+    local_host: HostId
     confirmed_at: float = float("-inf")
     majority_at: float = float("-inf")
     _present: dict[HostId, Incarnation] = field(default_factory=dict)
     _lost: dict[HostId, float] = field(default_factory=dict)
 
     def handle_member_change(self, member: Member, now: float) -> None:
-        """Record a change of another member's state."""
-        if member.host == self.me:
+        """Update the present and lost hosts after another member's state changed."""
+        if member.host == self.local_host:
             return
         if member.state in (MemberState.ALIVE, MemberState.SUSPECT):
             self._present[member.host] = member.incarnation
@@ -49,28 +53,32 @@
         elif self._present.get(member.host) == member.incarnation:
             del self._present[member.host]
             self._lost[member.host] = now
-        self.look(now)
+        self.update_majority(now)
 
     def record_confirmation(self, now: float) -> None:
-        """Record that the key-value service named the revision known here."""
+        """Record that the key-value service holds the revision that this host has."""
         self.confirmed_at = max(self.confirmed_at, now)
 
-    def look(self, now: float) -> None:
-        """Note the time if this host is among a majority of the known hosts."""
-        self._lost = {h: t for h, t in self._lost.items() if t > now - LOST_MEMORY}
+    def update_majority(self, now: float) -> None:
+        """Record the time if this host is among a majority of the known hosts."""
+        self._lost = {
+            host: lost_at
+            for host, lost_at in self._lost.items()
+            if lost_at > now - LOST_HOST_SECONDS
+        }
         present = len(self._present) + 1
         known = present + len(self._lost)
         if 2 * present > known:
             self.majority_at = now
 
     def has_majority(self, now: float) -> bool:
-        """Whether this host is among a majority of the known hosts now."""
-        self.look(now)
+        """Return whether this host is now among a majority of the known hosts."""
+        self.update_majority(now)
         return self.majority_at == now
 
     def check(self, now: float) -> Failure | None:
         """Return CONFIGURATION_STALE if nothing confirmed it within the limit."""
-        self.look(now)
+        self.update_majority(now)
         if max(self.confirmed_at, self.majority_at) >= now - self.limit:
             return None
         return Failure(
--- a/dewridge/configuration/head.py
+++ b/dewridge/configuration/head.py
@@ -1,8 +1,8 @@
-"""The head of the configuration and its objects, as pure data.
+"""The head of the configuration and its objects, and their decoding. No I/O.
 
-The head names every object at one revision. An object's bytes lie under a key
-of their own that is never rewritten, so whoever has read a head can read what
-it names, and swapping the head is the one moment at which a change is accepted.
+The head lists every object at one revision. Each object's bytes are stored under
+their own key, which is never rewritten, so a reader of a head can read the objects
+that it lists. A change is accepted at the moment its head replaces the previous one.
 """
 
 from typing import TypeVar
@@ -14,27 +14,35 @@
 from dewridge.sentinels import Failure
 
 FORMAT = 1
-"""Raised when an older release could no longer write the head without harm."""
+"""Version of the head's format. It is incremented when an older release could no
+longer write the head safely."""
 
-RECENT_LIMIT = 512
-"""Changes remembered in the head. A writer whose answer was lost finds its mark
-here; at 21,000 changes a day this covers half an hour of looking back."""
+MAX_RECENT_CHANGES = 512
+"""Changes listed in the head. A writer whose answer was lost looks up its change by
+the mark; at 21,000 changes a day the list covers half an hour."""
 
 MAX_OBJECT_BYTES = 100_000
-"""Largest object in bytes; the key-value service holds values up to a megabyte."""
+"""Maximum size of an object; the key-value service stores up to 1 MB per value."""
 
 S = TypeVar("S", bound=msgspec.Struct)
 
 
 class ObjectLocation(msgspec.Struct, frozen=True):
-    """Where an object's bytes lie, and the revision that put them there."""
+    """Key of an object's bytes, and the configuration revision that wrote them."""
 
     revision: int
     key: str
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One accepted change, with the unique mark of the write that made it."""
+    """One accepted change.
+
+    Attributes:
+        revision: revision of the configuration that the change made.
+        name: the changed object, `profile/NAME` or `service/NAME`.
+        mark: unique id of the write that made the change.
+        operator: who made the change.
+    """
 
     revision: int
     name: str
@@ -43,7 +51,7 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The configuration at one revision."""
+    """List of all objects of the configuration at one revision."""
 
     format: int = FORMAT
     revision: int = 0
@@ -52,7 +60,7 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object's bytes as published, kept whole for releases that know more."""
+    """An object's bytes as published, with fields that only newer releases know."""
 
     name: str
     revision: int
@@ -60,7 +68,7 @@
 
 
 def decode_head(value: bytes) -> Head | Failure:
-    """Read a head; empty bytes are the head before the first change."""
+    """Decode a head; empty bytes are the head before the first change."""
     if not value:
         return Head()
     try:
@@ -76,61 +84,64 @@
 
 
 def advance_head(head: Head, name: str, key: str, mark: str, operator: str) -> Head:
-    """Return the head after one change."""
+    """Return the head that follows `head` after one change."""
     revision = head.revision + 1
     change = Change(revision, name, mark, operator)
     return Head(
         revision=revision,
         objects={**head.objects, name: ObjectLocation(revision, key)},
-        recent=(*head.recent, change)[-RECENT_LIMIT:],
+        recent=(*head.recent, change)[-MAX_RECENT_CHANGES:],
     )
 
 
 def find_revision_by_mark(head: Head, mark: str) -> int | None:
-    """Return the revision that a mark's change made, if the head remembers it."""
-    return next((c.revision for c in head.recent if c.mark == mark), None)
+    """Return the revision made by the write with this mark, if the head lists it."""
+    return next(
+        (change.revision for change in head.recent if change.mark == mark), None
+    )
 
 
 def decode_object(value: bytes, kind: type[S]) -> S | Failure:
-    """Read a profile or a service, leaving out fields of newer releases.
+    """Decode a profile or a service, ignoring fields that this release lacks.
 
-    A newer release may have published it during a rolling upgrade. A strict
-    reader would then drop the whole object and stop serving; what it does not
-    know, it passes over.
+    A newer release may have published the object during a rolling upgrade. With
+    strict decoding, this release would drop the whole object and stop serving it.
     """
     try:
         return msgspec.json.decode(value, type=kind)
     except msgspec.DecodeError:
         pass
     try:
-        plain = msgspec.json.decode(value)
-        return msgspec.convert(_keep_known(plain, kind), kind)
+        decoded = msgspec.json.decode(value)
+        return msgspec.convert(_select_known_fields(decoded, kind), kind)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         return Failure(ResultCode.MALFORMED_PROFILE, str(error))
 
 
-def _keep_known(plain: object, kind: type) -> object:
-    if not isinstance(plain, dict):
-        return plain
-    known = {field.name: field for field in msgspec.structs.fields(kind)}
-    kept: dict[str, object] = {}
-    for name, value in plain.items():
-        if name not in known:
+def _select_known_fields(decoded: object, kind: type) -> object:
+    if not isinstance(decoded, dict):
+        return decoded
+    known_fields = {field.name: field for field in msgspec.structs.fields(kind)}
+    selected: dict[str, object] = {}
+    for name, value in decoded.items():
+        if name not in known_fields:
             continue
-        inner = known[name].type
-        is_struct = isinstance(inner, type) and issubclass(inner, msgspec.Struct)
-        kept[name] = _keep_known(value, inner) if is_struct else value
-    return kept
+        field_type = known_fields[name].type
+        is_struct = isinstance(field_type, type) and issubclass(
+            field_type, msgspec.Struct
+        )
+        selected[name] = _select_known_fields(value, field_type) if is_struct else value
+    return selected
 
 
 def build_configuration(
     revision: int, objects: dict[str, StoredObject]
 ) -> tuple[Configuration, list[str]]:
-    """Read all objects of a revision.
+    """Decode all objects of a revision.
 
     Returns:
-        The configuration, and a line for each object that can't be read; such
-        an object is left out and its service refuses work.
+        The configuration, and a line for each object that can't be decoded. Such
+        an object is left out, and requests for its service are rejected.
     """
     profiles: dict[str, Profile] = {}
     services: dict[str, Service] = {}
--- a/dewridge/configuration/model.py
+++ b/dewridge/configuration/model.py
@@ -1,4 +1,4 @@
-"""Profiles and services as operators publish them."""
+"""Profiles and services, as published by operators."""
 
 from typing import Literal
 
@@ -15,12 +15,12 @@
 
 
 class LatencyTargets(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Targets for 95 in 100 answers, in seconds.
+    """Latency targets for the 95th percentile of answers, in seconds.
 
     Attributes:
         first_token: from acceptance to the first token.
         between_tokens: from one token to the next.
-        whole_answer: from acceptance to the end of an interactive answer.
+        whole_answer: from acceptance to the last token of an interactive answer.
     """
 
     first_token: float = 0.41
@@ -29,11 +29,11 @@
 
 
 class CostLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits on money; 0 sets none.
+    """Cost limits; 0 means no limit.
 
     Attributes:
-        per_hour: money an hour on one entry host.
-        per_answer: money for one answer.
+        per_hour: cost per hour on one entry host.
+        per_answer: cost of one answer.
     """
 
     per_hour: float = 0.0
@@ -41,7 +41,7 @@
 
 
 class Profile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A named bundle of policies, targets and limits."""
+    """A named set of policies, latency targets and cost limits."""
 
     name: ProfileName
     placement: PolicyChoice
@@ -53,11 +53,12 @@
 
 
 class Operation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One kind of call of a service.
+    """One kind of request that a service accepts.
 
     Attributes:
-        work_class: interactive work goes before background work.
-        idempotent: whether it may run twice. If not, it is claimed first.
+        work_class: interactive requests take precedence over background requests.
+        idempotent: whether a request may run twice. If not, it is claimed before it
+            runs.
         expected_tokens: typical length of an answer; 1 for a plain service.
     """
 
@@ -68,10 +69,10 @@
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A model or a plain service, with the profile that it runs under.
+    """A model or a plain service, and the profile that applies to it.
 
     Attributes:
-        shares: weight of each client account; one not named weighs 1.
+        shares: weight of each client account; an account not listed has weight 1.
     """
 
     name: ServiceName
@@ -82,7 +83,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """All that operators have published, at one revision.
+    """All published profiles and services at one revision.
 
     Attributes:
         versions: revision at which each object (`profile/NAME`,
--- a/dewridge/configuration/service.py
+++ b/dewridge/configuration/service.py
@@ -1,4 +1,4 @@
-"""Keeps this host's configuration current and takes operators' changes."""
+"""Keeps this host's configuration up to date and commits operators' changes."""
 
 import time
 from collections.abc import Callable
@@ -34,25 +34,32 @@
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import PlatformSettings
 
-WATCHERS = 2
-"""Hosts that hold a watch on the head. One would leave a gap while its failure
-is noticed; each more costs the key-value service a waiting call."""
+WATCHER_COUNT = 2
+"""Hosts that watch the head in the key-value service. With only one, changes would
+go unnoticed while its failure is detected; each further one costs the service a
+pending call."""
 
 HEAD_RUMOR = "configuration"
 CONFIRMED_RUMOR = "configuration_confirmed"
 
 CONFIRM_PERIOD = 1.5
-"""Seconds between two confirmations by a watching host. A few fit into the
-shortest stale limit, so that one lost on the way does not stop admission."""
+"""Seconds between two confirmations by a watching host. Several fit into the
+shortest stale limit, so that losing one does not stop admission."""
 
 PULL_TIMEOUT = 1.0
+"""Seconds that a pull from a peer may take."""
+
 PULL_PAUSE = 0.1
+"""Mean seconds between two pulls if the first one did not succeed."""
+
 RETRY_PAUSE = 0.5
+"""Mean seconds before the key-value service is read again after a failure, and
+seconds between checks whether this host must watch it."""
 
-ORIGIN_AFTER = 2
-"""Random peers asked before the host that accepted the change is. With 440
-hosts all asking the origin at once its answers alone would take its allowance
-of 3 KB a second for minutes; random peers share the load."""
+PULLS_BEFORE_ORIGIN = 2
+"""Pulls from random peers before the origin, the host that accepted the change, is
+tried. If 440 hosts pulled from the origin at once, its replies alone would use its
+allowance of 3 KB/s for minutes; random peers share the load."""
 
 
 class _Origin(msgspec.Struct, frozen=True):
@@ -60,10 +67,10 @@
 
 
 class ConfigurationService:
-    """The configuration in force on this host; it only moves to higher revisions.
+    """Provides the configuration in force on this host, whose revision only grows.
 
-    Few hosts watch the key-value service. The rest hear of a new revision by a
-    rumor of a few bytes and pull what changed from a peer.
+    A few hosts watch the key-value service. The others receive a rumor of a few
+    bytes about a new revision and pull the changed objects from a peer.
     """
 
     def __init__(
@@ -89,25 +96,25 @@
         self._objects: dict[str, StoredObject] = {}
         self._configuration = Configuration()
         self._freshness = Freshness(settings.stale_limit, membership.local_member.host)
-        self._heard = 0
+        self._announced_revision = 0
         self._origin = ""
-        self._news = trio.Event()
+        self._has_announcement = trio.Event()
         self._listeners: list[Callable[[Configuration], None]] = []
         peers.handle(ttypes.PullConfiguration, self._answer_pull)
-        rumors.subscribe_rumors(HEAD_RUMOR, self._hear_head)
-        rumors.subscribe_rumors(CONFIRMED_RUMOR, self._hear_confirmed)
+        rumors.subscribe_rumors(HEAD_RUMOR, self._receive_head)
+        rumors.subscribe_rumors(CONFIRMED_RUMOR, self._receive_confirmation)
         membership.subscribe(
             lambda member: self._freshness.handle_member_change(member, self._clock())
         )
 
-    # ---- what the other parts read ----------------------------------------
+    # ---- interface for other packages -------------------------------------
 
     def current(self) -> Configuration:
         """Return the configuration in force here."""
         return self._configuration
 
     def subscribe(self, listener: Callable[[Configuration], None]) -> None:
-        """Call `listener` at once and briefly on each new revision."""
+        """Call `listener` synchronously on each new revision; it must not block."""
         self._listeners.append(listener)
 
     def check_fresh(self) -> Failure | None:
@@ -121,11 +128,11 @@
         return self._freshness.check(self._clock())
 
     async def describe(self) -> dict[str, Any]:
-        """Return the state for a dump."""
+        """Return the state for a diagnostic dump."""
         now = self._clock()
         return {
             "revision": self._configuration.revision,
-            "heard": self._heard,
+            "heard": self._announced_revision,
             "profiles": sorted(self._configuration.profiles),
             "services": {
                 name: service.profile
@@ -141,27 +148,27 @@
     async def publish_profile(
         self, profile: Profile, expected: int | None, operator: OperatorName
     ) -> int | Failure:
-        """Publish or revise a profile made from object revision `expected`.
+        """Publish a profile, or revise it if it is still at object revision `expected`.
 
         Returns:
             The new revision of the configuration, or MALFORMED_PROFILE,
-            REVISION_CONFLICT, CONFIGURATION_STALE, KEY_VALUE_DOWN (none of
-            them changed anything) or CHANGE_UNKNOWN.
+            REVISION_CONFLICT, CONFIGURATION_STALE or KEY_VALUE_DOWN if nothing
+            changed, or CHANGE_UNKNOWN if the outcome is unknown.
         """
         problems = check_profile_change(profile)
         if problems:
             return Failure(ResultCode.MALFORMED_PROFILE, "; ".join(problems))
         name = f"profile/{profile.name}"
-        return await self._commit(name, profile, expected, operator, _accept_any)
+        return await self._commit(name, profile, expected, operator, _accept_any_head)
 
     async def retire_profile(
         self, name: ProfileName, expected: int | None, operator: OperatorName
     ) -> int | Failure:
-        """Retire a profile that no service runs under; PROFILE_IN_USE otherwise."""
+        """Retire a profile; fails with PROFILE_IN_USE if a service uses it."""
         profile = self._configuration.profiles.get(name)
         if profile is None:
             return Failure(ResultCode.UNKNOWN_PROFILE, f"no profile {name}")
-        users = self._find_users(name)
+        users = self._list_users(name)
         if users:
             return Failure(
                 ResultCode.PROFILE_IN_USE, f"{name} is used by {', '.join(users)}"
@@ -173,27 +180,27 @@
             retired,
             seen if expected is None else expected,
             operator,
-            self._refuse_moved_services,
+            self._reject_changed_services,
         )
 
-    def _find_users(self, profile: ProfileName) -> list[str]:
+    def _list_users(self, profile: ProfileName) -> list[str]:
         services = self._configuration.services.values()
         return sorted(s.name for s in services if s.profile == profile)
 
-    def _refuse_moved_services(self, head: Head) -> Failure | None:
-        """Refuse while services have changed that this host has not read yet.
+    def _reject_changed_services(self, head: Head) -> Failure | None:
+        """Reject a change while this host has not read all changes of services.
 
-        One of them may just have moved under the profile.
+        One of the changed services may now use the profile.
         """
-        return self._refuse_changed(head, "service/")
+        return self._reject_changed(head, "service/")
 
-    def _refuse_retired_profile(self, head: Head) -> Failure | None:
-        return self._refuse_changed(head, "profile/")
+    def _reject_changed_profiles(self, head: Head) -> Failure | None:
+        return self._reject_changed(head, "profile/")
 
-    def _refuse_changed(self, head: Head, family: str) -> Failure | None:
+    def _reject_changed(self, head: Head, family: str) -> Failure | None:
         versions = self._configuration.versions
-        for name, place in head.objects.items():
-            if name.startswith(family) and versions.get(name, 0) != place.revision:
+        for name, location in head.objects.items():
+            if name.startswith(family) and versions.get(name, 0) != location.revision:
                 return Failure(
                     ResultCode.REVISION_CONFLICT, f"{name} has just changed; try again"
                 )
@@ -211,7 +218,7 @@
             service,
             expected,
             operator,
-            self._refuse_retired_profile,
+            self._reject_changed_profiles,
         )
 
     async def move_service(
@@ -221,7 +228,7 @@
         expected: int | None,
         operator: OperatorName,
     ) -> int | Failure:
-        """Put a service under another profile; errors as `publish_profile`."""
+        """Assign another profile to a service; errors as `publish_profile`."""
         service = self._configuration.services.get(name)
         if service is None:
             return Failure(ResultCode.UNKNOWN_SERVICE, f"no service {name}")
@@ -244,8 +251,8 @@
                 ResultCode.MALFORMED_PROFILE, f"over {MAX_OBJECT_BYTES} bytes"
             )
         if not self._freshness.has_majority(self._clock()):
-            # The hosts on the other side of a cut would go on without the
-            # change; only a side with a majority may accept one.
+            # The hosts on the other side of a partition would continue without
+            # the change, so only the side with a majority may accept one.
             return Failure(
                 ResultCode.CONFIGURATION_STALE,
                 "this host sees no majority of the entry hosts",
@@ -268,19 +275,21 @@
             self._metrics.add("configuration_changes_refused", code=code)
             return accepted
         self._metrics.add("configuration_changes_accepted")
-        own = StoredObject(name, accepted.revision, value)
+        committed = StoredObject(name, accepted.revision, value)
         head = accepted.head
-        objects = await self._store.read_objects(head, {**self._objects, name: own})
+        objects = await self._store.read_objects(
+            head, {**self._objects, name: committed}
+        )
         if isinstance(objects, dict):
             self._apply(head.revision, objects)
         else:
-            self._spread(head.revision)  # whoever can read it now passes it on
+            self._announce(head.revision)  # hosts that can read it distribute it
         return accepted.revision
 
     # ---- moving to a higher revision ---------------------------------------
 
     def _apply(self, revision: int, objects: dict[str, StoredObject]) -> None:
-        """Put a higher revision in force; a lower one never replaces it."""
+        """Put a revision in force and announce it, unless it is not higher."""
         if revision <= self._configuration.revision:
             return
         configuration, problems = build_configuration(revision, objects)
@@ -289,30 +298,30 @@
             log.error("configuration revision {}: {}", revision, problem)
         self._objects = objects
         self._configuration = configuration
-        self._heard = max(self._heard, revision)
+        self._announced_revision = max(self._announced_revision, revision)
         self._metrics.set_gauge("configuration_revision", revision)
         log.info("configuration revision {} in force", revision)
         for listener in self._listeners:
             listener(configuration)
-        self._spread(revision)
+        self._announce(revision)
 
-    def _spread(self, revision: int) -> None:
+    def _announce(self, revision: int) -> None:
         origin = msgspec.json.encode(_Origin(self._membership.local_member.address))
         self._rumors.spread(Rumor(HEAD_RUMOR, "head", revision, origin))
 
-    def _hear_head(self, rumor: Rumor) -> None:
-        if rumor.version <= self._heard:
+    def _receive_head(self, rumor: Rumor) -> None:
+        if rumor.version <= self._announced_revision:
             return
-        self._heard = rumor.version
+        self._announced_revision = rumor.version
         try:
             origin = msgspec.json.decode(rumor.payload, type=_Origin)
             self._origin = origin.address
         except msgspec.DecodeError:
             self._metrics.add("configuration_rumors_malformed")
-        self._news.set()
+        self._has_announcement.set()
 
-    def _hear_confirmed(self, rumor: Rumor) -> None:
-        """Take a watching host's word that its revision is the service's own."""
+    def _receive_confirmation(self, rumor: Rumor) -> None:
+        """Apply a watching host's confirmation that its revision is the stored one."""
         if int.from_bytes(rumor.payload, "big") <= self._configuration.revision:
             self._freshness.record_confirmation(self._clock())
 
@@ -326,9 +335,9 @@
             for stored in self._objects.values()
             if stored.revision > message.revision
         ]
-        # Objects are retired, never deleted, so what has changed since the
-        # asker's revision completes what it has. The names of all objects would
-        # cost it 2 KB a second at 300 objects and 21,000 changes a day.
+        # Objects are retired, never deleted, so the peer only needs the objects
+        # changed since its revision. Sending the names of all objects would cost
+        # 2 KB/s at 300 objects and 21,000 changes a day.
         return ttypes.ConfigurationChanges(
             revision=self._configuration.revision,
             changed=changed,
@@ -339,32 +348,37 @@
     # ---- tasks ----------------------------------------------------------------
 
     async def run(self) -> None:
-        """Pull what peers have, and watch the key-value service when it falls here."""
+        """Pull from peers, and watch the key-value service while having that duty."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._pull_news)
+            nursery.start_soon(self._pull_updates)
             nursery.start_soon(self._watch)
 
-    async def _pull_news(self) -> None:
-        """Pull from peers until this host has what it heard of."""
-        tries = 0
+    async def _pull_updates(self) -> None:
+        """Pull from peers until this host has the highest revision announced."""
+        attempts = 0
         while True:
-            if self._heard <= self._configuration.revision:
-                self._news = trio.Event()
-                tries = 0
-                await self._news.wait()
-            address = self._choose_source(tries)
-            tries += 1
+            if self._announced_revision <= self._configuration.revision:
+                self._has_announcement = trio.Event()
+                attempts = 0
+                await self._has_announcement.wait()
+            address = self._choose_source(attempts)
+            attempts += 1
             if address is None or not await self._pull(address):
                 await trio.sleep(PULL_PAUSE * self._random.uniform(0.5, 1.5))
 
-    def _choose_source(self, tries: int) -> str | None:
-        me = self._membership.local_member
+    def _choose_source(self, attempts: int) -> str | None:
+        local_member = self._membership.local_member
         others = [
             member.address
             for member in self._membership.members()
-            if member.host != me.host and member.state is not MemberState.SUSPECT
+            if member.host != local_member.host
+            and member.state is not MemberState.SUSPECT
         ]
-        if tries >= ORIGIN_AFTER and tries % 2 == 0 and self._origin in others:
+        if (
+            attempts >= PULLS_BEFORE_ORIGIN
+            and attempts % 2 == 0
+            and self._origin in others
+        ):
             return self._origin
         return self._random.choice(others) if others else None
 
@@ -384,10 +398,10 @@
         return True
 
     async def _watch(self) -> None:
-        """Follow the head in the key-value service while that duty is ours.
+        """Watch the head in the key-value service while this host has that duty.
 
-        A host that knows nothing yet looks once whatever its duty, so that a
-        restart of all hosts finds the configuration again.
+        A host without a configuration reads the head even without the duty, so
+        that the configuration is found again after a restart of all hosts.
         """
         key_revision = -1
         while True:
@@ -397,13 +411,13 @@
                 continue
             read = await self._read_next(key_revision)
             if isinstance(read, Failure):
-                await self._go_on_without(read)
+                await self._handle_read_failure(read)
                 continue
             key_revision = read.key_revision
-            await self._take_head(read)
+            await self._apply_head(read)
 
     def _has_watch_duty(self) -> bool:
-        return has_duty("configuration-watch", self._membership, WATCHERS)
+        return has_duty("configuration-watch", self._membership, WATCHER_COUNT)
 
     async def _read_next(self, key_revision: int) -> VersionedHead | Failure:
         if key_revision < 0:
@@ -411,14 +425,15 @@
         timeout = min(CONFIRM_PERIOD, self._settings.watch_timeout)
         return await self._store.watch_head(key_revision, timeout)
 
-    async def _go_on_without(self, failure: Failure) -> None:
+    async def _handle_read_failure(self, failure: Failure) -> None:
+        """Confirm the revision if a watch ended without a change; else pause."""
         if failure.code is ResultCode.KEY_VALUE_TIMEOUT:
             self._confirm()
             return
         self._metrics.add("configuration_reads_failed", code=failure.code.name)
         await trio.sleep(RETRY_PAUSE * self._random.uniform(0.5, 1.5))
 
-    async def _take_head(self, read: VersionedHead) -> None:
+    async def _apply_head(self, read: VersionedHead) -> None:
         known = self._configuration.revision
         if read.head.revision < known:
             await self._restore_head(read)
@@ -433,9 +448,9 @@
         self._confirm()
 
     async def _restore_head(self, read: VersionedHead) -> None:
-        """Put the revision known here back where an older copy was restored."""
+        """Write this host's revision back to a service restored from an older copy."""
         log.warning(
-            "key-value service fell back to configuration revision {}, {} is known",
+            "key-value service has older configuration revision {}, restoring {}",
             read.head.revision,
             self._configuration.revision,
         )
@@ -447,16 +462,16 @@
             await trio.sleep(RETRY_PAUSE * self._random.uniform(0.5, 1.5))
 
     def _confirm(self) -> None:
-        """Tell all that the service holds the revision known here, as of now."""
+        """Broadcast that the service now holds this host's revision."""
         now = self._clock()
         self._freshness.record_confirmation(now)
         revision = self._configuration.revision
-        stamp = int(time.time() * 1000)
+        timestamp_ms = int(time.time() * 1000)
         payload = revision.to_bytes(8, "big")
         self._rumors.spread(
-            Rumor(CONFIRMED_RUMOR, "head", stamp, payload, routine=True)
+            Rumor(CONFIRMED_RUMOR, "head", timestamp_ms, payload, routine=True)
         )
 
 
-def _accept_any(head: Head) -> Failure | None:
+def _accept_any_head(head: Head) -> Failure | None:
     return None
--- a/dewridge/configuration/store.py
+++ b/dewridge/configuration/store.py
@@ -1,4 +1,4 @@
-"""The configuration in the platform's key-value service."""
+"""Storage of the configuration in the platform's key-value service."""
 
 import uuid
 from collections.abc import Callable
@@ -19,18 +19,18 @@
 from dewridge.providers.model import Entry, KeyValue
 from dewridge.sentinels import Failure
 
-COMMIT_ATTEMPTS = 8
-"""Races and lost answers gone through before an operator is told. At 21,000
-changes a day two meet rarely; eight lost races in a row mean something else."""
+MAX_WRITE_ATTEMPTS = 8
+"""Attempts of a write, after lost races or lost answers, before it fails. At 21,000
+changes a day two rarely collide; eight lost races in a row have another cause."""
 
-SETTLE_PAUSE = 0.2
-"""Seconds before a write whose answer was lost is repeated, so that a service
-that is slow is not asked faster than it can answer."""
+RETRY_PAUSE = 0.2
+"""Seconds before a write whose answer was lost is retried, so that a slow service
+is not sent requests faster than it can answer."""
 
 
 @dataclass(frozen=True)
 class VersionedHead:
-    """A head with the key-value service's own revision of its key."""
+    """A head, and the revision of its key in the key-value service."""
 
     head: Head
     key_revision: int
@@ -38,13 +38,14 @@
 
 @dataclass(frozen=True)
 class ProposedChange:
-    """What an operator wants to change.
+    """An object to publish or revise.
 
     Attributes:
         name: `profile/NAME` or `service/NAME`.
-        expected: the object's revision that the change was made from; 0 if it
-            must be new, None if any will do.
-        check: looks at the head once more before each try; a Failure ends it.
+        expected: revision that the object must have; 0 if it must not exist yet,
+            None to accept any.
+        check: called with the current head before each attempt; a Failure stops
+            the commit.
     """
 
     name: str
@@ -56,11 +57,11 @@
 
 @dataclass(frozen=True)
 class AcceptedChange:
-    """A change that was accepted.
+    """An accepted change.
 
     Attributes:
-        head: a head that holds it, perhaps with later changes.
-        revision: the one that this change made.
+        head: a head that includes the change, possibly with later changes.
+        revision: revision that this change made.
     """
 
     head: Head
@@ -68,7 +69,7 @@
 
 
 class ConfigurationStore:
-    """Reads and changes the configuration in the key-value service."""
+    """Reads and writes the configuration in the key-value service."""
 
     def __init__(self, key_value: KeyValue, prefix: str) -> None:
         self._key_value = key_value
@@ -76,7 +77,7 @@
 
     @property
     def head_key(self) -> str:
-        """Key of the head."""
+        """Key under which the head is stored."""
         return f"{self._prefix}head"
 
     async def read_head(self) -> VersionedHead | Failure:
@@ -84,7 +85,7 @@
         return self._decode(await self._key_value.get(self.head_key))
 
     async def watch_head(self, after: int, timeout: float) -> VersionedHead | Failure:
-        """Wait for another head than the one of key revision `after`."""
+        """Wait until the key's revision differs from `after`, and return the head."""
         return self._decode(await self._key_value.watch(self.head_key, after, timeout))
 
     def _decode(self, entry: Entry | Failure) -> VersionedHead | Failure:
@@ -98,116 +99,126 @@
     async def read_objects(
         self, head: Head, known: dict[str, StoredObject]
     ) -> dict[str, StoredObject] | Failure:
-        """Read the objects of a head, only those that `known` lacks."""
+        """Return the objects of a head, reading only those that `known` lacks."""
         found: dict[str, StoredObject] = {}
-        for name, place in head.objects.items():
-            mine = known.get(name)
-            if mine is not None and mine.revision == place.revision:
-                found[name] = mine
+        for name, location in head.objects.items():
+            known_object = known.get(name)
+            if known_object is not None and known_object.revision == location.revision:
+                found[name] = known_object
                 continue
-            entry = await self._key_value.get(place.key)
+            entry = await self._key_value.get(location.key)
             if isinstance(entry, Failure):
                 return entry
             if entry.is_absent:
-                return Failure(ResultCode.PLATFORM_MALFORMED, f"{place.key} is absent")
-            found[name] = StoredObject(name, place.revision, entry.value)
+                return Failure(
+                    ResultCode.PLATFORM_MALFORMED, f"{location.key} is absent"
+                )
+            found[name] = StoredObject(name, location.revision, entry.value)
         return found
 
     async def commit(self, change: ProposedChange) -> AcceptedChange | Failure:
-        """Make one change, accepted when the head was swapped.
+        """Commit a change by a compare-and-swap of the head.
 
         Returns:
-            The change as accepted, or a failure: REVISION_CONFLICT or the check's own
-            (not changed), KEY_VALUE_DOWN (not changed), CHANGE_UNKNOWN (the
-            key-value service took the write, perhaps, and can't be asked).
+            The accepted change, or a failure: REVISION_CONFLICT, KEY_VALUE_DOWN or
+            that of the change's check if nothing changed; CHANGE_UNKNOWN if the
+            key-value service may have applied the write and can't be read.
         """
         mark = uuid.uuid4().hex
         key = f"{self._prefix}objects/{change.name}/{mark}"
         written = await self._write_object(key, change.value)
         if isinstance(written, Failure):
             return written
-        in_doubt = False
-        last = Failure(ResultCode.KEY_VALUE_DOWN, "no try was made")
-        for _ in range(COMMIT_ATTEMPTS):
+        is_uncertain = False
+        last_failure = Failure(ResultCode.KEY_VALUE_DOWN, "no try was made")
+        for _ in range(MAX_WRITE_ATTEMPTS):
             read = await self.read_head()
             if isinstance(read, Failure):
-                last = read
-                await trio.sleep(SETTLE_PAUSE)
+                last_failure = read
+                await trio.sleep(RETRY_PAUSE)
                 continue
             revision = find_revision_by_mark(read.head, mark)
             if revision is not None:
                 return AcceptedChange(read.head, revision)
-            # The mark is absent from a head that was read after the doubtful
-            # write, yet that write may still be on its way. It expects the old
-            # key revision, so the next swap, ours or anyone's, defeats it.
-            place = read.head.objects.get(change.name)
-            present = place.revision if place else 0
-            if change.expected is not None and present != change.expected:
+            # The mark is absent from a head that was read after a write with
+            # unknown outcome, but that write may still be in transit. It expects
+            # the old key revision, so it fails after the next swap by any host.
+            location = read.head.objects.get(change.name)
+            current = location.revision if location else 0
+            if change.expected is not None and current != change.expected:
                 return Failure(
                     ResultCode.REVISION_CONFLICT,
-                    f"{change.name} is at revision {present}, not {change.expected}",
+                    f"{change.name} is at revision {current}, not {change.expected}",
+                )
+            rejection = change.check(read.head)
+            if rejection is not None:
+                return (
+                    rejection
+                    if not is_uncertain
+                    else self._make_unknown_outcome(rejection.reason)
                 )
-            refusal = change.check(read.head)
-            if refusal is not None:
-                return refusal if not in_doubt else self._tell_doubt(refusal.reason)
             head = advance_head(read.head, change.name, key, mark, change.operator)
             swapped = await self._key_value.compare_and_swap(
                 self.head_key, msgspec.json.encode(head), read.key_revision
             )
             if isinstance(swapped, Entry):
-                await self._forget(read.head, change.name)
+                await self._delete_replaced(read.head, change.name)
                 return AcceptedChange(head, head.revision)
-            last = swapped
+            last_failure = swapped
             if swapped.code is ResultCode.KEY_VALUE_UNKNOWN:
-                in_doubt = True
-                await trio.sleep(SETTLE_PAUSE)
-        return self._tell_doubt(last.reason) if in_doubt else last
+                is_uncertain = True
+                await trio.sleep(RETRY_PAUSE)
+        return (
+            self._make_unknown_outcome(last_failure.reason)
+            if is_uncertain
+            else last_failure
+        )
 
-    def _tell_doubt(self, reason: str) -> Failure:
+    def _make_unknown_outcome(self, reason: str) -> Failure:
         return Failure(ResultCode.CHANGE_UNKNOWN, reason)
 
     async def _write_object(self, key: str, value: bytes) -> Entry | Failure:
-        """Write an object under its own key; nobody sees it before the head."""
+        """Write an object under a new key; no reader uses it before a head lists it."""
         reason = ""
-        for _ in range(COMMIT_ATTEMPTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             result = await self._key_value.compare_and_swap(key, value, 0)
             if isinstance(result, Entry):
                 return result
             if result.code is ResultCode.KEY_VALUE_CONFLICT:
-                # The key is unique to this write, so an earlier try of ours
-                # took effect though its answer was lost.
+                # The key is unique to this write, so an earlier attempt took
+                # effect although its answer was lost.
                 return Entry(key, value, 1)
             reason = result.reason
-            await trio.sleep(SETTLE_PAUSE)
+            await trio.sleep(RETRY_PAUSE)
         return Failure(ResultCode.KEY_VALUE_DOWN, reason)
 
-    async def _forget(self, old: Head, name: str) -> None:
-        """Delete the bytes that the new head no longer names, as far as may be."""
-        place = old.objects.get(name)
-        if place is None:
+    async def _delete_replaced(self, old: Head, name: str) -> None:
+        """Delete an object's bytes that the new head no longer lists; best effort."""
+        location = old.objects.get(name)
+        if location is None:
             return
-        entry = await self._key_value.get(place.key)
+        entry = await self._key_value.get(location.key)
         if isinstance(entry, Entry) and not entry.is_absent:
-            await self._key_value.delete(place.key, entry.revision)
+            await self._key_value.delete(location.key, entry.revision)
 
     async def restore(
         self, revision: int, objects: dict[str, StoredObject], read: VersionedHead
     ) -> Failure | None:
         """Write back a revision that the key-value service has lost.
 
-        The service was restored from an older copy. Hosts that know the later
-        revision stay on it, but a host that starts would read the older one,
-        and a change made from it would carry a revision already used.
+        This is needed after the service was restored from an older copy. Hosts
+        that have the later revision retain it, but a starting host would read the
+        older one, and a change based on that would reuse a revision number.
         """
         mark = uuid.uuid4().hex
-        places: dict[str, ObjectLocation] = {}
+        locations: dict[str, ObjectLocation] = {}
         for stored in objects.values():
             key = f"{self._prefix}objects/{stored.name}/{mark}"
             written = await self._write_object(key, stored.value)
             if isinstance(written, Failure):
                 return written
-            places[stored.name] = ObjectLocation(stored.revision, key)
-        head = Head(revision=revision, objects=places, recent=read.head.recent)
+            locations[stored.name] = ObjectLocation(stored.revision, key)
+        head = Head(revision=revision, objects=locations, recent=read.head.recent)
         swapped = await self._key_value.compare_and_swap(
             self.head_key, msgspec.json.encode(head), read.key_revision
         )
