--- a/dewridge/membership/__init__.py
+++ b/dewridge/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which entry hosts are there: probes, incarnations, ranking."""
+"""Gossip-based membership of the entry hosts: failure detection, rumors, ranking."""
--- a/dewridge/membership/buckets.py
+++ b/dewridge/membership/buckets.py
@@ -1,37 +1,42 @@
-"""Hashes over all that a member knows, by which two members find what differs."""
+"""Hashes of a host's state, by which two hosts find the items that differ."""
 
 import xxhash
 
 BUCKET_COUNT = 32
-"""Groups that known items fall into. Two of 440 members that compare notes send 32
-hashes, some 300 bytes; while one item is on its way they also send the versions of
-its bucket, 14 members. Fewer buckets make that longer, more of them the hashes."""
+"""Hash buckets that members and rumors are divided into. Two of 440 members that
+compare their state send 32 hashes, about 300 bytes. For each bucket that differs they
+also send the versions of its items, 14 members. Fewer buckets would make these lists
+longer; more buckets would make the list of hashes longer."""
 
-_POSITIVE = (1 << 63) - 1
+_SIGNED_64_BIT_MASK = (1 << 63) - 1
 
 
 class BucketHashes:
-    """A hash for each bucket, changed as items come and go."""
+    """One hash for each bucket, updated as items are added and removed."""
 
     def __init__(self) -> None:
         self._hashes = [0] * BUCKET_COUNT
 
     def toggle(self, subject: str, version: str) -> None:
-        """Add an item that is absent, or remove one that is present."""
+        """Add an item's version if it is absent, or remove it if it is present."""
         text = f"{subject}|{version}".encode()
-        self._hashes[find_bucket(subject)] ^= xxhash.xxh3_64_intdigest(text) & _POSITIVE
+        self._hashes[find_bucket(subject)] ^= (
+            xxhash.xxh3_64_intdigest(text) & _SIGNED_64_BIT_MASK
+        )
 
     def list_hashes(self) -> list[int]:
-        """Return the hashes in order."""
+        """Return the hashes in the order of the buckets."""
         return list(self._hashes)
 
-    def find_differing(self, others: list[int]) -> list[int]:
-        """Return the buckets whose hash differs from another member's."""
-        if len(others) != BUCKET_COUNT:  # a release with other buckets: compare all
+    def find_differing(self, other_hashes: list[int]) -> list[int]:
+        """Return the buckets whose hash differs from that of another member."""
+        if (
+            len(other_hashes) != BUCKET_COUNT
+        ):  # a release with another bucket count: compare all
             return list(range(BUCKET_COUNT))
-        return [n for n in range(BUCKET_COUNT) if self._hashes[n] != others[n]]
+        return [n for n in range(BUCKET_COUNT) if self._hashes[n] != other_hashes[n]]
 
 
 def find_bucket(subject: str) -> int:
-    """Return the bucket of an item, the same for all of its versions."""
+    """Return the bucket of an item, which is the same for all its versions."""
     return xxhash.xxh3_64_intdigest(subject.encode()) % BUCKET_COUNT
--- a/dewridge/membership/exchanges.py
+++ b/dewridge/membership/exchanges.py
@@ -1,4 +1,4 @@
-"""The messages of the membership: sending them, answering them, taking them in."""
+"""Sends, answers and applies the messages of the membership protocol."""
 
 from collections.abc import Callable, Iterable
 from enum import Enum
@@ -26,27 +26,27 @@
 from dewridge.peers.wire import ttypes
 from dewridge.sentinels import Failure
 
-EXCHANGE_BYTES = 65_536
-"""Bytes of records and rumors in one comparison. All 440 members take 48 KB; more
-than that in rumors comes over in several, so that catching up can't hold up probes
-that share the connection."""
-ISOLATION_MEMORY = 10.0
+MAX_RUMOR_BYTES = 65_536
+"""Maximum bytes of rumors in one message of a comparison. The records of 440 members
+take 48 KB. More rumors are transferred by several comparisons, so that they don't delay
+the probes on the same connection."""
+ISOLATION_GRACE = 10.0
 """Seconds after the end of an isolation within which a claim that this host is dead
-is put down to it; such a claim comes with the first messages."""
-LONGEST_RELAY = 5.0
-"""Seconds that a relay probes for another; the longest that a slow host stretches its
-timeouts to. A garbled figure must not keep a handler busy for ever."""
-COMPANY = 2
-"""Other hosts there must be for an isolated one to give way. Of a pair, each is alone
-when cut off; both giving way would lose all that they hold."""
+is attributed to the isolation. Such a claim arrives with the first messages."""
+MAX_RELAY_TIMEOUT = 5.0
+"""Maximum seconds of a probe on behalf of another member; the longest timeout that a
+slow host uses. A corrupt value must not keep a handler busy for ever."""
+MIN_OTHERS_TO_TERMINATE = 2
+"""Other members needed for an isolated host to terminate its incarnation. In a pair,
+a partition isolates both; if both terminated, all their requests would be lost."""
 
-_GIVEN_UP = Failure(ResultCode.PEER_REFUSED, "this incarnation was given up")
-"""What a host answers whose incarnation is over. FENCED would tell the asker that its
-own incarnation is over, and one fenced host would take all others with it."""
+_TERMINATED = Failure(ResultCode.PEER_REFUSED, "this incarnation was given up")
+"""Answer of a host whose incarnation was terminated. With FENCED, the receiver would
+terminate its own incarnation, and one fenced host would terminate all others."""
 
 
 class RelayResult(Enum):
-    """What came of asking a member to probe another one."""
+    """Result of asking a member to probe another one."""
 
     REACHED = "reached"
     NOT_REACHED = "not_reached"
@@ -54,10 +54,11 @@
 
 
 class MessageExchange:
-    """Talks with other members and keeps the state up to date with what they say.
+    """Exchanges messages with other members and applies them to the state.
 
     Attributes:
-        is_terminated: whether this incarnation is over; it then stays silent.
+        is_terminated: whether this incarnation was terminated; it then neither
+            sends messages nor answers them.
     """
 
     def __init__(
@@ -85,10 +86,10 @@
         peers.handle(ttypes.CompareState, self._answer_compare)
         peers.handle(ttypes.ExchangeState, self._answer_exchange)
 
-    # -- asking ------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------
 
     async def probe(self, target: Member, timeout: float) -> bool:
-        """Probe a member; whether that incarnation of it answered."""
+        """Probe a member; return whether the same incarnation answered."""
         now = trio.current_time()
         known = self._table.find(target.host)
         records, rumors = self._state.select_updates(now, about=known)
@@ -103,36 +104,36 @@
         reply = await self._call(target.address, message, timeout)
         if not isinstance(reply, ttypes.ProbeReply):
             return False
-        self._take_in(reply.members, reply.rumors)
+        self._apply_update(reply.members, reply.rumors)
         return bool(reply.incarnation == target.incarnation)
 
     async def relay(self, relay: Member, target: Member, timeout: float) -> RelayResult:
-        """Ask a member to probe another one."""
+        """Ask a member to probe another one; return the result."""
         record = make_record(target, with_addresses=True)
         message = ttypes.RelayProbe(target=record, timeout=timeout)
         self._metrics.add("membership_relay_probes")
-        # The relay needs the timeout for its probe; as much again for the way.
+        # One timeout for the relay's probe and one for the call to the relay.
         reply = await self._call(relay.address, message, 2 * timeout)
         if not isinstance(reply, ttypes.RelayProbeReply):
             return RelayResult.NO_ANSWER
         return RelayResult.REACHED if reply.reached else RelayResult.NOT_REACHED
 
     async def join(self, address: str, timeout: float) -> bool:
-        """Introduce this host to a member and learn all that it knows."""
+        """Introduce this host to a member and apply the member's full state."""
         message = ttypes.Join(
             me=make_record(self._table.local_member, with_addresses=True)
         )
         reply = await self._call(address, message, timeout)
         if not isinstance(reply, ttypes.JoinReply):
             return False
-        self._take_in(reply.members, reply.rumors, from_sync=True)
+        self._apply_update(reply.members, reply.rumors, from_sync=True)
         return True
 
     async def compare(self, address: str, timeout: float) -> int | None:
-        """Bring this host and a member to the same knowledge, both ways.
+        """Synchronize the states of this host and a member in both directions.
 
         Returns:
-            How many items went either way; None if the member did not answer.
+            The number of items sent and received; None if the member did not answer.
         """
         message = ttypes.CompareState(hashes=self._state.buckets.list_hashes())
         reply = await self._call(address, message, timeout)
@@ -144,7 +145,7 @@
         answer = await self._call(address, exchange, timeout)
         if not isinstance(answer, ttypes.ExchangeStateReply):
             return None
-        self._take_in(answer.members, answer.rumors, from_sync=True)
+        self._apply_update(answer.members, answer.rumors, from_sync=True)
         sent = len(exchange.members) + len(exchange.rumors)
         return sent + len(answer.members or []) + len(answer.rumors or [])
 
@@ -153,72 +154,76 @@
     ) -> Message | Failure:
         if self.is_terminated:
             await trio.lowlevel.checkpoint()
-            return _GIVEN_UP
+            return _TERMINATED
         reply = await self._peers.call(address, message, timeout)
         if not isinstance(reply, Failure):
-            self._note_contact()
+            self._record_contact()
         elif reply.code is ResultCode.FENCED:
-            self._give_up(f"refused by a peer: {reply.reason}")
+            self._terminate(f"refused by a peer: {reply.reason}")
         return reply
 
-    # -- answering -----------------------------------------------------------------
+    # -- answers -------------------------------------------------------------------
 
     async def _answer_probe(
         self, peer: PeerIdentity, probe: Message
     ) -> Message | Failure:
         if self.is_terminated:
-            return _GIVEN_UP
-        self._note_contact()
-        before = self._table.local_member
-        self._take_in(probe.members, probe.rumors)
+            return _TERMINATED
+        self._record_contact()
+        member_before = self._table.local_member
+        self._apply_update(probe.members, probe.rumors)
         prober = self._table.find(peer.host)
         known = list_update_keys(probe.members, probe.rumors)
         now = trio.current_time()
         records, rumors = self._state.select_updates(now, about=prober, known=known)
         records += self._state.make_corrections(probe.members)
-        me = self._table.local_member
-        if me != before or probe.target_incarnation not in (0, None, me.incarnation):
-            records.append(make_record(me))
+        local_member = self._table.local_member
+        if local_member != member_before or probe.target_incarnation not in (
+            0,
+            None,
+            local_member.incarnation,
+        ):
+            records.append(make_record(local_member))
         return ttypes.ProbeReply(
             sequence=probe.sequence,
             members=records,
             rumors=rumors,
-            incarnation=me.incarnation,
+            incarnation=local_member.incarnation,
         )
 
     async def _answer_relay(
-        self, peer: PeerIdentity, ask: Message
+        self, peer: PeerIdentity, request: Message
     ) -> Message | Failure:
         if self.is_terminated:
-            return _GIVEN_UP
-        self._note_contact()
-        target = read_member(ask.target)
+            return _TERMINATED
+        self._record_contact()
+        target = read_member(request.target)
         if target is None:
             return Failure(ResultCode.PEER_REFUSED, "no target")
-        timeout = min(float(ask.timeout), LONGEST_RELAY)
+        timeout = min(float(request.timeout), MAX_RELAY_TIMEOUT)
         return ttypes.RelayProbeReply(reached=await self.probe(target, timeout))
 
     async def _answer_join(
         self, peer: PeerIdentity, join: Message
     ) -> Message | Failure:
         if self.is_terminated:
-            return _GIVEN_UP
-        self._note_contact()
-        self._take_in([join.me], [])
+            return _TERMINATED
+        self._record_contact()
+        self._apply_update([join.me], [])
         now = trio.current_time()
-        rumors = self._fit(self._state.rumors, measure_rumor)
+        rumors = self._limit_size(self._state.rumors, measure_rumor)
         return ttypes.JoinReply(
             members=self._state.make_records(),
             rumors=self._state.make_rumors(rumors, now),
         )
 
     async def _answer_compare(
-        self, peer: PeerIdentity, ask: Message
+        self, peer: PeerIdentity, request: Message
     ) -> Message | Failure:
         if self.is_terminated:
-            return _GIVEN_UP
-        self._note_contact()
-        differing = set(self._state.buckets.find_differing(ask.hashes or []))
+            return _TERMINATED
+        self._record_contact()
+        differing = set(self._state.buckets.find_differing(request.hashes or []))
         members = self._table.list_buckets(differing) if differing else []
         rumors = self._state.rumors.list_buckets(differing) if differing else []
         return ttypes.CompareStateReply(
@@ -229,47 +234,53 @@
 
     def _make_exchange(self, reply: Message) -> Message:
         differing = set(reply.differing)
-        theirs = {v.host: v for v in read_member_versions(reply.members)}
-        versions = read_rumor_versions(reply.rumors)
-        heard = {(v.kind, v.subject): v.version for v in versions}
+        member_versions = {v.host: v for v in read_member_versions(reply.members)}
+        rumor_versions = read_rumor_versions(reply.rumors)
+        peer_rumors = {(v.kind, v.subject): v.version for v in rumor_versions}
         members = [
             member
             for member in self._table.list_buckets(differing)
-            if _is_ahead(member, theirs.get(member.host))
+            if _is_ahead(member, member_versions.get(member.host))
         ]
         rumors = [
             rumor
             for rumor in self._state.rumors.list_buckets(differing)
-            if rumor.version > heard.get((rumor.kind, rumor.subject), -1)
+            if rumor.version > peer_rumors.get((rumor.kind, rumor.subject), -1)
         ]
         return ttypes.ExchangeState(
             members=[make_record(member, with_addresses=True) for member in members],
             rumors=self._state.make_rumors(
-                self._fit(rumors, measure_rumor), trio.current_time()
+                self._limit_size(rumors, measure_rumor), trio.current_time()
             ),
             wanted_members=[
-                host for host, v in theirs.items() if is_behind(v, self._table)
+                host for host, v in member_versions.items() if is_behind(v, self._table)
+            ],
+            wanted_rumors=[
+                version for version in rumor_versions if self._lacks(version)
             ],
-            wanted_rumors=[version for version in versions if self._lacks(version)],
         )
 
     async def _answer_exchange(
         self, peer: PeerIdentity, exchange: Message
     ) -> Message | Failure:
         if self.is_terminated:
-            return _GIVEN_UP
-        self._note_contact()
-        before = self._table.local_member
-        self._take_in(exchange.members, exchange.rumors, from_sync=True)
-        found = [self._table.find(HostId(h)) for h in exchange.wanted_members or []]
-        members = [member for member in found if member is not None]
-        if self._table.local_member != before:
+            return _TERMINATED
+        self._record_contact()
+        member_before = self._table.local_member
+        self._apply_update(exchange.members, exchange.rumors, from_sync=True)
+        found_members = [
+            self._table.find(HostId(h)) for h in exchange.wanted_members or []
+        ]
+        members = [member for member in found_members if member is not None]
+        if self._table.local_member != member_before:
             members.append(self._table.local_member)
-        wanted = [
+        found_rumors = [
             self._state.rumors.find(version.kind, version.subject)
             for version in exchange.wanted_rumors or []
         ]
-        rumors = self._fit([r for r in wanted if r is not None], measure_rumor)
+        rumors = self._limit_size(
+            [r for r in found_rumors if r is not None], measure_rumor
+        )
         return ttypes.ExchangeStateReply(
             members=[make_record(member, with_addresses=True) for member in members],
             rumors=self._state.make_rumors(rumors, trio.current_time()),
@@ -279,11 +290,11 @@
         known = self._state.rumors.find(version.kind, version.subject)
         return known is None or known.version < version.version
 
-    def _fit(
+    def _limit_size(
         self, rumors: Iterable[Rumor], size_of: Callable[[Rumor], int]
     ) -> list[Rumor]:
         chosen = []
-        left = EXCHANGE_BYTES
+        left = MAX_RUMOR_BYTES
         for rumor in rumors:
             left -= size_of(rumor)
             if left < 0:
@@ -291,9 +302,9 @@
             chosen.append(rumor)
         return chosen
 
-    # -- what others say of this host --------------------------------------------------
+    # -- applying messages and claims about this host ----------------------------------
 
-    def _take_in(
+    def _apply_update(
         self,
         records: list[Message] | None,
         rumors: list[Message] | None,
@@ -305,53 +316,57 @@
         self.handle_local_claims()
 
     def handle_local_claims(self) -> None:
-        """Refute what others claim of this host, or give this incarnation up."""
-        accusations = self._table.pop_local_claims()
-        if LocalClaim.SUPERSEDED in accusations:
-            self._give_up("fenced, or superseded by a newer incarnation")
-        elif LocalClaim.DEAD in accusations and self._was_isolated():
-            self._give_up("declared dead while it stood still or was cut off")
-        elif accusations:
+        """Refute claims about this host, or terminate this incarnation."""
+        claims = self._table.pop_local_claims()
+        if LocalClaim.SUPERSEDED in claims:
+            self._terminate("fenced, or superseded by a newer incarnation")
+        elif LocalClaim.DEAD in claims and self._was_isolated():
+            self._terminate("declared dead while paused or partitioned")
+        elif claims:
             self._metrics.add("membership_refutations")
-            if LocalClaim.SUSPECT in accusations:
+            if LocalClaim.SUSPECT in claims:
                 self._health.record_local_fault()
             self._state.broadcast_local_member(self._table.refute())
 
-    def _note_contact(self) -> None:
+    def _record_contact(self) -> None:
         now = trio.current_time()
-        since = now - (self._last_contact if self._last_contact is not None else now)
-        if since > self._table.compute_suspicion_time():
-            self._isolated_until = now + ISOLATION_MEMORY
+        elapsed = now - (self._last_contact if self._last_contact is not None else now)
+        if elapsed > self._table.compute_suspicion_time():
+            self._isolated_until = now + ISOLATION_GRACE
             self._table.restart_suspicions(now)
         self._last_contact = now
 
     def _was_isolated(self) -> bool:
-        # A host that stood still or was cut off all alone gives way: the others
-        # took over what it held, and hold it coherent without it. Members that were
-        # cut off together go on, for they hold each other's requests, and if all of
-        # them started anew those would be lost; they refute.
+        # An isolated host, one that was paused or partitioned from all others, is
+        # terminated: the others took over its requests and are consistent without
+        # it. Members that were partitioned together refute and continue, because
+        # they hold replicas of each other's requests, which would be lost if all
+        # of them restarted.
         if trio.current_time() > self._isolated_until:
             return False
-        return sum(1 for _ in self._table.others()) >= COMPANY
+        return sum(1 for _ in self._table.others()) >= MIN_OTHERS_TO_TERMINATE
 
-    def _give_up(self, reason: str) -> None:
+    def _terminate(self, reason: str) -> None:
         if self.is_terminated:
             return
         self.is_terminated = True
         self._metrics.add("membership_given_up")
-        log.warning("this incarnation is over: {}", reason)
+        log.warning("terminating this incarnation: {}", reason)
         self._on_fenced()
 
 
-def _is_ahead(member: Member, theirs: Message | None) -> bool:
-    if theirs is None:
+def _is_ahead(member: Member, peer_version: Message | None) -> bool:
+    if peer_version is None:
         return member.state is not MemberState.DEAD
-    ours = make_member_version(member)
-    return ours != theirs and not _is_later(theirs, ours)
+    version = make_member_version(member)
+    return version != peer_version and not _is_later(peer_version, version)
 
 
-def _is_later(one: Message, other: Message) -> bool:
-    return (one.incarnation, one.refutation) > (other.incarnation, other.refutation)
+def _is_later(version: Message, other: Message) -> bool:
+    return (version.incarnation, version.refutation) > (
+        other.incarnation,
+        other.refutation,
+    )
 
 
 def _make_rumor_version(rumor: Rumor) -> Message:
--- a/dewridge/membership/health.py
+++ b/dewridge/membership/health.py
@@ -1,30 +1,32 @@
-"""How far this host's own slowness may be why others seem not to answer."""
+"""Estimates how much this host's own slowness delays answers to its probes."""
 
-WORST = 8
-"""Most by which timeouts are stretched. A host that is starved of its processor by a
-neighbour, a few seconds at worst, must not take 440 healthy members for dead; one
-that is slower than this for long is better declared dead itself."""
+MAX_SCORE = 8
+"""Maximum score, at which timeouts are multiplied by 9. A host that gets no CPU time
+for up to a few seconds, because of another process on its machine, must not declare
+440 healthy members dead. A host that stays slower than this should be declared dead
+itself."""
 
 
 class LocalHealth:
-    """A score that own failures raise and answered probes lower."""
+    """A score that signs of a local fault increase and answered probes decrease."""
 
     def __init__(self) -> None:
         self._score = 0
 
     def record_answered_probe(self) -> None:
-        """A probe of this host was answered in time."""
+        """Lower the score after a probe by this host was answered in time."""
         self._score = max(0, self._score - 1)
 
     def record_local_fault(self) -> None:
-        """A sign that this host or its links are slow.
+        """Raise the score after a sign that this host or its links are slow.
 
-        Its probe found nobody, not even through relays that all were thought to
-        be alive, or others suspected it, or its own timer fired late.
+        The signs are: neither the target of its probe nor any of the relays
+        answered, although all were believed to be alive; other members suspected
+        it; or one of its timers fired late.
         """
-        self._score = min(WORST, self._score + 1)
+        self._score = min(MAX_SCORE, self._score + 1)
 
     @property
     def timeout_multiplier(self) -> int:
-        """By how much to multiply timeouts; 1 for a healthy host."""
+        """Factor for timeouts; 1 for a healthy host."""
         return self._score + 1
--- a/dewridge/membership/messages.py
+++ b/dewridge/membership/messages.py
@@ -1,4 +1,4 @@
-"""Members and rumors as thrift structures, and back with every field checked."""
+"""Converts members and rumors to thrift structures and back, checking every field."""
 
 from typing import Any
 
@@ -9,16 +9,17 @@
 from dewridge.peers.wire import ttypes
 
 RECORD_OVERHEAD = 47
-"""Bytes of a member's record besides its texts."""
+"""Bytes of a member's record, excluding its strings."""
 
-_SHORT_STATES = (MemberState.SUSPECT, MemberState.DEAD)
+_STATES_WITHOUT_ADDRESSES = (MemberState.SUSPECT, MemberState.DEAD)
 
 
 def make_record(member: Member, *, with_addresses: bool = False) -> Message:
     """Return a member's record.
 
-    A suspect's or dead member's is sent without addresses, which whoever hears
-    it has: a failure domain's loss at 440 hosts is told in half the bytes.
+    The record of a suspect or dead member has no addresses unless `with_addresses`
+    is set, because the receivers know them. This halves the bytes needed to report
+    the loss of a failure domain at 440 hosts.
     """
     record = ttypes.MemberRecord(
         host=member.host,
@@ -26,7 +27,7 @@
         state=member.state.value,
         refutation=member.refutation,
     )
-    if with_addresses or member.state not in _SHORT_STATES:
+    if with_addresses or member.state not in _STATES_WITHOUT_ADDRESSES:
         record.failure_domain = member.failure_domain
         record.address = member.address
         record.frontend_address = member.frontend_address
@@ -34,24 +35,24 @@
 
 
 def measure_record(member: Member) -> int:
-    """Return about how many bytes a member's record takes in a message."""
+    """Return the approximate size of a member's record in a message, in bytes."""
     size = RECORD_OVERHEAD + len(member.host)
-    if member.state in _SHORT_STATES:
+    if member.state in _STATES_WITHOUT_ADDRESSES:
         return size
     addresses = len(member.address) + len(member.frontend_address)
     return size + len(member.failure_domain) + addresses
 
 
 def read_member(record: Message | None) -> Member | None:
-    """Return the member that a record speaks of; None if a field is unusable."""
+    """Return the member that a record describes; None if a field is invalid."""
     if record is None:
         return None
     numbers = (record.incarnation, record.state, record.refutation)
-    if not _are(int, *numbers) or not isinstance(record.host, str):
+    if not _all_instances(int, *numbers) or not isinstance(record.host, str):
         return None
     try:
         state = MemberState(record.state)
-    except ValueError:  # a state that only a newer release has
+    except ValueError:  # a state that only newer releases know
         return None
     return Member(
         HostId(record.host),
@@ -65,13 +66,18 @@
 
 
 def read_members(records: list[Message] | None) -> list[Member]:
-    """Return the members of a list of records, without unusable ones."""
+    """Return the members described by the valid records."""
     found = [read_member(record) for record in records or []]
     return [member for member in found if member is not None]
 
 
 def make_rumor(rumor: Rumor, age: float) -> Message:
-    """Return a rumor as a structure."""
+    """Return a rumor as a thrift structure.
+
+    Args:
+        rumor: the rumor.
+        age: seconds since it was first spread.
+    """
     return ttypes.Rumor(
         kind=rumor.kind,
         subject=rumor.subject,
@@ -84,11 +90,15 @@
 
 
 def read_rumors(structures: list[Message] | None) -> list[tuple[Rumor, float]]:
-    """Return rumors with their age in seconds, without unusable ones."""
+    """Return the valid rumors, each with its age in seconds."""
     found = []
     for item in structures or []:
-        texts = _are(str, item.kind, item.subject)
-        if texts and _are(int, item.version) and _are(bytes, item.payload):
+        has_names = _all_instances(str, item.kind, item.subject)
+        if (
+            has_names
+            and _all_instances(int, item.version)
+            and _all_instances(bytes, item.payload)
+        ):
             rumor = Rumor(
                 item.kind,
                 item.subject,
@@ -102,7 +112,7 @@
 
 
 def make_member_version(member: Member) -> Message:
-    """Return how far a member is known."""
+    """Return the version of what this host knows about a member."""
     return ttypes.MemberVersion(
         host=member.host,
         incarnation=member.incarnation,
@@ -112,26 +122,27 @@
 
 
 def read_member_versions(versions: list[Message] | None) -> list[Message]:
-    """Return the versions of members that are whole."""
+    """Return the member versions whose fields are all valid."""
     return [
         version
         for version in versions or []
         if isinstance(version.host, str)
-        and _are(int, version.incarnation, version.refutation, version.state)
+        and _all_instances(int, version.incarnation, version.refutation, version.state)
     ]
 
 
 def read_rumor_versions(versions: list[Message] | None) -> list[Message]:
-    """Return the versions of rumors that are whole."""
+    """Return the rumor versions whose fields are all valid."""
     return [
         version
         for version in versions or []
-        if _are(str, version.kind, version.subject) and isinstance(version.version, int)
+        if _all_instances(str, version.kind, version.subject)
+        and isinstance(version.version, int)
     ]
 
 
 def is_behind(version: Message, table: MemberTable) -> bool:
-    """Whether another member knows newer of a member than this host."""
+    """Return whether a version reported by another member is newer than this host's."""
     record = ttypes.MemberRecord(
         host=version.host,
         incarnation=version.incarnation,
@@ -146,5 +157,5 @@
     return table.is_newer(claim)
 
 
-def _are(kind: type, *values: Any) -> bool:
+def _all_instances(kind: type, *values: Any) -> bool:
     return all(isinstance(value, kind) for value in values)
--- a/dewridge/membership/model.py
+++ b/dewridge/membership/model.py
@@ -1,4 +1,4 @@
-"""Entry hosts as members of one deployment."""
+"""Data types and interfaces of the membership of entry hosts."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -9,17 +9,17 @@
 
 
 class MemberState(Enum):
-    """What this host believes of another entry host."""
+    """State of another entry host, as known to this host."""
 
     ALIVE = 0
     SUSPECT = 1
-    """Did not answer probes; not used for new work, may still refute."""
+    """Did not answer probes. It gets no new work and may still refute the suspicion."""
     LEAVING = 2
-    """Announced that it goes; not used for new work, still answers."""
+    """Announced its departure. It gets no new work and still answers."""
     DEAD = 3
-    """Silent for longer than a suspect may be. A restart has a new incarnation; the
-    same one comes back only where a cut heals that split the members in groups, and
-    never once it is fenced."""
+    """Was a suspect for longer than the suspicion time. A restarted host has a new
+    incarnation. The same incarnation only becomes alive again after a partition that
+    split the members into groups ends, and never after it was fenced."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +27,10 @@
     """One incarnation of an entry host.
 
     Attributes:
-        address: IP number and port for peers.
-        frontend_address: IP number and port for callers.
-        refutation: counter by which a suspected member overrules suspicion.
+        address: IP address and port for peers.
+        frontend_address: IP address and port for callers.
+        refutation: counter that the member itself increments to override claims by
+            others that it is suspect or dead.
     """
 
     host: HostId
@@ -42,37 +43,38 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether new work and copies may be given to it."""
+        """Whether it may be given new work and replicas."""
         return self.state is MemberState.ALIVE
 
 
 class MembershipView(Protocol):
-    """What other parts read of the membership; answered from memory."""
+    """Read access to the membership for other packages; answered from memory."""
 
     @property
     def local_member(self) -> Member:
-        """This host's own entry."""
+        """The member that represents this host."""
 
     def members(self) -> Sequence[Member]:
-        """All known members, this host included, in any state but DEAD."""
+        """Return all known members that are not DEAD, including this host."""
 
     def find(self, host: HostId) -> Member | None:
-        """Look up the newest known incarnation of a host, DEAD included."""
+        """Return the newest known incarnation of a host, even if it is DEAD."""
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
-        """Call `listener` at once and briefly on each change of a member."""
+        """Call `listener` synchronously on each change; it must not block."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rumor:
-    """Something that every entry host should hear of.
+    """A small fact that is distributed to every entry host.
 
     Attributes:
-        version: a higher version of the same kind and subject replaces a lower.
-        routine: whether it may wait for the next probe, in place of being told at
-            once; for what is repeated every second or two anyway.
-        lifetime: seconds after which every member forgets it; None: never, and
-            only what has a bounded number of subjects may go without.
+        version: a higher version of the same kind and subject replaces a lower one.
+        routine: whether it waits for the next probe instead of being sent at once;
+            for facts that are repeated every second or two anyway.
+        lifetime: seconds after which every member drops it. None means the default
+            of its kind or, without one, never; kinds without any lifetime must
+            have a bounded number of subjects.
     """
 
     kind: str
@@ -84,18 +86,18 @@
 
 
 FENCED_RUMOR = "fenced"
-"""Kind of the rumor that a host's incarnation, and all before it, was fenced: the
-subject is the host, the version the incarnation. It makes that one dead for good."""
+"""Kind of the rumor that an incarnation of a host and all earlier ones were fenced.
+The subject is the host, the version the incarnation; it then stays DEAD."""
 
 
 class Rumors(Protocol):
-    """Spreading of small facts along with the membership's probes."""
+    """Distribution of small facts by gossip, along with the membership's probes."""
 
     def spread(self, rumor: Rumor) -> None:
-        """Tell all members, unless a version as high is known already."""
+        """Send a rumor to all members, unless a version as high is already known."""
 
     def subscribe_rumors(self, kind: str, listener: Callable[[Rumor], None]) -> None:
-        """Call `listener` on each new version, and now with those known.
+        """Call `listener` on each new version, and now with each known rumor.
 
-        A listener returns at once and is also called for what this host spreads.
+        The listener must not block. It is also called for rumors of this host.
         """
--- a/dewridge/membership/news.py
+++ b/dewridge/membership/news.py
@@ -1,4 +1,4 @@
-"""What was learned lately and still has to be told to others."""
+"""Queue of recent updates that still have to be sent to other members."""
 
 import math
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class UpdateKind(Enum):
-    """What a piece of news is about."""
+    """What an update is about."""
 
     MEMBER = "member"
     RUMOR = "rumor"
@@ -15,7 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateKey:
-    """Names a piece of news; its content is looked up when it is sent."""
+    """Identifies an update; its content is looked up when it is sent.
+
+    Attributes:
+        kind: whether it is about a member or a rumor.
+        subject: id of the member's host, or kind of the rumor.
+        detail: subject of the rumor; empty for a member.
+    """
 
     kind: UpdateKind
     subject: str
@@ -23,45 +29,46 @@
 
 
 EXTRA_TRANSMISSIONS = 2
-"""Sendings beyond the logarithm, for small groups, where one unlucky target is a
-large part of all."""
+"""Transmissions added to the logarithmic term. In a small group, a member that is
+missed by chance is a large part of the group."""
 
 
-PRESSING_LEAD = 2
-"""Sendings by which pressing news lead. While all hosts of a deployment start, each
-has hundreds of joins to tell; a suspicion and its refutation that waited their turn
-behind those would come too late, and a healthy host be declared dead."""
+URGENT_EXTRA_TRANSMISSIONS = 2
+"""Extra transmissions of an urgent update, which also put it ahead of the others. When
+all hosts of a deployment start, each has hundreds of joins to send. A suspicion and
+its refutation that waited behind those would arrive too late, and a healthy host would
+be declared dead."""
 
 
 def count_transmissions(multiplier: int, members: int) -> int:
-    """Return how often one member tells one piece of news.
+    """Return how often one member sends one update.
 
-    When each member that heard it tells it k more times, e^-k of them stay
-    without it. At 440 members and the default multiplier of 3 that is ten
-    times, and on average 0.02 members are missed; comparing notes finds those.
+    If each member that receives an update sends it k times, a share of e^-k of the
+    members misses it. At 440 members and the default multiplier of 3, k is ten, and
+    on average 0.02 members are missed; they get it when states are compared.
     """
     return math.ceil(multiplier * math.log10(members + 1)) + EXTRA_TRANSMISSIONS
 
 
 class UpdateQueue:
-    """News still to be sent, that sent least often first."""
+    """Updates still to be sent; those sent least often come first."""
 
     def __init__(self) -> None:
         self._sent: dict[UpdateKey, int] = {}
 
     def add(self, key: UpdateKey, *, is_urgent: bool = False) -> None:
-        """Start telling something anew; an earlier version is told no more.
+        """Queue an update; it replaces an earlier update with the same key.
 
         Args:
-            key: what to tell.
-            is_urgent: whether it goes before all that is not, and is told
-                PRESSING_LEAD times more.
+            key: the update.
+            is_urgent: whether it precedes updates that are not urgent, and is sent
+                URGENT_EXTRA_TRANSMISSIONS times more.
         """
         self._sent.pop(key, None)
-        self._sent[key] = -PRESSING_LEAD if is_urgent else 0
+        self._sent[key] = -URGENT_EXTRA_TRANSMISSIONS if is_urgent else 0
 
     def drop(self, key: UpdateKey) -> None:
-        """Stop telling something."""
+        """Remove an update from the queue."""
         self._sent.pop(key, None)
 
     def select_for_message(
@@ -71,14 +78,16 @@
         max_transmissions: int,
         known: frozenset[UpdateKey] = frozenset(),
     ) -> list[UpdateKey]:
-        """Choose what goes into one message, and count it as sent.
+        """Choose the updates for one message, and count them as sent.
 
         Args:
-            size_of: bytes that an item takes; None if it is known no more.
-            size_limit: bytes for all of them. One item larger than that still
-                goes, alone, as it would never be sent otherwise.
-            max_transmissions: sendings after which an item is news no more.
-            known: what the receiver told just now; sent back it would be wasted.
+            size_of: returns the bytes that an update takes; None if its subject is
+                no longer known.
+            size_limit: bytes for all updates. A single update larger than that is
+                sent alone, because it would never be sent otherwise.
+            max_transmissions: transmissions after which an update is dropped.
+            known: updates that the receiver has just sent, which need not be
+                returned to it.
         """
         chosen: list[UpdateKey] = []
         left = size_limit
--- a/dewridge/membership/prober.py
+++ b/dewridge/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probing members one after the other, and telling news that can't wait."""
+"""Probes members one after the other, and sends urgent updates at once."""
 
 import math
 from random import Random
@@ -13,25 +13,27 @@
 from dewridge.metrics.registry import Metrics
 from dewridge.settings.schema import MembershipSettings
 
-GATHER_NEWS = 0.02
-"""Seconds between hearing news and passing it on at once; news that come in a wave,
-63 members of a failure domain, go out together in place of a message for each."""
-URGENT_CONTACTS = 2
-"""Members that are told at once. Two reach four fifths of any number of members
-within a second; the rest hear it by the probes of the next few. Each costs a
-connection, and three would cost half as much again for no sooner end."""
+URGENT_BATCH_DELAY = 0.02
+"""Seconds between receiving an urgent update and sending it. Updates that arrive
+together, such as those of 63 members of a failure domain, are sent in one message
+instead of one each."""
+URGENT_FANOUT = 2
+"""Members that urgent updates are sent to at once. Two reach four fifths of any number
+of members within a second; the others get the update by probes within the next few
+seconds. Each contact costs a connection, and three would cost half as much again
+without finishing sooner."""
 URGENT_RATE = 2.0
 URGENT_BURST = 10.0
-"""Such contacts a second, and how many may be saved up. The aim's 21,000 changes of
-configuration a day and as many notices need 0.7 a second; when news never end, as
-in a failure domain's loss, probes carry the rest within the 3 KB a second."""
+"""Rate of such contacts per second, and their maximum burst. 21,000 configuration
+changes a day, and as many notices, need 0.7 a second. While updates arrive constantly,
+such as during the loss of a failure domain, probes carry the rest within 3 KB/s."""
 
 
 class ProbeOrder:
-    """Members in a shuffled order, each once in a round.
+    """Shuffled order in which each member occurs once per round.
 
-    A plain draw would leave a member unprobed for long by chance; in rounds, each
-    is probed again within two of them.
+    Independent random choices could leave a member unprobed for a long time. With
+    rounds, each member is probed again within the length of two rounds.
     """
 
     def __init__(self, random: Random) -> None:
@@ -39,13 +41,13 @@
         self._waiting: list[HostId] = []
 
     def add(self, host: HostId) -> None:
-        """Put a new member somewhere into the current round."""
+        """Insert a new member at a random position of the current round."""
         if host not in self._waiting:
-            place = self._random.randint(0, len(self._waiting))
-            self._waiting.insert(place, host)
+            position = self._random.randint(0, len(self._waiting))
+            self._waiting.insert(position, host)
 
-    def take(self, members: list[Member]) -> Member | None:
-        """Return the next of the members given; None if there are none."""
+    def pop_next(self, members: list[Member]) -> Member | None:
+        """Return the next one of the given members; None if there are none."""
         known = {member.host: member for member in members}
         while self._waiting:
             member = known.get(self._waiting.pop())
@@ -58,28 +60,28 @@
         return known[self._waiting.pop()]
 
 
-class Allowance:
-    """Contacts that may be made now: a rate with a burst."""
+class TokenBucket:
+    """Limits the rate of contacts, with a burst."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self._rate = rate
         self._burst = burst
-        self._left = burst
+        self._tokens = burst
         self._counted_at = 0.0
 
-    def take(self, now: float) -> bool:
-        """Use one up, if there is one."""
+    def acquire(self, now: float) -> bool:
+        """Take a token and return True, or return False if there is none."""
         gained = (now - self._counted_at) * self._rate
-        self._left = min(self._burst, self._left + gained)
+        self._tokens = min(self._burst, self._tokens + gained)
         self._counted_at = now
-        if self._left < 1:
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 class Prober:
-    """The tasks that probe members and pass on urgent news."""
+    """Runs the tasks that probe members and send urgent updates."""
 
     def __init__(
         self,
@@ -98,128 +100,134 @@
         self._random = random
         self._metrics = metrics
         self._order = ProbeOrder(random)
-        self._allowance = Allowance(URGENT_RATE, URGENT_BURST)
-        self._has_news = trio.Event()
+        self._contact_limit = TokenBucket(URGENT_RATE, URGENT_BURST)
+        self._has_urgent_updates = trio.Event()
         state.wake_spreader = self._wake
-        state.subscribe(self._note_member)
+        state.subscribe(self._handle_member_change)
 
     async def run_probes(self) -> None:
-        """Probe one member each period, for ever."""
+        """Probe one member per period until cancelled."""
         async with trio.open_nursery() as nursery:
             due = trio.current_time()
             while True:
-                due += self.find_period() * self._health.timeout_multiplier
+                due += self.compute_period() * self._health.timeout_multiplier
                 await trio.sleep_until(due)
-                late = trio.current_time() - due
-                if late > self._settings.probe_timeout:
-                    self._note_late(late)
+                delay = trio.current_time() - due
+                if delay > self._settings.probe_timeout:
+                    self._handle_late_timer(delay)
                     due = trio.current_time()
                 if self._exchanges.is_terminated:
                     continue
                 self._state.expire(trio.current_time(), self._health.timeout_multiplier)
-                target = self._order.take(self._list_others())
+                target = self._order.pop_next(self._list_others())
                 if target is not None:
-                    nursery.start_soon(self._check, target)
+                    nursery.start_soon(self._check_member, target)
 
     async def run_urgent_updates(self) -> None:
-        """Pass on urgent news at once, for ever."""
+        """Send urgent updates after a short batch delay, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                await self._has_news.wait()
-                await trio.sleep(GATHER_NEWS)
-                self._has_news = trio.Event()
-                for target in self._choose(URGENT_CONTACTS):
-                    if self._allowance.take(trio.current_time()):
+                await self._has_urgent_updates.wait()
+                await trio.sleep(URGENT_BATCH_DELAY)
+                self._has_urgent_updates = trio.Event()
+                for target in self._choose_members(URGENT_FANOUT):
+                    if self._contact_limit.acquire(trio.current_time()):
                         self._metrics.add("membership_urgent_contacts")
                         nursery.start_soon(
-                            self._exchanges.probe, target, self._find_timeout()
+                            self._exchanges.probe, target, self._compute_timeout()
                         )
 
     async def send_updates_now(self, contacts: int) -> None:
-        """Tell some members the news and wait until they have it."""
+        """Send updates to some members, and wait for their answers or timeouts."""
         async with trio.open_nursery() as nursery:
-            for target in self._choose(contacts):
-                nursery.start_soon(self._exchanges.probe, target, self._find_timeout())
-
-    def find_period(self) -> float:
-        """Return the seconds between two probes of this host.
-
-        It grows with the logarithm of the count, as a suspect's time to refute
-        does. Each piece of news is told more often in a larger group; at 440
-        members probes at the period of eight would spend the 3 KB a second on
-        connections alone, and every member is still probed once in 1.3 s.
+            for target in self._choose_members(contacts):
+                nursery.start_soon(
+                    self._exchanges.probe, target, self._compute_timeout()
+                )
+
+    def compute_period(self) -> float:
+        """Return the seconds between two probes by this host.
+
+        The period grows with the logarithm of the member count, like the suspicion
+        time. Updates are sent more often in a larger group: at 440 members, the
+        period used for eight would spend the 3 KB/s on connections alone. With the
+        longer period, every member is still probed once in 1.3 s.
         """
         count = self._state.table.alive_count
         return self._settings.probe_period * max(1.0, math.log10(count))
 
     def _wake(self) -> None:
-        self._has_news.set()
+        self._has_urgent_updates.set()
 
-    def _note_member(self, member: Member) -> None:
+    def _handle_member_change(self, member: Member) -> None:
         if member.state is MemberState.ALIVE:
             self._order.add(member.host)
 
-    def _note_late(self, late: float) -> None:
-        # This process did not get its processor, or was stopped. Probes and
-        # suspicions measured across that gap say nothing of the others.
+    def _handle_late_timer(self, delay: float) -> None:
+        # This process got no CPU time or was stopped. Probes and suspicions that
+        # include this gap say nothing about the other members.
         self._metrics.add("membership_late_timers")
         self._health.record_local_fault()
-        if late > self._settings.suspicion / 2:
+        if delay > self._settings.suspicion / 2:
             self._state.table.restart_suspicions(trio.current_time())
 
-    async def _check(self, target: Member) -> None:
-        timeout = self._find_timeout()
-        began = trio.current_time()
+    async def _check_member(self, target: Member) -> None:
+        timeout = self._compute_timeout()
+        started_at = trio.current_time()
         if await self._exchanges.probe(target, timeout):
             self._health.record_answered_probe()
             return
-        answers = await self._ask_others(target, timeout)
+        answers = await self._probe_indirectly(target, timeout)
         if RelayResult.REACHED in answers:
             self._metrics.add("membership_probes_relayed")
             return
-        if trio.current_time() - began > 4 * timeout:
-            # The timers above end after three timeouts; this one fired far too late,
-            # so the replies may well lie here unread.
+        if trio.current_time() - started_at > 4 * timeout:
+            # The calls above end after at most three timeouts. The timers fired far
+            # too late, so replies may have arrived that were not processed yet.
             self._health.record_local_fault()
             return
         if answers and RelayResult.NOT_REACHED not in answers:
-            # Not one of several members answered. Rather than that all of them are
-            # gone, it is this host that is slow or cut off.
+            # None of several members answered. It is more likely that this host is
+            # slow or partitioned than that all of them failed.
             self._health.record_local_fault()
         self._metrics.add("membership_probes_failed")
         self._state.handle_changes(
             self._state.table.suspect(target, trio.current_time())
         )
 
-    async def _ask_others(self, target: Member, timeout: float) -> list[RelayResult]:
-        """Try again over a new connection, and over relays, until one reaches it."""
-        relays = [m for m in self._choose(self._settings.relays + 1) if m != target]
+    async def _probe_indirectly(
+        self, target: Member, timeout: float
+    ) -> list[RelayResult]:
+        """Retry the probe directly and through relays, until one succeeds."""
+        relays = [
+            m for m in self._choose_members(self._settings.relays + 1) if m != target
+        ]
         answers: list[RelayResult] = []
         async with trio.open_nursery() as nursery:
 
-            async def ask(relay: Member) -> None:
+            async def probe_by_relay(relay: Member) -> None:
                 answers.append(await self._exchanges.relay(relay, target, timeout))
                 if answers[-1] is RelayResult.REACHED:
                     nursery.cancel_scope.cancel()
 
-            async def try_again() -> None:
-                # The first probe may have gone over a connection that went silent
-                # on the way; the transport opens a new one after such a loss.
+            async def retry_probe() -> None:
+                # The first probe may have used a connection that no longer carries
+                # data; after such a failure, the transport opens a new one.
                 if await self._exchanges.probe(target, timeout):
                     answers.append(RelayResult.REACHED)
                     nursery.cancel_scope.cancel()
 
-            nursery.start_soon(try_again)
+            nursery.start_soon(retry_probe)
             for relay in relays[: self._settings.relays]:
-                nursery.start_soon(ask, relay)
+                nursery.start_soon(probe_by_relay, relay)
         return answers
 
-    def _find_timeout(self) -> float:
+    def _compute_timeout(self) -> float:
         return self._settings.probe_timeout * self._health.timeout_multiplier
 
     def _list_others(self) -> list[Member]:
         return self._state.table.list_live()[1:]
 
-    def _choose(self, count: int) -> list[Member]:
+    def _choose_members(self, count: int) -> list[Member]:
         usable = [m for m in self._list_others() if m.state is not MemberState.SUSPECT]
         return self._random.sample(usable, min(count, len(usable)))
--- a/dewridge/membership/ranking.py
+++ b/dewridge/membership/ranking.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which members a subject falls to, without an election."""
+"""Rendezvous hashing: assigns subjects to members without an election."""
 
 from collections.abc import Iterable
 
@@ -9,10 +9,10 @@
 
 
 def rank_members(subject: str, members: Iterable[Member]) -> list[Member]:
-    """Order members for a subject, first the one that it falls to.
+    """Order members by their score for a subject, highest first.
 
-    Each host draws its own score for the subject, so a host that comes or goes
-    moves only the subjects that fall to it.
+    Each host has its own hash as score for a subject, so a host that joins or
+    leaves only changes the assignment of the subjects that rank it first.
     """
     return sorted(members, key=lambda member: _score(subject, member), reverse=True)
 
@@ -22,33 +22,34 @@
 
 
 def make_preference_list(request: RequestId, members: Iterable[Member]) -> list[Member]:
-    """Order the members that may hold a request: one a failure domain.
+    """Return the ranked members that may hold a request, one per failure domain.
 
-    Of each failure domain it takes the host ranked first, so that the loss of
-    a failure domain costs at most one copy.
+    Of each failure domain, only the host ranked first is included, so that the
+    loss of a failure domain costs at most one replica.
     """
-    home: list[Member] = []
+    preference_list: list[Member] = []
     domains = set()
     for member in rank_members(request, (m for m in members if m.accepts_work)):
         if member.failure_domain not in domains:
             domains.add(member.failure_domain)
-            home.append(member)
-    return home
+            preference_list.append(member)
+    return preference_list
 
 
 def choose_replicas(
     request: RequestId, owner: Member, members: Iterable[Member], count: int
 ) -> list[Member]:
-    """Choose the hosts that keep copies of an owner's request.
+    """Choose the hosts that hold replicas of an owner's request.
 
-    The first `count + 1` members of the home without the owner's failure
-    domain, cut to `count`: any two owners of one request share a replica, so
-    a second owner learns of the first before it accepts. With fewer failure
-    domains than that, other hosts of any failure domain fill the places.
+    These are the first `count` members of the preference list outside the owner's
+    failure domain, and thus always among its first `count + 1`. Any two owners of
+    one request therefore share a replica, so that a second owner learns of the
+    first one before it accepts the request. If there are too few failure domains,
+    other hosts of any failure domain are added.
     """
     known = list(members)
-    home = [m for m in make_preference_list(request, known) if m.host != owner.host]
-    chosen = [m for m in home if m.failure_domain != owner.failure_domain][:count]
+    others = [m for m in make_preference_list(request, known) if m.host != owner.host]
+    chosen = [m for m in others if m.failure_domain != owner.failure_domain][:count]
     spare = [m for m in rank_members(request, known) if m.accepts_work]
     for member in spare:
         if len(chosen) >= count:
@@ -59,10 +60,10 @@
 
 
 def has_duty(duty: str, view: MembershipView, holders: int = 1) -> bool:
-    """Whether this host is among the first `holders` members for a duty.
+    """Return whether this host is among the first `holders` members for a duty.
 
-    Views of the membership differ for a while, so two hosts may both say yes;
-    a duty must be harmless when carried out twice.
+    Views of the membership may differ for a while, so too many hosts may believe
+    that they have the duty. It must therefore be harmless if carried out twice.
     """
     live = [member for member in view.members() if member.accepts_work]
     first = rank_members(duty, live)[:holders]
--- a/dewridge/membership/registration.py
+++ b/dewridge/membership/registration.py
@@ -1,4 +1,4 @@
-"""Where a host that starts finds others to join through."""
+"""Registers this host's address and finds addresses to join the membership."""
 
 import msgspec
 import trio
@@ -7,44 +7,50 @@
 from dewridge.providers.model import Entry, KeyValue
 from dewridge.sentinels import Failure
 
-REGISTRATION_PAUSE = 2.0
-"""Seconds between tries to put this host's address into the key-value service.
-It is only read by hosts that start, so it may wait out an outage."""
+REGISTRATION_RETRY_DELAY = 2.0
+"""Seconds between attempts to write this host's address to the key-value service.
+Only starting hosts read it, so it may be delayed by an outage."""
 
-REMOVAL_LIMIT = 0.5
-"""Seconds that a leaving host spends on taking its address out. What it leaves
-behind costs a host that starts one refused connection."""
+REMOVAL_TIMEOUT = 0.5
+"""Maximum seconds that a departing host spends on removing its address. An address
+left in place costs a starting host one refused connection."""
 
 
 class Address(msgspec.Struct, frozen=True):
-    """An entry host's peer address, as kept in the key-value service."""
+    """An entry host's peer address, as stored in the key-value service."""
 
     host: str
     address: str
 
 
 class Registration:
-    """This host's address in the key-value service, for hosts that start.
+    """Registers this host's address in the key-value service, for starting hosts.
 
-    Seeds in the settings may all be gone after a day on which hosts are
-    replaced; the key-value service then still names some that are there.
+    After a day of host replacements, none of the seeds in the settings may exist
+    any more; the key-value service still lists hosts that do.
     """
 
     def __init__(
-        self, key_value: KeyValue, prefix: str, seeds: tuple[str, ...], me: Member
+        self,
+        key_value: KeyValue,
+        prefix: str,
+        seeds: tuple[str, ...],
+        local_member: Member,
     ) -> None:
         self._key_value = key_value
         self._prefix = f"{prefix}hosts/"
         self._seeds = seeds
-        self._me = me
+        self._local_member = local_member
 
     @property
     def _key(self) -> str:
-        return f"{self._prefix}{self._me.host}"
+        return f"{self._prefix}{self._local_member.host}"
 
     async def run(self) -> None:
-        """Write the address, trying again until it stands."""
-        value = msgspec.json.encode(Address(self._me.host, self._me.address))
+        """Write the address, retrying until it is stored."""
+        value = msgspec.json.encode(
+            Address(self._local_member.host, self._local_member.address)
+        )
         while True:
             entry = await self._key_value.get(self._key)
             if isinstance(entry, Entry) and entry.value == value:
@@ -56,17 +62,17 @@
                 )
                 if isinstance(written, Entry):
                     return
-            await trio.sleep(REGISTRATION_PAUSE)
+            await trio.sleep(REGISTRATION_RETRY_DELAY)
 
     async def remove(self) -> None:
-        """Take the address out again, if that works at once."""
-        with trio.move_on_after(REMOVAL_LIMIT):
+        """Remove the address, if that succeeds within REMOVAL_TIMEOUT."""
+        with trio.move_on_after(REMOVAL_TIMEOUT):
             entry = await self._key_value.get(self._key)
             if isinstance(entry, Entry) and not entry.is_absent:
                 await self._key_value.delete(self._key, entry.revision)
 
     async def find_seeds(self) -> list[str]:
-        """Return peer addresses to join through: settings first, then the service."""
+        """Return peer addresses to join: first the settings', then the service's."""
         seeds = list(self._seeds)
         entries = await self._key_value.list_entries(self._prefix)
         if not isinstance(entries, Failure):
@@ -76,4 +82,6 @@
                 except msgspec.DecodeError:
                     continue
                 seeds.append(address.address)
-        return [seed for seed in dict.fromkeys(seeds) if seed != self._me.address]
+        return [
+            seed for seed in dict.fromkeys(seeds) if seed != self._local_member.address
+        ]
--- a/dewridge/membership/rumors.py
+++ b/dewridge/membership/rumors.py
@@ -1,4 +1,4 @@
-"""The rumors that this host has heard, each in its newest version."""
+"""Table of the rumors that this host knows, each in its newest version."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,27 +7,28 @@
 from dewridge.membership.buckets import BucketHashes, find_bucket
 from dewridge.membership.model import Rumor
 
-PAYLOAD_LIMIT = 16_384
-"""Bytes of one payload. Rumors ride on probes, of which a node sends a few a second
-within 3 KB; longer content is fetched by those who hear of it."""
+MAX_PAYLOAD_BYTES = 16_384
+"""Maximum size of a payload. Rumors are sent with probes, of which a node sends a few
+a second within 3 KB/s; receivers of a rumor pull longer content separately."""
 MAX_RUMORS = 20_000
-BYTES_LIMIT = 4_000_000
-"""Bounds on what is kept: four rumors for each of 4,900 workers in a sixteenth of the
-64 MB for control. A part that spreads without end would otherwise fill every host's
-memory at once."""
+MAX_TOTAL_BYTES = 4_000_000
+"""Bounds of the table: four rumors for each of 4,900 workers, in a sixteenth of the
+64 MB for control. Without them, a component that sends rumors without end would fill
+the memory of all hosts at once."""
 LIFETIMES = {"server_leaving": 3_600.0, "host_reclaim": 3_600.0, "fenced": 172_800.0}
-"""Seconds after which rumors of a kind are forgotten everywhere, unless they bring a
-lifetime of their own. A backend server that was seen leaving is gone within minutes
-and the host list lags by less than an hour; a host that woke up after two days has no
-work left to harm. Without it a year of replaced servers would be told to each new host
-and fill MAX_RUMORS, and then new servers would not be heard of."""
+"""Seconds after which all members drop rumors of a kind, unless the rumor has its own
+lifetime. A backend server that announced its departure is removed within minutes, and
+the host list lags by less than an hour. A fenced host that resumes after two days has
+no requests left to interfere with. Without lifetimes, a year of replaced servers would
+be sent to each new host and reach MAX_RUMORS, and rumors about new servers would be
+dropped."""
 
-ITEM_OVERHEAD = 40
-"""Bytes that a rumor takes on the wire besides its texts."""
+RUMOR_OVERHEAD = 40
+"""Bytes that a rumor takes on the wire, excluding its strings and payload."""
 
 
 class MergeResult(Enum):
-    """What became of a rumor that was heard."""
+    """Result of merging a received rumor."""
 
     NEW = "new"
     KNOWN = "known"
@@ -36,98 +37,106 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _StoredRumor:
     rumor: Rumor
-    born: float
+    spread_at: float
 
 
 class RumorTable:
-    """Rumors by kind and subject."""
+    """Rumors by kind and subject; bounded in count and bytes."""
 
     def __init__(self, buckets: BucketHashes) -> None:
         self._buckets = buckets
-        self._kept: dict[tuple[str, str], _Kept] = {}
+        self._rumors: dict[tuple[str, str], _StoredRumor] = {}
         self._bytes = 0
 
     def merge(self, rumor: Rumor, age: float, now: float) -> MergeResult:
-        """Keep a rumor if it is newer than what is known."""
-        place = rumor.kind, rumor.subject
-        known = self._kept.get(place)
+        """Store a rumor if it is newer than the known version.
+
+        Args:
+            rumor: the rumor.
+            age: seconds since it was first spread.
+            now: the time.
+        """
+        key = rumor.kind, rumor.subject
+        known = self._rumors.get(key)
         if known is not None and known.rumor.version >= rumor.version:
             return MergeResult.KNOWN
-        if age > find_lifetime(rumor):
+        if age > get_lifetime(rumor):
             return MergeResult.EXPIRED
         size = measure_rumor(rumor)
-        if len(rumor.payload) > PAYLOAD_LIMIT or not self._has_room(size, known):
+        if len(rumor.payload) > MAX_PAYLOAD_BYTES or not self._has_room(size, known):
             return MergeResult.OVER_LIMIT
         if known is not None:
-            self._drop(place)
-        self._kept[place] = _Kept(rumor, now - age)
+            self._drop(key)
+        self._rumors[key] = _StoredRumor(rumor, now - age)
         self._bytes += size
         self._toggle(rumor)
         return MergeResult.NEW
 
     def find(self, kind: str, subject: str) -> Rumor | None:
-        """Look up a rumor."""
-        kept = self._kept.get((kind, subject))
-        return kept.rumor if kept else None
+        """Return a rumor in its newest version, if it is known."""
+        stored = self._rumors.get((kind, subject))
+        return stored.rumor if stored else None
 
     def find_age(self, rumor: Rumor, now: float) -> float:
-        """Return the seconds since a kept rumor was first spread."""
-        return now - self._kept[rumor.kind, rumor.subject].born
+        """Return the seconds since a stored rumor was first spread."""
+        return now - self._rumors[rumor.kind, rumor.subject].spread_at
 
     def list_kind(self, kind: str) -> list[Rumor]:
         """Return all rumors of a kind."""
         return [rumor for rumor in self if rumor.kind == kind]
 
     def list_buckets(self, buckets: set[int]) -> list[Rumor]:
-        """Return the rumors that fall into some buckets."""
-        return [rumor for rumor in self if find_bucket(_name(rumor)) in buckets]
+        """Return the rumors in the given hash buckets."""
+        return [
+            rumor for rumor in self if find_bucket(_make_hash_key(rumor)) in buckets
+        ]
 
     def expire(self, now: float) -> int:
-        """Forget what outlived its kind's lifetime; returns how many."""
-        old = [
-            place
-            for place, kept in self._kept.items()
-            if now - kept.born > find_lifetime(kept.rumor)
+        """Drop rumors that are older than their lifetime; return how many."""
+        expired = [
+            key
+            for key, stored in self._rumors.items()
+            if now - stored.spread_at > get_lifetime(stored.rumor)
         ]
-        for place in old:
-            self._drop(place)
-        return len(old)
+        for key in expired:
+            self._drop(key)
+        return len(expired)
 
-    def _has_room(self, size: int, known: _Kept | None) -> bool:
+    def _has_room(self, size: int, known: _StoredRumor | None) -> bool:
         if known is not None:
             size -= measure_rumor(known.rumor)
-        has_place = known is not None or len(self._kept) < MAX_RUMORS
-        return has_place and self._bytes + size <= BYTES_LIMIT
+        is_count_ok = known is not None or len(self._rumors) < MAX_RUMORS
+        return is_count_ok and self._bytes + size <= MAX_TOTAL_BYTES
 
-    def _drop(self, place: tuple[str, str]) -> None:
-        kept = self._kept.pop(place)
-        self._bytes -= measure_rumor(kept.rumor)
-        self._toggle(kept.rumor)
+    def _drop(self, key: tuple[str, str]) -> None:
+        stored = self._rumors.pop(key)
+        self._bytes -= measure_rumor(stored.rumor)
+        self._toggle(stored.rumor)
 
     def _toggle(self, rumor: Rumor) -> None:
-        self._buckets.toggle(_name(rumor), str(rumor.version))
+        self._buckets.toggle(_make_hash_key(rumor), str(rumor.version))
 
     def __iter__(self) -> Iterator[Rumor]:
-        return (kept.rumor for kept in self._kept.values())
+        return (stored.rumor for stored in self._rumors.values())
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._rumors)
 
 
 def measure_rumor(rumor: Rumor) -> int:
-    """Return about how many bytes a rumor takes in a message."""
-    texts = len(rumor.kind) + len(rumor.subject) + len(rumor.payload)
-    return ITEM_OVERHEAD + texts
+    """Return the approximate size of a rumor in a message, in bytes."""
+    content = len(rumor.kind) + len(rumor.subject) + len(rumor.payload)
+    return RUMOR_OVERHEAD + content
 
 
-def find_lifetime(rumor: Rumor) -> float:
-    """Return the seconds that a rumor is kept."""
+def get_lifetime(rumor: Rumor) -> float:
+    """Return the seconds after which a rumor is dropped."""
     if rumor.lifetime is not None:
         return rumor.lifetime
     return LIFETIMES.get(rumor.kind, float("inf"))
 
 
-def _name(rumor: Rumor) -> str:
+def _make_hash_key(rumor: Rumor) -> str:
     return f"r|{rumor.kind}|{rumor.subject}"
--- a/dewridge/membership/service.py
+++ b/dewridge/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership of the entry hosts: who is there, and rumors that all should hear."""
+"""Service that maintains the membership of the entry hosts and spreads rumors."""
 
 import math
 from collections.abc import Awaitable, Callable, Sequence
@@ -20,37 +20,41 @@
 from dewridge.settings.schema import MembershipSettings
 
 JOIN_TIMEOUT = 1.0
+"""Seconds to wait for an answer to a join or a comparison."""
 JOIN_ATTEMPTS = 3
-"""Rounds through the seeds before a host goes on alone. All hosts of a deployment may
-start at once and not one answer yet; nor may the first one wait for ever."""
+"""Rounds through the seeds before a host continues alone. If all hosts of a deployment
+start at once, none may answer yet, and the first host must not wait for ever."""
 JOIN_PAUSE = 0.3
-ALONE_PERIOD = 2.0
-"""Seconds between tries to find others while alone; each may read the platform's
-key-value service for seeds."""
-LONGEST_SEARCH = 60.0
-"""Seconds between a member's tries to reach a lost one. The period is a second for
-each live member, so that all together try about once a second, and the two sides of
-a cut between regions find each other within seconds without costing a node more than
-a message a minute."""
+"""Mean seconds between two rounds through the seeds."""
+MIN_SEARCH_PERIOD = 2.0
+"""Minimum seconds between searches for other members, used while a host is alone. Each
+search may read seeds from the platform's key-value service."""
+MAX_SEARCH_PERIOD = 60.0
+"""Maximum seconds between searches by a member for a lost member. The period is one
+second per live member, so that all members together search about once a second. The two
+sides of a partition between regions then find each other within seconds, and a node
+sends no more than one such message a minute."""
 SEED_SHARE = 0.25
-"""Part of those tries that ask for seeds, which may read the key-value service: a read
-in four seconds for the whole deployment."""
+"""Share of the searches that use seeds and may read the key-value service. This is one
+read in four seconds for the whole deployment."""
 COMPARE_PERIOD = 3.8
-"""Seconds between comparisons with a random member, times the logarithm of the count:
-10 s at 440 members, 3.4 s at 8. The epidemic misses one member in a while, more often
-in a small group, and a change must be in force everywhere within 13 s. At 440 hosts
-one costs about 1 KB, so 100 bytes a second."""
-COMPARE_AGAIN = 1.0
+"""Seconds between comparisons with a random member, multiplied by the logarithm of the
+member count: 10 s at 440 members, 3.4 s at 8. The gossip occasionally misses a member,
+more often in a small group, and a change must be in force everywhere within 13 s. At
+440 hosts one comparison costs about 1 KB, which is 100 bytes a second."""
+SHORT_COMPARE_PERIOD = 1.0
+"""Seconds until the next comparison after one with a large difference."""
 LARGE_DIFFERENCE = 10
-"""Items beyond which the next comparison follows soon: a cut healed, and 220 members
-are to be heard of in seconds."""
+"""Items transferred by a comparison beyond which the next one follows soon. After a
+partition ends, 220 members must become known within seconds."""
 LEAVE_CONTACTS = 4
+"""Members that are sent the departure of this host before it leaves."""
 
 FindSeeds = Callable[[], Awaitable[list[str]]]
 
 
 class MembershipService:
-    """Keeps the membership; implements `MembershipView` and `Rumors`."""
+    """Maintains the membership; implements `MembershipView` and `Rumors`."""
 
     def __init__(
         self,
@@ -63,20 +67,21 @@
         seed: int,
         on_fenced: Callable[[], None] = lambda: None,
     ) -> None:
-        """Make the service.
+        """Create the service.
 
         Args:
             settings: periods and timeouts.
-            peers: carries the messages.
-            local_member: this host's own entry.
-            find_seeds: finds peer addresses to join through.
-            metrics: counters.
-            seed: for all random choices.
-            on_fenced: called once, when this incarnation must end: it was fenced,
-                a newer one exists, or it was declared dead while cut off.
+            peers: transport for messages to other hosts.
+            local_member: the member that represents this host.
+            find_seeds: returns peer addresses to join.
+            metrics: receives the counters.
+            seed: seed of all random choices.
+            on_fenced: called once, when this incarnation must end because it was
+                fenced, a newer one exists, or it was declared dead while paused or
+                partitioned.
         """
         self._random = Random(seed)
-        self._seeds = find_seeds
+        self._find_seeds = find_seeds
         self._metrics = metrics
         self._joined = trio.Event()
         self._health = LocalHealth()
@@ -102,32 +107,32 @@
 
     @property
     def local_member(self) -> Member:
-        """This host's own entry."""
+        """The member that represents this host."""
         return self._table.local_member
 
     def members(self) -> Sequence[Member]:
-        """All known members, this host included, in any state but DEAD."""
+        """Return all known members that are not DEAD, including this host."""
         return self._table.list_live()
 
     def find(self, host: HostId) -> Member | None:
-        """Look up the newest known incarnation of a host, DEAD included."""
+        """Return the newest known incarnation of a host, even if it is DEAD."""
         return self._table.find(host)
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
-        """Call `listener` at once and briefly on each change of a member."""
+        """Call `listener` synchronously on each change; it must not block."""
         self._state.subscribe(listener)
 
     def spread(self, rumor: Rumor) -> None:
-        """Tell all members, unless a version as high is known already."""
+        """Send a rumor to all members, unless a version as high is already known."""
         self._state.receive_rumor(rumor, 0.0, trio.current_time())
         self._exchanges.handle_local_claims()
 
     def subscribe_rumors(self, kind: str, listener: Callable[[Rumor], None]) -> None:
-        """Call `listener` on each new version, and now with those known."""
+        """Call `listener` on each new version, and now with each known rumor."""
         self._state.subscribe_rumors(kind, listener)
 
     def check_peer(self, peer: PeerIdentity) -> Failure | None:
-        """Say why a peer must not be listened to; for `PeerTransport.is_refused`."""
+        """Return why a peer must be rejected, if so; for `PeerTransport.is_refused`."""
         if self._table.is_obsolete(peer.host, peer.incarnation):
             return Failure(ResultCode.FENCED, "fenced or superseded incarnation")
         return None
@@ -135,25 +140,25 @@
     # -- tasks ---------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Join, probe, spread and compare until cancelled."""
+        """Run the tasks that join, probe, send updates and compare, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_joined)
+            nursery.start_soon(self._run_joining)
             nursery.start_soon(self._prober.run_probes)
             nursery.start_soon(self._prober.run_urgent_updates)
-            nursery.start_soon(self._compare_in_turn)
+            nursery.start_soon(self._run_comparisons)
 
     async def wait_joined(self) -> None:
-        """Wait until a seed answered, or this host goes on alone for now."""
+        """Wait until a seed has answered or this host continues alone for now."""
         await self._joined.wait()
 
     async def leave(self) -> None:
-        """Announce that this host goes, to some members before returning."""
+        """Announce the departure of this host, and send it to some members."""
         if self.local_member.state is not MemberState.LEAVING:
             self._state.broadcast_local_member(self._table.leave())
         await self._prober.send_updates_now(LEAVE_CONTACTS)
 
     async def describe(self) -> dict[str, Any]:
-        """Return the membership as this host sees it, for a dump."""
+        """Return this host's view of the membership, for a diagnostic dump."""
         return {
             "me": _describe(self.local_member),
             "joined": self._joined.is_set(),
@@ -164,7 +169,7 @@
             "news": self._state.pending_update_count,
         }
 
-    async def _keep_joined(self) -> None:
+    async def _run_joining(self) -> None:
         for _ in range(JOIN_ATTEMPTS):
             if await self._join():
                 break
@@ -172,7 +177,7 @@
         self._joined.set()
         while True:
             await trio.sleep(
-                self._find_search_period() * self._random.uniform(0.5, 1.5)
+                self._compute_search_period() * self._random.uniform(0.5, 1.5)
             )
             if self._exchanges.is_terminated:
                 continue
@@ -182,8 +187,8 @@
                 await self._search()
 
     async def _join(self) -> bool:
-        """Introduce this host to the first seed that answers."""
-        addresses = await self._find_strangers()
+        """Join through the first seed that answers; return False if none did."""
+        addresses = await self._find_unknown_seeds()
         if not addresses:
             return True
         self._random.shuffle(addresses)
@@ -193,36 +198,40 @@
         return False
 
     async def _search(self) -> None:
-        """Try to reach a member that was lost, or a seed that is not a member."""
-        lost = [m.address for m in self._table.others() if m.state is MemberState.DEAD]
-        if not lost or self._random.random() < SEED_SHARE:
-            lost = await self._find_strangers()
-        if lost:
+        """Compare state with a random DEAD member, or a seed that is not a member."""
+        addresses = [
+            m.address for m in self._table.others() if m.state is MemberState.DEAD
+        ]
+        if not addresses or self._random.random() < SEED_SHARE:
+            addresses = await self._find_unknown_seeds()
+        if addresses:
             self._metrics.add("membership_searches")
-            await self._exchanges.compare(self._random.choice(lost), JOIN_TIMEOUT)
+            await self._exchanges.compare(self._random.choice(addresses), JOIN_TIMEOUT)
 
-    async def _find_strangers(self) -> list[str]:
+    async def _find_unknown_seeds(self) -> list[str]:
         known = {member.address for member in self._table.list_live()}
-        return [address for address in await self._seeds() if address not in known]
+        return [address for address in await self._find_seeds() if address not in known]
 
-    async def _compare_in_turn(self) -> None:
-        pause = self._find_compare_period()
+    async def _run_comparisons(self) -> None:
+        pause = self._compute_compare_period()
         while True:
             await trio.sleep(pause * self._random.uniform(0.5, 1.5))
             others = [m for m in self._table.list_live()[1:] if m.accepts_work]
             if not others or self._exchanges.is_terminated:
                 continue
             address = self._random.choice(others).address
-            moved = await self._exchanges.compare(address, JOIN_TIMEOUT)
-            self._metrics.add("membership_compared_items", moved or 0)
-            is_large = moved is not None and moved > LARGE_DIFFERENCE
-            pause = COMPARE_AGAIN if is_large else self._find_compare_period()
+            transferred = await self._exchanges.compare(address, JOIN_TIMEOUT)
+            self._metrics.add("membership_compared_items", transferred or 0)
+            is_large = transferred is not None and transferred > LARGE_DIFFERENCE
+            pause = SHORT_COMPARE_PERIOD if is_large else self._compute_compare_period()
 
-    def _find_compare_period(self) -> float:
+    def _compute_compare_period(self) -> float:
         return COMPARE_PERIOD * math.log10(max(3, self._table.alive_count))
 
-    def _find_search_period(self) -> float:
-        return min(max(ALONE_PERIOD, float(self._table.alive_count)), LONGEST_SEARCH)
+    def _compute_search_period(self) -> float:
+        return min(
+            max(MIN_SEARCH_PERIOD, float(self._table.alive_count)), MAX_SEARCH_PERIOD
+        )
 
     def _is_alone(self) -> bool:
         return self._table.alive_count == 1
--- a/dewridge/membership/table.py
+++ b/dewridge/membership/table.py
@@ -1,6 +1,7 @@
-"""What this host believes of each member: merging claims, suspicion, refutation.
+"""Table of the members' states: merging of claims, suspicion and refutation.
 
-Pure state; the time is an argument.
+A claim is the state of a member as sent by any member. The table does no I/O, and the
+time is an argument.
 """
 
 import math
@@ -12,15 +13,16 @@
 from dewridge.membership.buckets import BucketHashes, find_bucket
 from dewridge.membership.model import Member, MemberState
 
-DEAD_KEPT = 21_600.0
-"""Seconds that a dead member is remembered. Regions lose each other for an hour now
-and then; whoever forgot the other side's addresses could find it only by seeds."""
-DEAD_LIMIT = 1_000
-"""Dead members remembered: a region of 150 and six hours of 570 replacements a day
-fit several times. It bounds memory when hosts restart in a loop."""
+DEAD_RETENTION = 21_600.0
+"""Seconds that a dead member is retained. Regions are sometimes partitioned for an
+hour; a host that dropped the other side's addresses could find it only by seeds."""
+MAX_DEAD_MEMBERS = 1_000
+"""Maximum number of dead members retained. It is several times a region of 150 hosts
+plus six hours of 570 replacements a day, and bounds memory if hosts restart in a
+loop."""
 
-FENCED_LIMIT = 4_096
-"""Fenced incarnations remembered, by host: a week of 570 replacements a day."""
+MAX_FENCED_HOSTS = 4_096
+"""Maximum number of fenced hosts retained; about a week of 570 replacements a day."""
 
 PRECEDENCE = {
     MemberState.ALIVE: 0,
@@ -28,17 +30,17 @@
     MemberState.SUSPECT: 2,
     MemberState.DEAD: 3,
 }
-"""Which of two claims with the same incarnation and refutation holds. Only the member
-itself raises its refutation, and so overrules what others claim."""
+"""Order of claims with the same incarnation and refutation; the highest one wins. Only
+the member itself increments its refutation, which overrides claims by others."""
 
 
 class LocalClaim(Enum):
-    """What others claim of this host itself."""
+    """Claims by other members about this host."""
 
     SUSPECT = "suspect"
     DEAD = "dead"
     SUPERSEDED = "superseded"
-    """Its incarnation is fenced, or a newer one of the same host exists."""
+    """This incarnation was fenced, or a newer one of the same host exists."""
 
 
 @dataclass(slots=True)
@@ -48,56 +50,58 @@
 
 
 class MemberTable:
-    """Members by host, each in its newest incarnation."""
+    """Members by host, each with its newest known incarnation."""
 
-    def __init__(self, me: Member, buckets: BucketHashes, suspicion: float) -> None:
-        self._me = me
+    def __init__(
+        self, local_member: Member, buckets: BucketHashes, suspicion: float
+    ) -> None:
+        self._local_member = local_member
         self._buckets = buckets
         self._suspicion = suspicion
         self._entries: dict[HostId, _Entry] = {}
         self._fenced: dict[HostId, Incarnation] = {}
-        self._accusations: set[LocalClaim] = set()
-        self._alive = 1
-        self._toggle(me)
+        self._local_claims: set[LocalClaim] = set()
+        self._alive_count = 1
+        self._toggle(local_member)
 
     @property
     def local_member(self) -> Member:
-        """This host's own entry."""
-        return self._me
+        """The member that represents this host."""
+        return self._local_member
 
     @property
     def alive_count(self) -> int:
-        """Members that are not dead, this host included."""
-        return self._alive
+        """Number of members that are not dead, including this host."""
+        return self._alive_count
 
     def find(self, host: HostId) -> Member | None:
-        """Look up the newest known incarnation of a host."""
-        if host == self._me.host:
-            return self._me
+        """Return the newest known incarnation of a host, even if it is dead."""
+        if host == self._local_member.host:
+            return self._local_member
         entry = self._entries.get(host)
         return entry.member if entry else None
 
     def others(self) -> Iterator[Member]:
-        """Return all other members, dead ones included."""
+        """Return all other members, including dead ones."""
         return (entry.member for entry in self._entries.values())
 
     def list_live(self) -> list[Member]:
         """Return all members that are not dead, this host first."""
         live = [m for m in self.others() if m.state is not MemberState.DEAD]
-        return [self._me, *live]
+        return [self._local_member, *live]
 
     def list_buckets(self, buckets: set[int]) -> list[Member]:
-        """Return the members that fall into some buckets."""
-        known = [self._me, *self.others()]
-        return [m for m in known if find_bucket(name_member(m.host)) in buckets]
+        """Return the members in the given hash buckets."""
+        known = [self._local_member, *self.others()]
+        return [m for m in known if find_bucket(make_hash_key(m.host)) in buckets]
 
     def is_newer(self, claim: Member) -> bool:
-        """Whether a claim overrules what is known."""
+        """Return whether a claim overrides the known state of its member."""
         known = self.find(claim.host)
-        return known is None or _rank(claim) > _rank(known)
+        return known is None or _get_precedence(claim) > _get_precedence(known)
 
     def is_obsolete(self, host: HostId, incarnation: Incarnation) -> bool:
-        """Whether an incarnation is fenced, or older than one that is known."""
+        """Return whether an incarnation is fenced or older than the known one."""
         if incarnation <= self._fenced.get(host, 0):
             return True
         known = self.find(host)
@@ -106,21 +110,22 @@
     def merge(
         self, claim: Member, now: float, *, from_sync: bool = False
     ) -> list[Member]:
-        """Take in a claim about a member.
+        """Apply a claim about a member.
 
         Args:
-            claim: what another member believes.
+            claim: state of a member, as known to another member.
             now: the time.
-            from_sync: whether it comes from comparing all that both know, in
-                place of news. A death is then first taken as a suspicion: when
-                a cut between two halves heals, each holds the other's members
-                for dead, and taking that over would kill all of both at once.
+            from_sync: whether the claim comes from a join or a comparison of full
+                states, and not from an update. A death is then applied as a
+                suspicion: when a partition into two halves ends, each half has the
+                other's members as dead, and applying that directly would declare
+                all members of both halves dead at once.
 
         Returns:
-            The changes, in order; empty if the claim is not news.
+            The changes, in order; empty if the claim changes nothing.
         """
-        if claim.host == self._me.host:
-            self._hear_of_me(claim)
+        if claim.host == self._local_member.host:
+            self._record_local_claim(claim)
             return []
         if claim.incarnation <= self._fenced.get(claim.host, 0):
             claim = replace(claim, state=MemberState.DEAD)
@@ -128,53 +133,54 @@
         if known is None and (claim.state is MemberState.DEAD or not claim.address):
             return []
         if known is not None:
-            claim = self._complete(claim, known.member, from_sync)
-            if _rank(claim) <= _rank(known.member):
+            claim = self._add_known_fields(claim, known.member, from_sync)
+            if _get_precedence(claim) <= _get_precedence(known.member):
                 return []
-        return self._put(claim, now)
+        return self._store(claim, now)
 
     def suspect(self, member: Member, now: float) -> list[Member]:
-        """Hold a member for suspect after a probe of this host failed."""
+        """Mark a member as suspect after a probe by this host failed."""
         known = self._entries.get(member.host)
         if known is None or known.member.incarnation != member.incarnation:
             return []
         return self.merge(replace(known.member, state=MemberState.SUSPECT), now)
 
     def fence(self, host: HostId, incarnation: Incarnation, now: float) -> list[Member]:
-        """Hold an incarnation, and all before it, for dead for good."""
+        """Mark an incarnation and all earlier ones as dead permanently."""
         self._fenced[host] = max(incarnation, self._fenced.get(host, Incarnation(0)))
-        if len(self._fenced) > FENCED_LIMIT:
+        if len(self._fenced) > MAX_FENCED_HOSTS:
             del self._fenced[next(iter(self._fenced))]
-        if host == self._me.host:
-            if self._me.incarnation <= incarnation:
-                self._accusations.add(LocalClaim.SUPERSEDED)
+        if host == self._local_member.host:
+            if self._local_member.incarnation <= incarnation:
+                self._local_claims.add(LocalClaim.SUPERSEDED)
             return []
         known = self._entries.get(host)
         if known is None or known.member.incarnation > incarnation:
             return []
         return self.merge(known.member, now)
 
-    def expire(self, now: float, stretch: float) -> list[Member]:
-        """Declare suspects dead whose time to refute is over; forget old dead.
+    def expire(self, now: float, timeout_multiplier: float) -> list[Member]:
+        """Declare overdue suspects dead, and drop members that were dead for long.
 
         Args:
             now: the time.
-            stretch: by how much this host's own slowness lengthens the time.
+            timeout_multiplier: factor for the suspicion time, raised while this
+                host itself is slow.
         """
-        limit = now - self.compute_suspicion_time() * stretch
-        over = [
+        limit = now - self.compute_suspicion_time() * timeout_multiplier
+        overdue = [
             entry.member
             for entry in self._entries.values()
             if entry.member.state is MemberState.SUSPECT and entry.changed_at <= limit
         ]
         changes = []
-        for member in over:
-            changes += self._put(replace(member, state=MemberState.DEAD), now)
-        self._forget(now)
+        for member in overdue:
+            changes += self._store(replace(member, state=MemberState.DEAD), now)
+        self._drop_old_dead(now)
         return changes
 
     def list_suspects(self, limit: int) -> list[Member]:
-        """Return the suspects whose time is over soonest."""
+        """Return the suspects that will be declared dead soonest."""
         suspects = [
             entry
             for entry in self._entries.values()
@@ -184,56 +190,60 @@
         return [entry.member for entry in suspects[:limit]]
 
     def restart_suspicions(self, now: float) -> None:
-        """Give all suspects their whole time again.
+        """Restart the suspicion time of all suspects.
 
-        For when this host itself stood still: their refutations came meanwhile
-        and lie unread.
+        This is needed after this host was paused or isolated: refutations may have
+        arrived that it has not processed yet.
         """
         for entry in self._entries.values():
             if entry.member.state is MemberState.SUSPECT:
                 entry.changed_at = now
 
     def compute_suspicion_time(self) -> float:
-        """Return the seconds that a suspect has to refute.
+        """Return the seconds within which a suspect must refute.
 
-        It grows with the logarithm of the count, as the suspicion's way to the
-        suspect and its answer's way back do.
+        The time grows with the logarithm of the member count, like the time that
+        gossip needs to carry the suspicion to the suspect and its refutation back.
         """
-        return self._suspicion * max(1.0, math.log10(self._alive))
+        return self._suspicion * max(1.0, math.log10(self._alive_count))
 
     def refute(self) -> Member:
-        """Overrule what others claim of this host."""
-        return self._replace_me(replace(self._me, refutation=self._me.refutation + 1))
+        """Override the claims about this host; return the new local member."""
+        return self._replace_local_member(
+            replace(self._local_member, refutation=self._local_member.refutation + 1)
+        )
 
     def leave(self) -> Member:
-        """Announce that this host goes."""
-        return self._replace_me(
+        """Mark this host as leaving; return the new local member."""
+        return self._replace_local_member(
             replace(
-                self._me,
+                self._local_member,
                 state=MemberState.LEAVING,
-                refutation=self._me.refutation + 1,
+                refutation=self._local_member.refutation + 1,
             )
         )
 
     def pop_local_claims(self) -> set[LocalClaim]:
-        """Return what was claimed of this host since the last call."""
-        accusations, self._accusations = self._accusations, set()
-        return accusations
-
-    def _hear_of_me(self, claim: Member) -> None:
-        if claim.incarnation > self._me.incarnation:
-            self._accusations.add(LocalClaim.SUPERSEDED)
-        elif _rank(claim) <= _rank(self._me):
+        """Return and clear the claims about this host since the last call."""
+        claims, self._local_claims = self._local_claims, set()
+        return claims
+
+    def _record_local_claim(self, claim: Member) -> None:
+        if claim.incarnation > self._local_member.incarnation:
+            self._local_claims.add(LocalClaim.SUPERSEDED)
+        elif _get_precedence(claim) <= _get_precedence(self._local_member):
             return
         elif claim.state is MemberState.DEAD:
-            self._accusations.add(LocalClaim.DEAD)
+            self._local_claims.add(LocalClaim.DEAD)
         else:
-            self._accusations.add(LocalClaim.SUSPECT)
-        if claim.incarnation == self._me.incarnation:
-            top = max(self._me.refutation, claim.refutation)
-            self._replace_me(replace(self._me, refutation=top))
+            self._local_claims.add(LocalClaim.SUSPECT)
+        if claim.incarnation == self._local_member.incarnation:
+            refutation = max(self._local_member.refutation, claim.refutation)
+            self._replace_local_member(
+                replace(self._local_member, refutation=refutation)
+            )
 
-    def _complete(self, claim: Member, known: Member, hearsay: bool) -> Member:
+    def _add_known_fields(self, claim: Member, known: Member, hearsay: bool) -> Member:
         if claim.incarnation != known.incarnation:
             return claim
         is_up = known.state is not MemberState.DEAD
@@ -242,56 +252,56 @@
             state = MemberState.DEAD if is_fenced else MemberState.SUSPECT
         else:
             state = claim.state
-        # Claims about suspects and dead come without addresses, to save bytes.
+        # Claims about suspect and dead members have no addresses, to save bytes.
         return replace(known, state=state, refutation=claim.refutation)
 
-    def _put(self, member: Member, now: float) -> list[Member]:
+    def _store(self, member: Member, now: float) -> list[Member]:
         known = self._entries.get(member.host)
         changes = []
         if known is not None:
             self._toggle(known.member)
             if known.member.state is not MemberState.DEAD:
-                self._alive -= 1
+                self._alive_count -= 1
                 if known.member.incarnation < member.incarnation:
-                    # Listeners hear of the old incarnation's end before the new
-                    # one, though nobody saw it die: it held work that is lost.
+                    # Report the old incarnation as dead before the new one, although
+                    # no member detected its crash: the requests it held are lost.
                     changes.append(replace(known.member, state=MemberState.DEAD))
         if member.state is not MemberState.DEAD:
-            self._alive += 1
+            self._alive_count += 1
         self._entries[member.host] = _Entry(member, now)
         self._toggle(member)
         return [*changes, member]
 
-    def _forget(self, now: float) -> None:
+    def _drop_old_dead(self, now: float) -> None:
         dead = [
             entry
             for entry in self._entries.values()
             if entry.member.state is MemberState.DEAD
         ]
-        surplus = len(dead) - DEAD_LIMIT
+        surplus = len(dead) - MAX_DEAD_MEMBERS
         for entry in sorted(dead, key=lambda entry: entry.changed_at):
-            if entry.changed_at > now - DEAD_KEPT and surplus <= 0:
+            if entry.changed_at > now - DEAD_RETENTION and surplus <= 0:
                 break
             surplus -= 1
             del self._entries[entry.member.host]
 
-    def _replace_me(self, me: Member) -> Member:
-        self._toggle(self._me)
-        self._me = me
-        self._toggle(me)
-        return me
+    def _replace_local_member(self, local_member: Member) -> Member:
+        self._toggle(self._local_member)
+        self._local_member = local_member
+        self._toggle(local_member)
+        return local_member
 
     def _toggle(self, member: Member) -> None:
-        # Without the dead, which members forget at different times.
+        # The hashes exclude dead members, which are dropped at different times.
         if member.state is not MemberState.DEAD:
             version = f"{member.incarnation}|{member.refutation}|{member.state.value}"
-            self._buckets.toggle(name_member(member.host), version)
+            self._buckets.toggle(make_hash_key(member.host), version)
 
 
-def name_member(host: HostId) -> str:
-    """Return the name under which a member is hashed."""
+def make_hash_key(host: HostId) -> str:
+    """Return the key under which a member is hashed."""
     return f"m|{host}"
 
 
-def _rank(member: Member) -> tuple[int, int, int]:
+def _get_precedence(member: Member) -> tuple[int, int, int]:
     return member.incarnation, member.refutation, PRECEDENCE[member.state]
