--- a/dewridge/tests/configuration/service_tests.py
+++ b/dewridge/tests/configuration/service_tests.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: accepted once, never lost, never undone."""
+"""Tests of configuration changes: accepted exactly once, never lost or reverted."""
 
 import dataclasses
 import json
@@ -24,15 +24,15 @@
 from dewridge.tests.fakes import FakeMembership, MemoryKeyValue, make_member
 
 ANA = OperatorName("ana")
-HEAD = "dewridge/configuration/head"
+HEAD_KEY = "dewridge/configuration/head"
 
 
 class DirectPeers:
-    """Peers that call each other's handlers in memory."""
+    """Implements `Peers` by calling the handlers of other instances directly."""
 
     def __init__(self, network: dict[str, "DirectPeers"], address: str) -> None:
         self.handlers: dict[type, Handler] = {}
-        self.is_cut = False
+        self.is_partitioned = False
         self._network = network
         network[address] = self
 
@@ -45,14 +45,14 @@
     async def call(self, address: str, message: object, timeout: float) -> object:
         await trio.lowlevel.checkpoint()
         other = self._network[address]
-        if self.is_cut or other.is_cut:
+        if self.is_partitioned or other.is_partitioned:
             return Failure(ResultCode.PEER_UNREACHABLE)
-        me = PeerIdentity(make_member(0).host, make_member(0).incarnation, "d")  # type: ignore[arg-type]
-        return await other.handlers[type(message)](me, message)
+        caller = PeerIdentity(make_member(0).host, make_member(0).incarnation, "d")  # type: ignore[arg-type]
+        return await other.handlers[type(message)](caller, message)
 
 
 class Fleet:
-    """Some entry hosts' configuration services over one key-value service."""
+    """Configuration services of several entry hosts that share a key-value service."""
 
     def __init__(self, count: int, key_value: MemoryKeyValue | None = None) -> None:
         self.key_value = key_value or MemoryKeyValue()
@@ -82,7 +82,7 @@
             for member in members:
                 membership.change(member)
 
-    def revisions(self) -> list[int]:
+    def list_revisions(self) -> list[int]:
         return [host.current().revision for host in self.hosts]
 
 
@@ -102,7 +102,7 @@
     return Service(ServiceName("registry"), "plain", ProfileName(profile), operations)
 
 
-async def test_a_change_is_in_force_on_every_host(
+async def test_change_is_in_force_on_every_host(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     fleet = Fleet(8)
@@ -112,15 +112,15 @@
         revision = await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA)
         assert revision == 1
         await trio.sleep(2)
-        assert fleet.revisions() == [1] * 8
+        assert fleet.list_revisions() == [1] * 8
         nursery.cancel_scope.cancel()
 
 
-async def test_of_two_operators_at_once_one_is_told_of_a_conflict(
+async def test_concurrent_change_is_rejected_as_conflict(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # Two operators revise one profile from the same revision, through two hosts.
-    # If both were told "accepted", one of the changes would be gone unnoticed.
+    # Two operators revise the same revision of a profile through two hosts. If
+    # both changes were reported as accepted, one would be lost unnoticed.
     fleet = Fleet(3)
     first = await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA)
     assert first == 1
@@ -134,62 +134,62 @@
         nursery.start_soon(revise, 0, 0.2)
         nursery.start_soon(revise, 1, 0.3)
     accepted = [r for r in results if isinstance(r, int)]
-    refused = [r for r in results if isinstance(r, Failure)]
+    rejected = [r for r in results if isinstance(r, Failure)]
     assert accepted == [2]
-    assert [r.code for r in refused] == [ResultCode.REVISION_CONFLICT]
+    assert [r.code for r in rejected] == [ResultCode.REVISION_CONFLICT]
 
 
-async def test_a_lost_answer_is_read_back_before_the_operator_is_told(
+async def test_lost_answer_is_resolved_by_reading_back(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # The key-value service takes the writes while their answers are lost. An
-    # operator who is told "failed" would publish again, or believe that the old
-    # profile is still in force.
+    # The key-value service applies the writes, but their answers are lost. If a
+    # failure were reported, the operator would publish again or believe that the
+    # old profile is still in force.
     fleet = Fleet(3)
     fleet.key_value.lost_answers = 2
     assert await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA) == 1
-    head = json.loads(fleet.key_value.entries[HEAD].value)
+    head = json.loads(fleet.key_value.entries[HEAD_KEY].value)
     assert [change["revision"] for change in head["recent"]] == [1]
 
 
-async def test_a_write_lost_before_it_took_effect_is_repeated(
+async def test_lost_write_is_retried(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # Here the write itself is lost and nobody can tell that from a lost answer.
+    # The write itself is lost, which can't be distinguished from a lost answer.
     fleet = Fleet(3)
     fleet.key_value.lost_writes = 2
     assert await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA) == 1
 
 
-async def test_an_older_value_restored_in_the_key_value_service_changes_nothing(
+async def test_older_copy_restored_in_key_value_service_is_overwritten(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # The platform restores its key-value service from an older copy. Services
-    # would fall back to profiles that operators had replaced hours ago.
+    # The platform restores its key-value service from an older copy. Without a
+    # check, services would return to profiles that were replaced hours ago.
     fleet = Fleet(4)
     async with trio.open_nursery() as nursery:
         for host in fleet.hosts:
             nursery.start_soon(host.run)
         await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA)
-        older = dict(fleet.key_value.entries)
+        older_entries = dict(fleet.key_value.entries)
         await fleet.hosts[0].publish_profile(make_profile("a", 0.2), 1, ANA)
         await trio.sleep(2)
-        for key, entry in older.items():
+        for key, entry in older_entries.items():
             fleet.key_value.write(key, entry.value)
         await trio.sleep(10)
-        assert fleet.revisions() == [2] * 4
+        assert fleet.list_revisions() == [2] * 4
         for host in fleet.hosts:
             assert host.current().profiles["a"].targets.first_token == 0.2
-        head = json.loads(fleet.key_value.entries[HEAD].value)
+        head = json.loads(fleet.key_value.entries[HEAD_KEY].value)
         assert head["revision"] == 2
         nursery.cancel_scope.cancel()
 
 
-async def test_a_host_restarted_during_an_outage_has_its_peers_revision(
+async def test_host_started_during_outage_pulls_from_peers(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # A host is replaced while the key-value service is down. Without its peers it
-    # would know no service and refuse every caller that is sent to it.
+    # A host is replaced while the key-value service is down. If it did not pull
+    # from peers, it would know no service and reject all its callers.
     fleet = Fleet(4)
     async with trio.open_nursery() as nursery:
         for host in fleet.hosts[:3]:
@@ -200,33 +200,33 @@
         assert fleet.hosts[3].check_fresh() is not None
         nursery.start_soon(fleet.hosts[3].run)
         await trio.sleep(5)
-        assert fleet.revisions() == [1] * 4
+        assert fleet.list_revisions() == [1] * 4
         assert fleet.hosts[3].check_fresh() is None
         nursery.cancel_scope.cancel()
 
 
-async def test_a_host_cut_off_from_all_stops_admitting_and_takes_no_change(
+async def test_partitioned_host_stops_admitting_and_rejects_changes(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     # A host loses its peers and the key-value service, but callers still reach
-    # it. It would serve them under a profile that has been replaced elsewhere.
+    # it. It must not serve them under a profile that was replaced elsewhere.
     fleet = Fleet(4)
     await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA)
-    cut, membership = fleet.hosts[0], fleet.memberships[0]
-    assert cut.check_fresh() is None
+    partitioned_host, membership = fleet.hosts[0], fleet.memberships[0]
+    assert partitioned_host.check_fresh() is None
     for number in range(1, 4):
         dead = dataclasses.replace(make_member(number), state=MemberState.DEAD)
         membership.change(dead)
     await trio.sleep(9)
-    stale = cut.check_fresh()
-    assert stale is not None
-    assert stale.code is ResultCode.CONFIGURATION_STALE
-    refused = await cut.publish_profile(make_profile("a", 0.1), 1, ANA)
-    assert isinstance(refused, Failure)
-    assert refused.code is ResultCode.CONFIGURATION_STALE
+    failure = partitioned_host.check_fresh()
+    assert failure is not None
+    assert failure.code is ResultCode.CONFIGURATION_STALE
+    result = await partitioned_host.publish_profile(make_profile("a", 0.1), 1, ANA)
+    assert isinstance(result, Failure)
+    assert result.code is ResultCode.CONFIGURATION_STALE
 
 
-async def test_a_profile_in_use_or_unknown_is_refused(
+async def test_unknown_profile_and_retiring_used_profile_are_rejected(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     fleet = Fleet(3)
@@ -241,51 +241,55 @@
     assert in_use.code is ResultCode.PROFILE_IN_USE
 
 
-async def test_a_value_of_a_newer_release_is_read_as_far_as_known(
+async def test_unknown_fields_of_newer_release_are_ignored(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # During a rolling upgrade a newer release publishes a profile with a field
-    # that this one lacks. Dropping the profile would stop its services here.
+    # During a rolling upgrade, a newer release publishes a profile with fields
+    # that this release lacks. If hosts dropped the profile, its services would
+    # stop here.
     fleet = Fleet(3)
     await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA)
-    place = json.loads(fleet.key_value.entries[HEAD].value)["objects"]["profile/a"]
-    newer = json.loads(fleet.key_value.entries[place["key"]].value)
-    newer["carbon"] = {"limit": 3}
-    newer["targets"]["jitter"] = 1
-    fleet.key_value.write(place["key"], json.dumps(newer).encode())
-    late = Fleet(3, fleet.key_value)
+    location = json.loads(fleet.key_value.entries[HEAD_KEY].value)["objects"][
+        "profile/a"
+    ]
+    profile = json.loads(fleet.key_value.entries[location["key"]].value)
+    profile["carbon"] = {"limit": 3}
+    profile["targets"]["jitter"] = 1
+    fleet.key_value.write(location["key"], json.dumps(profile).encode())
+    late_fleet = Fleet(3, fleet.key_value)
     async with trio.open_nursery() as nursery:
-        for host in late.hosts:
+        for host in late_fleet.hosts:
             nursery.start_soon(host.run)
         await trio.sleep(2)
-        assert late.hosts[0].current().profiles["a"].targets.first_token == 0.4
+        assert late_fleet.hosts[0].current().profiles["a"].targets.first_token == 0.4
         nursery.cancel_scope.cancel()
 
 
-async def test_a_late_read_back_does_not_take_anothers_revision_for_its_own(
+async def test_read_back_returns_own_revision_after_later_change(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    # The answer to Ana's change is lost. Before she reads back, Berta revises
-    # what Ana published. Told Berta's revision as her own, Ana would overwrite
-    # Berta's change without a conflict, and her host would serve her values
-    # under Berta's revision.
+    # The answer to a first operator's change is lost. Before the head is read
+    # back, a second operator revises the profile. If the second revision were
+    # returned to the first operator, the first could overwrite the second change
+    # without a conflict, and the host would serve the first values under the
+    # second revision.
     fleet = Fleet(2)
     fleet.key_value.lost_answers = 2
-    told: list[int | Failure] = []
+    results: list[int | Failure] = []
 
     async def publish() -> None:
-        told.append(await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA))
+        results.append(await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA))
 
     async with trio.open_nursery() as nursery:
         for host in fleet.hosts:
             nursery.start_soon(host.run)
         nursery.start_soon(publish)
         await trio.sleep(0.3)
-        later = await fleet.hosts[1].publish_profile(
+        later_revision = await fleet.hosts[1].publish_profile(
             make_profile("a", 0.2), 1, OperatorName("berta")
         )
         await trio.sleep(2)
-        assert (told, later) == ([1], 2)
+        assert (results, later_revision) == ([1], 2)
         for host in fleet.hosts:
             assert host.current().versions == {"profile/a": 2}
             assert host.current().profiles["a"].targets.first_token == 0.2
--- a/dewridge/tests/membership/networks.py
+++ b/dewridge/tests/membership/networks.py
@@ -1,4 +1,4 @@
-"""Members in one process, over a network in memory whose faults a test orders."""
+"""Runs members in one process over an in-memory network with injected faults."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -19,13 +19,15 @@
 from dewridge.settings.schema import MembershipSettings
 
 LATENCY = 0.002
-FRAME_LIMIT = 1_000_000
-_SILENCE = Failure(ResultCode.PEER_TIMEOUT, "no reply")
+"""Seconds that a message takes in one direction."""
+MAX_FRAME_BYTES = 1_000_000
+"""Maximum bytes of an encoded message."""
+_NO_REPLY = Failure(ResultCode.PEER_TIMEOUT, "no reply")
 
 
-def pack(message: Message) -> Message:
-    """Return the message as it comes out at the other end."""
-    frame = encode_frame(Parcel(1, 0, message), FRAME_LIMIT)
+def transcode(message: Message) -> Message:
+    """Return the message as decoded by the receiver."""
+    frame = encode_frame(Parcel(1, 0, message), MAX_FRAME_BYTES)
     assert isinstance(frame, bytes), frame
     parcel = decode_payload(frame[4:])
     assert isinstance(parcel, Parcel)
@@ -33,31 +35,34 @@
 
 
 class Network:
-    """Carries calls between members, unless `passes` says no.
+    """Delivers calls between members, unless `is_delivered` rejects them.
 
     Attributes:
-        passes: whether a message goes from one address to another.
-        stopped: addresses whose process stands still.
+        is_delivered: returns whether messages between two addresses get through,
+            given the source and the target.
+        paused: addresses of paused processes.
     """
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
         self.peers: dict[str, MemoryPeers] = {}
-        self.passes: Callable[[str, str], bool] = lambda source, target: True
-        self.stopped: set[str] = set()
+        self.is_delivered: Callable[[str, str], bool] = lambda source, target: True
+        self.paused: set[str] = set()
         self.messages = 0
 
     def is_open(self, source: str, target: str) -> bool:
-        """Whether a message gets through now."""
-        is_stopped = source in self.stopped or target in self.stopped
-        return target in self.peers and not is_stopped and self.passes(source, target)
+        """Return whether a message would now be delivered."""
+        is_paused = source in self.paused or target in self.paused
+        return (
+            target in self.peers and not is_paused and self.is_delivered(source, target)
+        )
 
 
 class MemoryPeers:
     """Implements `Peers` over a `Network`."""
 
-    def __init__(self, network: Network, me: PeerIdentity, address: str) -> None:
-        self.me = me
+    def __init__(self, network: Network, identity: PeerIdentity, address: str) -> None:
+        self.identity = identity
         self.address = address
         self.is_refused: Callable[[PeerIdentity], Failure | None] = lambda peer: None
         self._network = network
@@ -80,21 +85,23 @@
             await trio.sleep(LATENCY)
             if not network.is_open(self.address, address):
                 await trio.sleep_forever()
-            reply = await network.peers[address].answer(self.me, pack(message))
+            reply = await network.peers[address].answer(
+                self.identity, transcode(message)
+            )
             await trio.sleep(LATENCY)
             if not network.is_open(address, self.address):
                 await trio.sleep_forever()
             return reply
-        return _SILENCE
+        return _NO_REPLY
 
     async def answer(self, peer: PeerIdentity, message: Message) -> Message | Failure:
-        refusal = self.is_refused(peer)
-        if refusal is not None:
-            return refusal
+        rejection = self.is_refused(peer)
+        if rejection is not None:
+            return rejection
         reply = await self._handlers[type(message)](peer, message)
         if reply is None:
             await trio.sleep_forever()
-        return reply if isinstance(reply, Failure) else pack(reply)
+        return reply if isinstance(reply, Failure) else transcode(reply)
 
 
 @dataclass
@@ -102,7 +109,12 @@
     """Members that run in one process.
 
     Attributes:
-        fenced: hosts whose incarnation was told to end.
+        network: connects the members.
+        settings: settings of all members.
+        services: running members by host.
+        metrics: metrics by host.
+        fenced: hosts whose incarnation was terminated.
+        changes: member changes reported on each host.
     """
 
     network: Network
@@ -144,8 +156,8 @@
         self.network.nursery.start_soon(self._run, service, scope)
         return service
 
-    def kill(self, number: int) -> None:
-        """End a host at once."""
+    def crash(self, number: int) -> None:
+        """Crash a host."""
         host = f"host-{number}"
         del self.services[host]
         del self.network.peers[f"10.0.0.{number}:1"]
@@ -155,8 +167,8 @@
         with scope:
             await service.run()
 
-    def agrees(self, alive: set[int]) -> bool:
-        """Whether every running host holds exactly these for alive."""
+    def has_converged(self, alive: set[int]) -> bool:
+        """Return whether every running host has exactly these hosts as alive."""
         expected = {f"host-{number}" for number in alive}
         return all(
             {m.host for m in service.members() if m.state is MemberState.ALIVE}
@@ -165,12 +177,12 @@
         )
 
     async def wait(self, condition: Callable[[], bool], timeout: float) -> float:
-        """Wait for a condition; returns the seconds it took."""
-        began = trio.current_time()
+        """Wait for a condition; return the seconds it took."""
+        started_at = trio.current_time()
         while not condition():
-            assert trio.current_time() - began < timeout, "waited too long"
+            assert trio.current_time() - started_at < timeout, "timed out"
             await trio.sleep(0.05)
-        return trio.current_time() - began
+        return trio.current_time() - started_at
 
 
 def run_group(
@@ -178,22 +190,22 @@
     scenario: Callable[[Group], Awaitable[None]],
     settings: MembershipSettings | None = None,
 ) -> None:
-    """Run members in virtual time until they agree, then the scenario."""
+    """Run members in virtual time until their views agree, then run the scenario."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             group = Group(Network(nursery), settings or MembershipSettings())
             for number in range(count):
                 group.start(number)
-            await group.wait(lambda: group.agrees(set(range(count))), 60)
+            await group.wait(lambda: group.has_converged(set(range(count))), 60)
             await scenario(group)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def shuffled(count: int, seed: int) -> list[int]:
-    """Return the numbers below `count` in a seeded order."""
+def shuffle_numbers(count: int, seed: int) -> list[int]:
+    """Return the numbers below `count` in a random order for the seed."""
     numbers = list(range(count))
     Random(seed).shuffle(numbers)
     return numbers
--- a/dewridge/tests/membership/table_tests.py
+++ b/dewridge/tests/membership/table_tests.py
@@ -1,4 +1,4 @@
-"""Claims about members are merged so that no order of arrival brings back the past."""
+"""Tests of the tables of members and rumors, and of the update queue."""
 
 from dataclasses import replace
 from itertools import permutations
@@ -11,7 +11,7 @@
 from dewridge.membership.table import LocalClaim, MemberTable
 
 
-def make(host: str, incarnation: int = 1, refutation: int = 0) -> Member:
+def make_member(host: str, incarnation: int = 1, refutation: int = 0) -> Member:
     return Member(
         HostId(host),
         Incarnation(incarnation),
@@ -22,14 +22,14 @@
     )
 
 
-def make_table(me: str = "me") -> MemberTable:
-    return MemberTable(make(me), BucketHashes(), suspicion=2.0)
+def make_table(host: str = "me") -> MemberTable:
+    return MemberTable(make_member(host), BucketHashes(), suspicion=2.0)
 
 
-def test_claims_lead_to_the_same_belief_in_any_order() -> None:
-    # News of one host overtake each other on their ways. If the order mattered,
-    # members would disagree for good on who is there.
-    first, second = make("x"), make("x", 2)
+def test_claims_in_any_order_give_same_state() -> None:
+    # Claims about a host may arrive in any order. If the order mattered, the views
+    # of the members would differ permanently.
+    first, second = make_member("x"), make_member("x", 2)
     claims = [
         first,
         replace(first, state=MemberState.DEAD),
@@ -45,23 +45,23 @@
         assert table.find(HostId("x")) == claims[-1]
 
 
-def test_a_suspect_is_dead_when_its_time_is_over_and_not_before() -> None:
+def test_suspect_is_dead_after_suspicion_time() -> None:
     table = make_table()
-    member = make("x")
+    member = make_member("x")
     table.merge(member, 0.0)
     table.suspect(member, 10.0)
     assert not table.expire(11.9, 1)
     assert not table.expire(12.1, 2), "a slow host waits longer"
     assert [m.state for m in table.expire(12.1, 1)] == [MemberState.DEAD]
     assert table.alive_count == 1
-    assert not table.merge(member, 13.0), "the same claim does not bring it back"
+    assert not table.merge(member, 13.0), "the same claim must not revive it"
     assert table.merge(replace(member, refutation=1), 13.0)
 
 
-def test_a_death_by_hearsay_is_a_suspicion_first() -> None:
-    # Two halves meet after a cut, each with the other's members for dead.
+def test_death_from_sync_is_applied_as_suspicion() -> None:
+    # Two halves of a partition merge, each with the other's members as dead.
     table = make_table()
-    member = make("x")
+    member = make_member("x")
     table.merge(member, 0.0)
     dead = replace(member, state=MemberState.DEAD)
     changes = table.merge(dead, 1.0, from_sync=True)
@@ -69,36 +69,40 @@
     assert [m.state for m in table.merge(dead, 1.0)] == [MemberState.DEAD]
 
 
-def test_a_host_learns_what_is_claimed_of_it() -> None:
+def test_claims_about_local_host_are_recorded() -> None:
     table = make_table()
     table.merge(replace(table.local_member, state=MemberState.SUSPECT), 0.0)
     assert table.pop_local_claims() == {LocalClaim.SUSPECT}
     assert table.refute().refutation == 1
     table.merge(replace(table.local_member, refutation=0, state=MemberState.DEAD), 0.0)
     assert not table.pop_local_claims(), "refuted already"
-    table.merge(make("me", 2), 0.0)
+    table.merge(make_member("me", 2), 0.0)
     assert table.pop_local_claims() == {LocalClaim.SUPERSEDED}
 
 
-def test_the_same_knowledge_has_the_same_hashes() -> None:
-    # Members compare hashes in place of all they know. Hashes that kept a trace
-    # of the way there would send everything back and forth for ever.
-    one, two = BucketHashes(), BucketHashes()
-    left, right = MemberTable(make("a"), one, 2.0), MemberTable(make("a"), two, 2.0)
-    rumors, others = RumorTable(one), RumorTable(two)
-    left.merge(make("x"), 0.0)
-    left.merge(make("x", 2), 0.0)
-    rumors.merge(Rumor("k", "s", 1, b""), 0.0, 0.0)
-    rumors.merge(Rumor("k", "s", 2, b""), 0.0, 0.0)
-    assert one.find_differing(two.list_hashes())
-    right.merge(make("x", 2), 0.0)
-    others.merge(Rumor("k", "s", 2, b"other"), 5.0, 0.0)
-    assert not one.find_differing(two.list_hashes())
-
-
-def test_rumors_are_bounded_and_forgotten_by_age() -> None:
-    # Servers come and go for months, each with a rumor; and a member that kept an
-    # old one must not bring it back to those that forgot it.
+def test_same_state_has_same_hashes() -> None:
+    # Members compare hashes instead of full states. If the hashes depended on the
+    # order of changes, members would exchange all items again and again.
+    hashes_a, hashes_b = BucketHashes(), BucketHashes()
+    members_a, members_b = (
+        MemberTable(make_member("a"), hashes_a, 2.0),
+        MemberTable(make_member("a"), hashes_b, 2.0),
+    )
+    rumors_a, rumors_b = RumorTable(hashes_a), RumorTable(hashes_b)
+    members_a.merge(make_member("x"), 0.0)
+    members_a.merge(make_member("x", 2), 0.0)
+    rumors_a.merge(Rumor("k", "s", 1, b""), 0.0, 0.0)
+    rumors_a.merge(Rumor("k", "s", 2, b""), 0.0, 0.0)
+    assert hashes_a.find_differing(hashes_b.list_hashes())
+    members_b.merge(make_member("x", 2), 0.0)
+    rumors_b.merge(Rumor("k", "s", 2, b"other"), 5.0, 0.0)
+    assert not hashes_a.find_differing(hashes_b.list_hashes())
+
+
+def test_rumors_are_bounded_and_expire() -> None:
+    # Servers are replaced for months, each with a rumor, which must not accumulate.
+    # A member that retained an old rumor must not return it to members that
+    # dropped it.
     table = RumorTable(BucketHashes())
     old = Rumor("server", "s", 1, b"gone", lifetime=100.0)
     assert table.merge(old, 50.0, 0.0) is MergeResult.NEW
@@ -111,32 +115,31 @@
     assert table.merge(Rumor("k", "5", 2, b""), 0.0, 0.0) is MergeResult.NEW
 
 
-def test_news_fit_the_message_and_end() -> None:
-    # A failure domain's worth of news must not make one message of everything.
-    news = UpdateQueue()
+def test_updates_fit_message_and_are_sent_limited_times() -> None:
+    # The updates about a whole failure domain must not all go into one message.
+    queue = UpdateQueue()
     keys = [UpdateKey(UpdateKind.MEMBER, str(number)) for number in range(20)]
     for key in keys:
-        news.add(key)
+        queue.add(key)
     sent = [
-        news.select_for_message(lambda key: 100, 500, max_transmissions=3)
+        queue.select_for_message(lambda key: 100, 500, max_transmissions=3)
         for _ in range(12)
     ]
     assert all(len(message) <= 5 for message in sent)
     assert sorted(k.subject for m in sent for k in m) == sorted(
         k.subject for k in keys * 3
     )
-    assert not news.select_for_message(lambda key: 100, 500, max_transmissions=3)
+    assert not queue.select_for_message(lambda key: 100, 500, max_transmissions=3)
 
 
-def test_pressing_news_go_before_a_backlog() -> None:
-    # All hosts of a deployment start at once and one of them is suspected. If its
+def test_urgent_update_precedes_backlog() -> None:
+    # All hosts of a deployment start at once, and one of them is suspected. If its
     # refutation waited behind hundreds of joins, it would be declared dead.
-    news = UpdateQueue()
+    queue = UpdateQueue()
     for number in range(300):
-        news.add(UpdateKey(UpdateKind.MEMBER, str(number)))
-    pressing = UpdateKey(UpdateKind.MEMBER, "suspect")
-    news.add(pressing, is_urgent=True)
+        queue.add(UpdateKey(UpdateKind.MEMBER, str(number)))
+    urgent = UpdateKey(UpdateKind.MEMBER, "suspect")
+    queue.add(urgent, is_urgent=True)
     assert (
-        news.select_for_message(lambda key: 100, 500, max_transmissions=3)[0]
-        == pressing
+        queue.select_for_message(lambda key: 100, 500, max_transmissions=3)[0] == urgent
     )
