--- a/dewridge/configuration/head.py
+++ b/dewridge/configuration/head.py
@@ -51,7 +51,14 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """List of all objects of the configuration at one revision."""
+    """List of all objects of the configuration at one revision.
+
+    Attributes:
+        format: version of this format, `FORMAT` of the writer.
+        revision: revision of the configuration.
+        objects: location of each object by its name.
+        recent: latest changes, oldest first.
+    """
 
     format: int = FORMAT
     revision: int = 0
--- a/dewridge/configuration/service.py
+++ b/dewridge/configuration/service.py
@@ -40,7 +40,10 @@
 pending call."""
 
 HEAD_RUMOR = "configuration"
+"""Kind of the rumor that announces a new revision."""
+
 CONFIRMED_RUMOR = "configuration_confirmed"
+"""Kind of the rumor that the key-value service was read at the current revision."""
 
 CONFIRM_PERIOD = 1.5
 """Seconds between two confirmations by a watching host. Several fit into the
@@ -174,11 +177,11 @@
                 ResultCode.PROFILE_IN_USE, f"{name} is used by {', '.join(users)}"
             )
         retired = msgspec.structs.replace(profile, retired=True)
-        seen = self._configuration.versions.get(f"profile/{name}", 0)
+        known_revision = self._configuration.versions.get(f"profile/{name}", 0)
         return await self._commit(
             f"profile/{name}",
             retired,
-            seen if expected is None else expected,
+            known_revision if expected is None else expected,
             operator,
             self._reject_changed_services,
         )
@@ -195,6 +198,10 @@
         return self._reject_changed(head, "service/")
 
     def _reject_changed_profiles(self, head: Head) -> Failure | None:
+        """Reject a change while this host has not read all changes of profiles.
+
+        The profile of the service may have been retired.
+        """
         return self._reject_changed(head, "profile/")
 
     def _reject_changed(self, head: Head, family: str) -> Failure | None:
@@ -233,8 +240,8 @@
         if service is None:
             return Failure(ResultCode.UNKNOWN_SERVICE, f"no service {name}")
         moved = msgspec.structs.replace(service, profile=profile)
-        seen = self._configuration.versions.get(f"service/{name}", 0)
-        base = seen if expected is None else expected
+        known_revision = self._configuration.versions.get(f"service/{name}", 0)
+        base = known_revision if expected is None else expected
         return await self.publish_service(moved, base, operator)
 
     async def _commit(
@@ -289,7 +296,7 @@
     # ---- moving to a higher revision ---------------------------------------
 
     def _apply(self, revision: int, objects: dict[str, StoredObject]) -> None:
-        """Put a revision in force and announce it, unless it is not higher."""
+        """Put a revision in force and announce it; lower revisions are ignored."""
         if revision <= self._configuration.revision:
             return
         configuration, problems = build_configuration(revision, objects)
--- a/dewridge/membership/buckets.py
+++ b/dewridge/membership/buckets.py
@@ -30,9 +30,8 @@
 
     def find_differing(self, other_hashes: list[int]) -> list[int]:
         """Return the buckets whose hash differs from that of another member."""
-        if (
-            len(other_hashes) != BUCKET_COUNT
-        ):  # a release with another bucket count: compare all
+        if len(other_hashes) != BUCKET_COUNT:
+            # The other member's release uses another bucket count: compare all.
             return list(range(BUCKET_COUNT))
         return [n for n in range(BUCKET_COUNT) if self._hashes[n] != other_hashes[n]]
 
--- a/dewridge/membership/exchanges.py
+++ b/dewridge/membership/exchanges.py
@@ -27,15 +27,15 @@
 from dewridge.sentinels import Failure
 
 MAX_RUMOR_BYTES = 65_536
-"""Maximum bytes of rumors in one message of a comparison. The records of 440 members
-take 48 KB. More rumors are transferred by several comparisons, so that they don't delay
-the probes on the same connection."""
+"""Maximum bytes of rumors in one message of a join or comparison, besides the records,
+which take 48 KB for 440 members. More rumors are transferred by several comparisons, so
+that they don't delay the probes on the same connection."""
 ISOLATION_GRACE = 10.0
 """Seconds after the end of an isolation within which a claim that this host is dead
 is attributed to the isolation. Such a claim arrives with the first messages."""
 MAX_RELAY_TIMEOUT = 5.0
 """Maximum seconds of a probe on behalf of another member; the longest timeout that a
-slow host uses. A corrupt value must not keep a handler busy for ever."""
+slow host uses. A corrupt value must not keep a handler busy forever."""
 MIN_OTHERS_TO_TERMINATE = 2
 """Other members needed for an isolated host to terminate its incarnation. In a pair,
 a partition isolates both; if both terminated, all their requests would be lost."""
@@ -104,7 +104,7 @@
         reply = await self._call(target.address, message, timeout)
         if not isinstance(reply, ttypes.ProbeReply):
             return False
-        self._apply_update(reply.members, reply.rumors)
+        self._apply_message(reply.members, reply.rumors)
         return bool(reply.incarnation == target.incarnation)
 
     async def relay(self, relay: Member, target: Member, timeout: float) -> RelayResult:
@@ -126,7 +126,7 @@
         reply = await self._call(address, message, timeout)
         if not isinstance(reply, ttypes.JoinReply):
             return False
-        self._apply_update(reply.members, reply.rumors, from_sync=True)
+        self._apply_message(reply.members, reply.rumors, from_sync=True)
         return True
 
     async def compare(self, address: str, timeout: float) -> int | None:
@@ -145,7 +145,7 @@
         answer = await self._call(address, exchange, timeout)
         if not isinstance(answer, ttypes.ExchangeStateReply):
             return None
-        self._apply_update(answer.members, answer.rumors, from_sync=True)
+        self._apply_message(answer.members, answer.rumors, from_sync=True)
         sent = len(exchange.members) + len(exchange.rumors)
         return sent + len(answer.members or []) + len(answer.rumors or [])
 
@@ -171,7 +171,7 @@
             return _TERMINATED
         self._record_contact()
         member_before = self._table.local_member
-        self._apply_update(probe.members, probe.rumors)
+        self._apply_message(probe.members, probe.rumors)
         prober = self._table.find(peer.host)
         known = list_update_keys(probe.members, probe.rumors)
         now = trio.current_time()
@@ -209,7 +209,7 @@
         if self.is_terminated:
             return _TERMINATED
         self._record_contact()
-        self._apply_update([join.me], [])
+        self._apply_message([join.me], [])
         now = trio.current_time()
         rumors = self._limit_size(self._state.rumors, measure_rumor)
         return ttypes.JoinReply(
@@ -267,7 +267,7 @@
             return _TERMINATED
         self._record_contact()
         member_before = self._table.local_member
-        self._apply_update(exchange.members, exchange.rumors, from_sync=True)
+        self._apply_message(exchange.members, exchange.rumors, from_sync=True)
         found_members = [
             self._table.find(HostId(h)) for h in exchange.wanted_members or []
         ]
@@ -304,7 +304,7 @@
 
     # -- applying messages and claims about this host ----------------------------------
 
-    def _apply_update(
+    def _apply_message(
         self,
         records: list[Message] | None,
         rumors: list[Message] | None,
--- a/dewridge/membership/news.py
+++ b/dewridge/membership/news.py
@@ -33,8 +33,8 @@
 missed by chance is a large part of the group."""
 
 
-URGENT_EXTRA_TRANSMISSIONS = 2
-"""Extra transmissions of an urgent update, which also put it ahead of the others. When
+PRIORITY_EXTRA_TRANSMISSIONS = 2
+"""Extra transmissions of a prioritized update, which is also sent before others. When
 all hosts of a deployment start, each has hundreds of joins to send. A suspicion and
 its refutation that waited behind those would arrive too late, and a healthy host would
 be declared dead."""
@@ -56,16 +56,16 @@
     def __init__(self) -> None:
         self._sent: dict[UpdateKey, int] = {}
 
-    def add(self, key: UpdateKey, *, is_urgent: bool = False) -> None:
+    def add(self, key: UpdateKey, *, is_prioritized: bool = False) -> None:
         """Queue an update; it replaces an earlier update with the same key.
 
         Args:
             key: the update.
-            is_urgent: whether it precedes updates that are not urgent, and is sent
-                URGENT_EXTRA_TRANSMISSIONS times more.
+            is_prioritized: whether it precedes other updates, and is sent
+                PRIORITY_EXTRA_TRANSMISSIONS times more.
         """
         self._sent.pop(key, None)
-        self._sent[key] = -URGENT_EXTRA_TRANSMISSIONS if is_urgent else 0
+        self._sent[key] = -PRIORITY_EXTRA_TRANSMISSIONS if is_prioritized else 0
 
     def drop(self, key: UpdateKey) -> None:
         """Remove an update from the queue."""
--- a/dewridge/membership/prober.py
+++ b/dewridge/membership/prober.py
@@ -87,14 +87,14 @@
         self,
         *,
         settings: MembershipSettings,
-        exchanges: MessageExchange,
+        message_exchange: MessageExchange,
         state: GroupState,
         health: LocalHealth,
         random: Random,
         metrics: Metrics,
     ) -> None:
         self._settings = settings
-        self._exchanges = exchanges
+        self._message_exchange = message_exchange
         self._state = state
         self._health = health
         self._random = random
@@ -102,7 +102,7 @@
         self._order = ProbeOrder(random)
         self._contact_limit = TokenBucket(URGENT_RATE, URGENT_BURST)
         self._has_urgent_updates = trio.Event()
-        state.wake_spreader = self._wake
+        state.wake_sender = self._wake
         state.subscribe(self._handle_member_change)
 
     async def run_probes(self) -> None:
@@ -116,7 +116,7 @@
                 if delay > self._settings.probe_timeout:
                     self._handle_late_timer(delay)
                     due = trio.current_time()
-                if self._exchanges.is_terminated:
+                if self._message_exchange.is_terminated:
                     continue
                 self._state.expire(trio.current_time(), self._health.timeout_multiplier)
                 target = self._order.pop_next(self._list_others())
@@ -134,7 +134,9 @@
                     if self._contact_limit.acquire(trio.current_time()):
                         self._metrics.add("membership_urgent_contacts")
                         nursery.start_soon(
-                            self._exchanges.probe, target, self._compute_timeout()
+                            self._message_exchange.probe,
+                            target,
+                            self._compute_timeout(),
                         )
 
     async def send_updates_now(self, contacts: int) -> None:
@@ -142,7 +144,7 @@
         async with trio.open_nursery() as nursery:
             for target in self._choose_members(contacts):
                 nursery.start_soon(
-                    self._exchanges.probe, target, self._compute_timeout()
+                    self._message_exchange.probe, target, self._compute_timeout()
                 )
 
     def compute_period(self) -> float:
@@ -174,7 +176,7 @@
     async def _check_member(self, target: Member) -> None:
         timeout = self._compute_timeout()
         started_at = trio.current_time()
-        if await self._exchanges.probe(target, timeout):
+        if await self._message_exchange.probe(target, timeout):
             self._health.record_answered_probe()
             return
         answers = await self._probe_indirectly(target, timeout)
@@ -206,14 +208,16 @@
         async with trio.open_nursery() as nursery:
 
             async def probe_by_relay(relay: Member) -> None:
-                answers.append(await self._exchanges.relay(relay, target, timeout))
+                answers.append(
+                    await self._message_exchange.relay(relay, target, timeout)
+                )
                 if answers[-1] is RelayResult.REACHED:
                     nursery.cancel_scope.cancel()
 
             async def retry_probe() -> None:
                 # The first probe may have used a connection that no longer carries
                 # data; after such a failure, the transport opens a new one.
-                if await self._exchanges.probe(target, timeout):
+                if await self._message_exchange.probe(target, timeout):
                     answers.append(RelayResult.REACHED)
                     nursery.cancel_scope.cancel()
 
--- a/dewridge/membership/ranking.py
+++ b/dewridge/membership/ranking.py
@@ -42,10 +42,10 @@
     """Choose the hosts that hold replicas of an owner's request.
 
     These are the first `count` members of the preference list outside the owner's
-    failure domain, and thus always among its first `count + 1`. Any two owners of
-    one request therefore share a replica, so that a second owner learns of the
-    first one before it accepts the request. If there are too few failure domains,
-    other hosts of any failure domain are added.
+    failure domain, so they are always among the first `count + 1` of the full list.
+    Any two owners of one request therefore share a replica, and a second owner
+    learns of the first one before it accepts the request. If there are too few
+    failure domains, other hosts of any failure domain are added.
     """
     known = list(members)
     others = [m for m in make_preference_list(request, known) if m.host != owner.host]
--- a/dewridge/membership/service.py
+++ b/dewridge/membership/service.py
@@ -23,7 +23,7 @@
 """Seconds to wait for an answer to a join or a comparison."""
 JOIN_ATTEMPTS = 3
 """Rounds through the seeds before a host continues alone. If all hosts of a deployment
-start at once, none may answer yet, and the first host must not wait for ever."""
+start at once, none may answer yet, and the first host must not wait forever."""
 JOIN_PAUSE = 0.3
 """Mean seconds between two rounds through the seeds."""
 MIN_SEARCH_PERIOD = 2.0
@@ -87,7 +87,7 @@
         self._health = LocalHealth()
         self._state = GroupState(local_member, settings, metrics)
         self._table = self._state.table
-        self._exchanges = MessageExchange(
+        self._message_exchange = MessageExchange(
             peers=peers,
             state=self._state,
             health=self._health,
@@ -96,7 +96,7 @@
         )
         self._prober = Prober(
             settings=settings,
-            exchanges=self._exchanges,
+            message_exchange=self._message_exchange,
             state=self._state,
             health=self._health,
             random=self._random,
@@ -125,7 +125,7 @@
     def spread(self, rumor: Rumor) -> None:
         """Send a rumor to all members, unless a version as high is already known."""
         self._state.receive_rumor(rumor, 0.0, trio.current_time())
-        self._exchanges.handle_local_claims()
+        self._message_exchange.handle_local_claims()
 
     def subscribe_rumors(self, kind: str, listener: Callable[[Rumor], None]) -> None:
         """Call `listener` on each new version, and now with each known rumor."""
@@ -162,7 +162,7 @@
         return {
             "me": _describe(self.local_member),
             "joined": self._joined.is_set(),
-            "given_up": self._exchanges.is_terminated,
+            "given_up": self._message_exchange.is_terminated,
             "stretch": self._health.timeout_multiplier,
             "members": [_describe(member) for member in self._table.others()],
             "rumors": len(self._state.rumors),
@@ -179,7 +179,7 @@
             await trio.sleep(
                 self._compute_search_period() * self._random.uniform(0.5, 1.5)
             )
-            if self._exchanges.is_terminated:
+            if self._message_exchange.is_terminated:
                 continue
             if self._is_alone():
                 await self._join()
@@ -193,7 +193,7 @@
             return True
         self._random.shuffle(addresses)
         for address in addresses:
-            if await self._exchanges.join(address, JOIN_TIMEOUT):
+            if await self._message_exchange.join(address, JOIN_TIMEOUT):
                 return True
         return False
 
@@ -206,7 +206,9 @@
             addresses = await self._find_unknown_seeds()
         if addresses:
             self._metrics.add("membership_searches")
-            await self._exchanges.compare(self._random.choice(addresses), JOIN_TIMEOUT)
+            await self._message_exchange.compare(
+                self._random.choice(addresses), JOIN_TIMEOUT
+            )
 
     async def _find_unknown_seeds(self) -> list[str]:
         known = {member.address for member in self._table.list_live()}
@@ -217,10 +219,10 @@
         while True:
             await trio.sleep(pause * self._random.uniform(0.5, 1.5))
             others = [m for m in self._table.list_live()[1:] if m.accepts_work]
-            if not others or self._exchanges.is_terminated:
+            if not others or self._message_exchange.is_terminated:
                 continue
             address = self._random.choice(others).address
-            transferred = await self._exchanges.compare(address, JOIN_TIMEOUT)
+            transferred = await self._message_exchange.compare(address, JOIN_TIMEOUT)
             self._metrics.add("membership_compared_items", transferred or 0)
             is_large = transferred is not None and transferred > LARGE_DIFFERENCE
             pause = SHORT_COMPARE_PERIOD if is_large else self._compute_compare_period()
--- a/dewridge/membership/state.py
+++ b/dewridge/membership/state.py
@@ -68,16 +68,16 @@
         buckets: hashes of all members and rumors, for comparisons.
         table: the known members.
         rumors: the known rumors.
-        wake_spreader: called when there are updates that should not wait for a probe.
+        wake_sender: called when there are updates that should not wait for a probe.
     """
 
     def __init__(
-        self, me: Member, settings: MembershipSettings, metrics: Metrics
+        self, local_member: Member, settings: MembershipSettings, metrics: Metrics
     ) -> None:
         self.buckets = BucketHashes()
-        self.table = MemberTable(me, self.buckets, settings.suspicion)
+        self.table = MemberTable(local_member, self.buckets, settings.suspicion)
         self.rumors = RumorTable(self.buckets)
-        self.wake_spreader: Callable[[], None] = lambda: None
+        self.wake_sender: Callable[[], None] = lambda: None
         self._multiplier = settings.retransmissions
         self._metrics = metrics
         self._updates = UpdateQueue()
@@ -134,18 +134,18 @@
             count += 1
             if is_broadcast:
                 key = UpdateKey(UpdateKind.MEMBER, member.host)
-                self._updates.add(key, is_urgent=_is_urgent(member))
+                self._updates.add(key, is_prioritized=_is_prioritized(member))
             self._notify_listeners(member)
         if count and is_broadcast:
-            self.wake_spreader()
+            self.wake_sender()
         return count
 
     def broadcast_local_member(self, local_member: Member) -> None:
         """Send a change of the local member to the other members."""
         self._updates.add(
-            UpdateKey(UpdateKind.MEMBER, local_member.host), is_urgent=True
+            UpdateKey(UpdateKind.MEMBER, local_member.host), is_prioritized=True
         )
-        self.wake_spreader()
+        self.wake_sender()
         log.info(
             "this host is {}, refutation {}",
             local_member.state.name,
@@ -168,9 +168,9 @@
         self._metrics.add("membership_rumors_heard", kind=rumor.kind)
         if is_broadcast:
             key = UpdateKey(UpdateKind.RUMOR, rumor.kind, rumor.subject)
-            self._updates.add(key, is_urgent=not rumor.routine)
+            self._updates.add(key, is_prioritized=not rumor.routine)
         if is_broadcast and not rumor.routine:
-            self.wake_spreader()
+            self.wake_sender()
         if rumor.kind == FENCED_RUMOR:
             host, incarnation = HostId(rumor.subject), Incarnation(rumor.version)
             self.handle_changes(self.table.fence(host, incarnation, now))
@@ -294,7 +294,7 @@
     return frozenset(keys)
 
 
-def _is_urgent(member: Member) -> bool:
+def _is_prioritized(member: Member) -> bool:
     return member.state is not MemberState.ALIVE or member.refutation > 0
 
 
--- a/dewridge/membership/table.py
+++ b/dewridge/membership/table.py
@@ -243,11 +243,13 @@
                 replace(self._local_member, refutation=refutation)
             )
 
-    def _add_known_fields(self, claim: Member, known: Member, hearsay: bool) -> Member:
+    def _add_known_fields(
+        self, claim: Member, known: Member, from_sync: bool
+    ) -> Member:
         if claim.incarnation != known.incarnation:
             return claim
         is_up = known.state is not MemberState.DEAD
-        if hearsay and is_up and claim.state is MemberState.DEAD:
+        if from_sync and is_up and claim.state is MemberState.DEAD:
             is_fenced = claim.incarnation <= self._fenced.get(claim.host, 0)
             state = MemberState.DEAD if is_fenced else MemberState.SUSPECT
         else:
--- a/dewridge/tests/membership/networks.py
+++ b/dewridge/tests/membership/networks.py
@@ -35,26 +35,25 @@
 
 
 class Network:
-    """Delivers calls between members, unless `is_delivered` rejects them.
+    """Delivers calls between members over the links that `is_link_up` allows.
 
     Attributes:
-        is_delivered: returns whether messages between two addresses get through,
-            given the source and the target.
+        is_link_up: returns whether messages from one address to another get through.
         paused: addresses of paused processes.
     """
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
         self.peers: dict[str, MemoryPeers] = {}
-        self.is_delivered: Callable[[str, str], bool] = lambda source, target: True
+        self.is_link_up: Callable[[str, str], bool] = lambda source, target: True
         self.paused: set[str] = set()
         self.messages = 0
 
-    def is_open(self, source: str, target: str) -> bool:
+    def is_deliverable(self, source: str, target: str) -> bool:
         """Return whether a message would now be delivered."""
         is_paused = source in self.paused or target in self.paused
         return (
-            target in self.peers and not is_paused and self.is_delivered(source, target)
+            target in self.peers and not is_paused and self.is_link_up(source, target)
         )
 
 
@@ -83,13 +82,13 @@
         with trio.move_on_after(timeout):
             network.messages += 1
             await trio.sleep(LATENCY)
-            if not network.is_open(self.address, address):
+            if not network.is_deliverable(self.address, address):
                 await trio.sleep_forever()
             reply = await network.peers[address].answer(
                 self.identity, transcode(message)
             )
             await trio.sleep(LATENCY)
-            if not network.is_open(address, self.address):
+            if not network.is_deliverable(address, self.address):
                 await trio.sleep_forever()
             return reply
         return _NO_REPLY
--- a/dewridge/tests/membership/service_tests.py
+++ b/dewridge/tests/membership/service_tests.py
@@ -45,7 +45,7 @@
         def side(address: str) -> bool:
             return int(address.split(".")[3].split(":", maxsplit=1)[0]) < 6
 
-        group.network.is_delivered = lambda a, b: side(a) == side(b)
+        group.network.is_link_up = lambda a, b: side(a) == side(b)
         await group.wait(
             lambda: list_states(group, "host-11") >= {MemberState.DEAD}, 30
         )
@@ -56,7 +56,7 @@
         group.services["host-11"].subscribe_rumors("configuration", received.append)
         await trio.sleep(5)
         assert not received
-        group.network.is_delivered = lambda a, b: True
+        group.network.is_link_up = lambda a, b: True
         await group.wait(lambda: group.has_converged(set(range(12))), 30)
         await group.wait(lambda: received == [rumor], 15)
         assert not group.fenced
@@ -113,9 +113,9 @@
     # declare them dead.
     async def scenario(group: Group) -> None:
         slow = "10.0.0.3:1"
-        group.network.is_delivered = lambda a, b: slow not in (a, b)
+        group.network.is_link_up = lambda a, b: slow not in (a, b)
         await trio.sleep(3)
-        group.network.is_delivered = lambda a, b: True
+        group.network.is_link_up = lambda a, b: True
         await trio.sleep(10)
         for changes in (group.changes[f"host-{n}"] for n in range(8)):
             dead = {c.host for c in changes if c.state is MemberState.DEAD}
@@ -129,7 +129,7 @@
     # they would declare each other dead although both are healthy.
     async def scenario(group: Group) -> None:
         pair = {"10.0.0.2:1", "10.0.0.6:1"}
-        group.network.is_delivered = lambda a, b: {a, b} != pair
+        group.network.is_link_up = lambda a, b: {a, b} != pair
         await trio.sleep(30)
         changes = [c for found in group.changes.values() for c in found]
         assert {c.state for c in changes} == {MemberState.ALIVE}
@@ -217,10 +217,10 @@
     # they send the server no work.
     async def scenario(group: Group) -> None:
         partitioned = "10.0.0.2:1"
-        group.network.is_delivered = lambda a, b: partitioned not in (a, b)
+        group.network.is_link_up = lambda a, b: partitioned not in (a, b)
         group.services["host-0"].spread(Rumor("server", "s1", 1, b"leaving"))
         await trio.sleep(1)
-        group.network.is_delivered = lambda a, b: True
+        group.network.is_link_up = lambda a, b: True
         new_host = group.start(8)
         received: list[Rumor] = []
         for service in (new_host, group.services["host-2"]):
--- a/dewridge/tests/membership/table_tests.py
+++ b/dewridge/tests/membership/table_tests.py
@@ -132,14 +132,15 @@
     assert not queue.select_for_message(lambda key: 100, 500, max_transmissions=3)
 
 
-def test_urgent_update_precedes_backlog() -> None:
+def test_prioritized_update_precedes_backlog() -> None:
     # All hosts of a deployment start at once, and one of them is suspected. If its
     # refutation waited behind hundreds of joins, it would be declared dead.
     queue = UpdateQueue()
     for number in range(300):
         queue.add(UpdateKey(UpdateKind.MEMBER, str(number)))
-    urgent = UpdateKey(UpdateKind.MEMBER, "suspect")
-    queue.add(urgent, is_urgent=True)
+    prioritized = UpdateKey(UpdateKind.MEMBER, "suspect")
+    queue.add(prioritized, is_prioritized=True)
     assert (
-        queue.select_for_message(lambda key: 100, 500, max_transmissions=3)[0] == urgent
+        queue.select_for_message(lambda key: 100, 500, max_transmissions=3)[0]
+        == prioritized
     )
