--- a/dewridge/tests/membership/service_tests.py
+++ b/dewridge/tests/membership/service_tests.py
@@ -17,7 +17,7 @@
 
 
 def list_states(group: Group, host: str) -> set[MemberState]:
-    """Return the list_states that the other members have for a host."""
+    """Return the states that the other members have for a host."""
     found = [s.find(HostId(host)) for h, s in group.services.items() if h != host]
     return {member.state for member in found if member is not None}
 
@@ -231,7 +231,7 @@
 
 
 def test_malformed_messages_do_not_stop_membership() -> None:
-    # A faulty release omits fields, or sends invalid list_states and versions. Probes
+    # A faulty release omits fields, or sends invalid states and versions. Probes
     # must continue, and no healthy host may be declared dead because of it.
     async def scenario(group: Group) -> None:
         faulty = group.network.peers["10.0.0.3:1"]
