--- a/dewridge/fleet/watcher.py
+++ b/dewridge/fleet/watcher.py
@@ -118,7 +118,7 @@
         self._metrics = metrics
         self._on_local_reclaim = on_local_reclaim
         self._clock = clock
-        self._random = random.Random(membership.me.host)
+        self._random = random.Random(membership.local_member.host)
         self._absent_since: dict[BackendServerId, float] = {}
         self._versions: dict[str, int] = {}
         self._last_listing_at = 0.0
@@ -271,7 +271,7 @@
             self._table.handle_leaving(server, payload.at, payload.source)
 
     def _receive_host_reclaim(self, rumor: Rumor) -> None:
-        local_member = self._membership.me
+        local_member = self._membership.local_member
         payload = self._decode(rumor, ReclaimPayload)
         if payload is None or rumor.subject != local_member.host:
             return
--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -6,7 +6,7 @@
 from dewridge.codes import Outcome, ResultCode
 from dewridge.ids import HostId, Incarnation, RequestId
 from dewridge.membership.model import Member, MemberState
-from dewridge.membership.ranking import find_home
+from dewridge.membership.ranking import make_preference_list
 from dewridge.peers.wire import ttypes as wire
 from dewridge.requests.answers import Answer, renew_generation, take_ownership
 from dewridge.requests.attempts import Attempts
@@ -144,7 +144,7 @@
             if host == self._shared.local_member.host:
                 return True
             member = self._shared.membership.find(host)
-            if member is not None and member.takes_work:
+            if member is not None and member.accepts_work:
                 return False
         return True
 
@@ -257,7 +257,9 @@
         Returns:
             Whether all the replicas sent their copy.
         """
-        candidates = find_home(record.request, self._shared.membership.members())
+        candidates = make_preference_list(
+            record.request, self._shared.membership.members()
+        )
         queried = {self._shared.local_member.host}
         answered: set[HostId] = set()
         hosts = {
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -187,7 +187,7 @@
     """
 
     def __init__(self, me: Member) -> None:
-        self.me = me
+        self.local_member = me
         self.members_by_host: dict[HostId, Member] = {me.host: me}
         self.listeners: list[Callable[[Member], None]] = []
         self.rumor_listeners: dict[str, list[Callable[[Rumor], None]]] = {}
@@ -209,8 +209,8 @@
         if self.members_by_host.get(member.host) == member:
             return
         self.members_by_host[member.host] = member
-        if member.host == self.me.host:
-            self.me = member
+        if member.host == self.local_member.host:
+            self.local_member = member
         for listener in self.listeners:
             listener(member)
 
@@ -540,8 +540,11 @@
         view = FakeMembership(member)
         view.all_views = self.views
         for other in self.views.values():
-            if other.me.host != name and not self.nodes[other.me.host].is_crashed:
-                view.members_by_host[other.me.host] = other.me
+            if (
+                other.local_member.host != name
+                and not self.nodes[other.local_member.host].is_crashed
+            ):
+                view.members_by_host[other.local_member.host] = other.local_member
         self.nodes[name] = node
         self.views[name] = view
         node.service = RequestService(
