--- a/dewridge/tests/soak/__main__.py
+++ b/dewridge/tests/soak/__main__.py
@@ -8,7 +8,7 @@
 import trio
 import typer
 
-from dewridge.tests.soak.runs import Size, run_soak
+from dewridge.tests.soak.runs import SoakSize, run_soak
 from dewridge.tests.soak.seeds import KEPT
 
 
@@ -26,18 +26,18 @@
 ) -> None:
     """Play seeds one after the other; the status is 1 if a promise was broken."""
     first = seed or random.SystemRandom().randrange(1, 1_000_000)
-    size = Size(hosts=hosts, callers=callers, seconds=seconds, crashing=crashing)
-    plays = [(number, size) for number in range(first, first + runs)]
+    size = SoakSize(hosts=hosts, callers=callers, seconds=seconds, crashing=crashing)
+    planned_runs = [(number, size) for number in range(first, first + runs)]
     if kept:
-        plays = [(one.seed, one.size) for one in KEPT]
-    is_broken = False
-    for number, own_size in plays:
-        own_folder = folder / str(number)
-        own_folder.mkdir(parents=True, exist_ok=True)
-        result = trio.run(run_soak, number, own_size, own_folder)
+        planned_runs = [(kept_seed.seed, kept_seed.size) for kept_seed in KEPT]
+    has_violation = False
+    for number, run_size in planned_runs:
+        run_folder = folder / str(number)
+        run_folder.mkdir(parents=True, exist_ok=True)
+        result = trio.run(run_soak, number, run_size, run_folder)
         print(result.format_line(), flush=True)
-        is_broken |= bool(result.broken)
-    sys.exit(int(is_broken))
+        has_violation |= bool(result.violations)
+    sys.exit(int(has_violation))
 
 
 if __name__ == "__main__":
--- a/dewridge/tests/soak/callers.py
+++ b/dewridge/tests/soak/callers.py
@@ -9,16 +9,21 @@
 import h11
 import trio
 
-from dewridge.tests.soak.records import History, Kind, Sent
+from dewridge.tests.soak.records import History, RequestKind, SentRequest
 
-LIST_KEPT = 1.0
+ADDRESS_LIST_TTL = 1.0
 """Seconds that a list of addresses is kept; one caller in four keeps it thrice."""
-REQUESTS_KEPT = 6
+MAX_REQUESTS_PER_CONNECTION = 6
 """Requests on one connection before a caller opens another one."""
-PATIENCE = {Kind.READ: 2.0, Kind.WRITE: 2.0, Kind.CHAT: 6.0, Kind.DRAFT: 6.0}
-LEAVES_SHARE = 0.03
+REQUEST_TIMEOUTS = {
+    RequestKind.READ: 2.0,
+    RequestKind.WRITE: 2.0,
+    RequestKind.CHAT: 6.0,
+    RequestKind.DRAFT: 6.0,
+}
+ABANDON_PROBABILITY = 0.03
 """Part of the requests whose callers leave early."""
-TOKENS = 100
+STREAM_TOKENS = 100
 PLAIN_TOKENS = 10
 
 
@@ -38,21 +43,21 @@
 
     name: str
     history: History
-    find_directories: Callable[[], list[str]]
-    find_host: Callable[[str], str]
+    list_directory_addresses: Callable[[], list[str]]
+    get_host_name: Callable[[str], str]
     rng: random.Random
     keys: list[str]
-    pause: float
+    mean_pause: float
     _addresses: list[str] = field(default_factory=list)
-    _listed_at: float = float("-inf")
-    _count: int = 0
+    _resolved_at: float = float("-inf")
+    _request_count: int = 0
 
     async def run(self) -> None:
         """Send for ever."""
-        kept = LIST_KEPT * (3 if self.rng.random() < 0.25 else 1)
+        address_ttl = ADDRESS_LIST_TTL * (3 if self.rng.random() < 0.25 else 1)
         while True:
-            if time.monotonic() - self._listed_at > kept:
-                await self._ask_for_addresses()
+            if time.monotonic() - self._resolved_at > address_ttl:
+                await self._refresh_addresses()
             if not self._addresses:
                 await trio.sleep(0.1)
                 continue
@@ -65,90 +70,94 @@
                     self._addresses.remove(address)
                     continue
                 with trio.CancelScope(shield=True):
-                    await self._use(stream, self.find_host(address))
+                    await self._send_requests(stream, self.get_host_name(address))
 
-    async def _ask_for_addresses(self) -> None:
-        directories = self.find_directories()
+    async def _refresh_addresses(self) -> None:
+        directories = self.list_directory_addresses()
         self.rng.shuffle(directories)
         for address in directories[:3]:
             with trio.move_on_after(1.0):
-                addresses = await resolve(address)
+                addresses = await resolve_addresses(address)
                 if addresses:
                     self._addresses = addresses
-                    self._listed_at = time.monotonic()
+                    self._resolved_at = time.monotonic()
                     return
 
-    async def _use(self, stream: trio.SocketStream, host: str) -> None:
+    async def _send_requests(self, stream: trio.SocketStream, host: str) -> None:
         state = h11.Connection(h11.CLIENT)
         async with stream:
-            for _ in range(self.rng.randint(1, REQUESTS_KEPT)):
-                await trio.sleep(self.rng.expovariate(1 / self.pause))
-                sent = self._make_request(host)
-                patience = PATIENCE[sent.kind]
-                if self.rng.random() < LEAVES_SHARE:
-                    patience = 0.1
-                if not await exchange(stream, state, sent, self.history, patience):
+            for _ in range(self.rng.randint(1, MAX_REQUESTS_PER_CONNECTION)):
+                await trio.sleep(self.rng.expovariate(1 / self.mean_pause))
+                request = self._make_request(host)
+                timeout = REQUEST_TIMEOUTS[request.kind]
+                if self.rng.random() < ABANDON_PROBABILITY:
+                    timeout = 0.1
+                if not await send_request(
+                    stream, state, request, self.history, timeout
+                ):
                     return
                 state.start_next_cycle()
 
-    def _make_request(self, host: str) -> Sent:
-        self._count += 1
-        kind = self.rng.choice(list(Kind))
-        tokens = TOKENS if kind.is_stream else PLAIN_TOKENS
-        name = f"{self.name}-{self._count}"
+    def _make_request(self, host: str) -> SentRequest:
+        self._request_count += 1
+        kind = self.rng.choice(list(RequestKind))
+        tokens = STREAM_TOKENS if kind.is_stream else PLAIN_TOKENS
+        request_id = f"{self.name}-{self._request_count}"
         key = self.rng.choice(self.keys)
-        return Sent(name, kind, host, key, tokens, 0.0, content=name)
+        return SentRequest(request_id, kind, host, key, tokens, 0.0, content=request_id)
 
 
-async def exchange(
+async def send_request(
     stream: trio.SocketStream,
     state: h11.Connection,
-    sent: Sent,
+    request: SentRequest,
     history: History,
-    patience: float,
+    timeout: float,
 ) -> bool:
     """Send one request; returns whether the connection may be used again."""
-    data = _encode(state, sent)
-    sent.sent_at = time.monotonic()
-    history.sent[sent.id] = sent
-    is_ended = False
-    with trio.move_on_after(patience):
+    data = _encode(state, request)
+    request.sent_at = time.monotonic()
+    history.requests[request.id] = request
+    has_ended = False
+    with trio.move_on_after(timeout):
         try:
             await stream.send_all(data)
-            await receive_answer(stream, state, sent)
+            await receive_response(stream, state, request)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        is_ended = True
-    sent.has_left = not is_ended
-    sent.ended_at = time.monotonic()
+        has_ended = True
+    request.is_abandoned = not has_ended
+    request.ended_at = time.monotonic()
     return (
-        sent.is_whole and state.our_state is h11.DONE and state.their_state is h11.DONE
+        request.is_complete
+        and state.our_state is h11.DONE
+        and state.their_state is h11.DONE
     )
 
 
-def _encode(state: h11.Connection, sent: Sent) -> bytes:
+def _encode(state: h11.Connection, request: SentRequest) -> bytes:
     head = h11.Request(
         method="POST",
-        target=f"/{sent.kind.value}/x",
+        target=f"/{request.kind.value}/x",
         headers=[
             ("Host", "example.test"),
-            ("X-Attempt-Id", sent.id),
-            ("X-Deadline-Ms", str(round(PATIENCE[sent.kind] * 1000))),
-            ("X-Api-Key", sent.key),
-            ("X-Token-Count", f"{sent.tokens - 5},5"),
-            ("Content-Length", str(len(sent.content))),
+            ("X-Attempt-Id", request.id),
+            ("X-Deadline-Ms", str(round(REQUEST_TIMEOUTS[request.kind] * 1000))),
+            ("X-Api-Key", request.key),
+            ("X-Token-Count", f"{request.tokens - 5},5"),
+            ("Content-Length", str(len(request.content))),
         ],
     )
     data = state.send(head) or b""
-    data += state.send(h11.Data(data=sent.content.encode())) or b""
+    data += state.send(h11.Data(data=request.content.encode())) or b""
     return data + (state.send(h11.EndOfMessage()) or b"")
 
 
-async def receive_answer(
-    stream: trio.SocketStream, state: h11.Connection, sent: Sent
+async def receive_response(
+    stream: trio.SocketStream, state: h11.Connection, request: SentRequest
 ) -> None:
     """Read one answer into the record."""
-    rest = b""
+    remainder = b""
     while True:
         try:
             event = state.next_event()
@@ -158,21 +167,21 @@
         except h11.RemoteProtocolError:
             return
         if isinstance(event, h11.Response):
-            sent.status = event.status_code
-            sent.is_signed = any(n == b"x-server-seal" for n, _ in event.headers)
+            request.status = event.status_code
+            request.is_signed = any(n == b"x-server-seal" for n, _ in event.headers)
         elif isinstance(event, h11.Data):
-            sent.body += bytes(event.data)
-            if sent.kind.is_stream and sent.status == 200:
-                *events, rest = (rest + bytes(event.data)).split(b"\n\n")
-                sent.events += [read_event(one) for one in events]
+            request.body += bytes(event.data)
+            if request.kind.is_stream and request.status == 200:
+                *events, remainder = (remainder + bytes(event.data)).split(b"\n\n")
+                request.events += [parse_event(raw) for raw in events]
         elif isinstance(event, h11.EndOfMessage):
-            sent.is_whole = not rest
+            request.is_complete = not remainder
             return
         else:
             return
 
 
-def read_event(raw: bytes) -> tuple[int, str, bool]:
+def parse_event(raw: bytes) -> tuple[int, str, bool]:
     """Return an event's number, owner and whether it is the last one."""
     lines = raw.decode().split("\n")
     number = int(lines[0].removeprefix("id: "))
@@ -180,7 +189,7 @@
     return number, owner, last == "last"
 
 
-async def resolve(address: str) -> list[str]:
+async def resolve_addresses(address: str) -> list[str]:
     """Ask a host for addresses; none if it does not answer well."""
     host, _, port = address.rpartition(":")
     try:
@@ -188,8 +197,8 @@
             request = b"GET /-/resolve?name=example.test HTTP/1.1\r\nHost: x\r\n"
             await stream.send_all(request + b"Connection: close\r\n\r\n")
             data = b""
-            while piece := await stream.receive_some(65_536):
-                data += piece
+            while chunk := await stream.receive_some(65_536):
+                data += chunk
     except (OSError, trio.BrokenResourceError):
         return []
     head, _, body = data.partition(b"\r\n\r\n")
--- a/dewridge/tests/soak/crashing.py
+++ b/dewridge/tests/soak/crashing.py
@@ -6,12 +6,12 @@
 import h11
 import trio
 
-from dewridge.tests.soak.callers import PATIENCE, TOKENS, exchange
-from dewridge.tests.soak.records import History, Kind, Sent
-from dewridge.tests.soak.servers import CRASH_BODY
+from dewridge.tests.soak.callers import REQUEST_TIMEOUTS, STREAM_TOKENS, send_request
+from dewridge.tests.soak.records import History, RequestKind, SentRequest
+from dewridge.tests.soak.servers import CRASH_BODY_PREFIX
 from dewridge.tests.soak.stage import Gateway
 
-PAUSE = 0.4
+MEAN_PAUSE = 0.4
 """Seconds between two sendings, on average."""
 
 
@@ -29,38 +29,38 @@
     """
 
     name: str
-    kind: Kind
+    kind: RequestKind
     key: str
     history: History
     gateways: list[Gateway]
     rng: random.Random
-    _count: int = 0
+    _request_count: int = 0
 
     async def run(self) -> None:
         """Send for ever."""
         while True:
-            await trio.sleep(self.rng.expovariate(1 / PAUSE))
+            await trio.sleep(self.rng.expovariate(1 / MEAN_PAUSE))
             gateway = self.rng.choice(self.gateways)
-            host, _, port = gateway.callers.rpartition(":")
+            host, _, port = gateway.caller_address.rpartition(":")
             try:
                 stream = await trio.open_tcp_stream(host, int(port))
             except OSError:
                 continue
             async with stream:
-                sent = self._make_request(gateway.name)
+                request = self._make_request(gateway.name)
                 state = h11.Connection(h11.CLIENT)
-                patience = PATIENCE[self.kind]
-                await exchange(stream, state, sent, self.history, patience)
+                timeout = REQUEST_TIMEOUTS[self.kind]
+                await send_request(stream, state, request, self.history, timeout)
 
-    def _make_request(self, host: str) -> Sent:
-        self._count += 1
-        return Sent(
-            f"{self.name}-{self._count}",
+    def _make_request(self, host: str) -> SentRequest:
+        self._request_count += 1
+        return SentRequest(
+            f"{self.name}-{self._request_count}",
             self.kind,
             host,
             self.key,
-            TOKENS,
+            STREAM_TOKENS,
             0.0,
-            content=f"{CRASH_BODY.decode()}{self.name}",
-            crashes=True,
+            content=f"{CRASH_BODY_PREFIX.decode()}{self.name}",
+            crashes_servers=True,
         )
--- a/dewridge/tests/soak/links.py
+++ b/dewridge/tests/soak/links.py
@@ -7,7 +7,7 @@
 
 from dewridge.tests.gateway.world import reset
 
-CHUNK = 65_536
+CHUNK_BYTES = 65_536
 
 
 class Mode(Enum):
@@ -23,7 +23,7 @@
     """Connections open at the change stay silent for good; new ones work."""
 
 
-SLOW_SECONDS = 0.3
+SLOW_LINK_DELAY = 0.3
 """Delay of each chunk of a slow link: a hundred times the usual answer of a store."""
 
 
@@ -40,11 +40,11 @@
     target: str
     address: str = ""
     mode: Mode = Mode.PASS
-    _lost: set[int] = field(default_factory=set)
-    _open: dict[int, tuple[trio.SocketStream, trio.SocketStream]] = field(
+    _stalled: set[int] = field(default_factory=set)
+    _connections: dict[int, tuple[trio.SocketStream, trio.SocketStream]] = field(
         default_factory=dict
     )
-    _number: int = 0
+    _last_number: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
     _scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
@@ -59,60 +59,60 @@
         with self._scope:
             await trio.serve_listeners(self._forward, listeners)
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Reset all connections and refuse new ones, as when a process ends."""
-        for ends in self._open.values():
-            for stream in ends:
+        for streams in self._connections.values():
+            for stream in streams:
                 reset(stream)
         self._scope.cancel()
 
-    def change(self, mode: Mode) -> None:
+    def set_mode(self, mode: Mode) -> None:
         """Behave otherwise from now on."""
         self.mode = mode
         self._changed.set()
         self._changed = trio.Event()
         if mode is Mode.LOST_OPEN:
-            self._lost.update(self._open)
+            self._stalled.update(self._connections)
             self.mode = Mode.PASS
         if mode is Mode.RESET:
-            for ends in self._open.values():
-                for stream in ends:
+            for streams in self._connections.values():
+                for stream in streams:
                     reset(stream)
 
-    async def _forward(self, caller: trio.SocketStream) -> None:
+    async def _forward(self, client: trio.SocketStream) -> None:
         if self.mode is Mode.RESET:
-            reset(caller)
+            reset(client)
             return
         host, _, port = self.target.rpartition(":")
         try:
             server = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            reset(caller)
+            reset(client)
             return
-        self._number += 1
-        number = self._number
-        self._open[number] = (caller, server)
+        self._last_number += 1
+        number = self._last_number
+        self._connections[number] = (client, server)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, number, caller, server, True)
-                nursery.start_soon(self._pump, number, server, caller, False)
+                nursery.start_soon(self._copy_bytes, number, client, server, True)
+                nursery.start_soon(self._copy_bytes, number, server, client, False)
         finally:
-            del self._open[number]
-            self._lost.discard(number)
+            del self._connections[number]
+            self._stalled.discard(number)
             reset(server)
-            reset(caller)
+            reset(client)
 
-    async def _pump(
+    async def _copy_bytes(
         self,
         number: int,
         source: trio.SocketStream,
         sink: trio.SocketStream,
-        goes_out: bool,
+        is_outbound: bool,
     ) -> None:
         try:
             while True:
-                data = await source.receive_some(CHUNK)
-                await self._hold(number, goes_out)
+                data = await source.receive_some(CHUNK_BYTES)
+                await self._delay(number, is_outbound)
                 if not data:
                     await sink.send_eof()
                     return
@@ -121,13 +121,13 @@
             reset(sink)
             reset(source)
 
-    async def _hold(self, number: int, goes_out: bool) -> None:
+    async def _delay(self, number: int, is_outbound: bool) -> None:
         if self.mode is Mode.SLOW:
-            await trio.sleep(SLOW_SECONDS)
-        while number in self._lost or self._is_held(goes_out):
+            await trio.sleep(SLOW_LINK_DELAY)
+        while number in self._stalled or self._is_blocked(is_outbound):
             await self._changed.wait()
 
-    def _is_held(self, goes_out: bool) -> bool:
+    def _is_blocked(self, is_outbound: bool) -> bool:
         if self.mode is Mode.SILENT:
             return True
-        return self.mode is Mode.ONE_WAY and not goes_out
+        return self.mode is Mode.ONE_WAY and not is_outbound
--- a/dewridge/tests/soak/records.py
+++ b/dewridge/tests/soak/records.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class RequestKind(Enum):
     """Kinds of requests that the soak sends."""
 
     READ = "read"
@@ -13,18 +13,18 @@
     DRAFT = "draft"
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether it may run more than once."""
-        return self in {Kind.READ, Kind.CHAT}
+        return self in {RequestKind.READ, RequestKind.CHAT}
 
     @property
     def is_stream(self) -> bool:
         """Whether it is answered by events."""
-        return self in {Kind.CHAT, Kind.DRAFT}
+        return self in {RequestKind.CHAT, RequestKind.DRAFT}
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """One request as its caller saw it; times in seconds of the soak's clock.
 
     Attributes:
@@ -46,7 +46,7 @@
     """
 
     id: str
-    kind: Kind
+    kind: RequestKind
     host: str
     key: str
     tokens: int
@@ -54,16 +54,16 @@
     ended_at: float | None = None
     status: int = 0
     is_signed: bool = False
-    is_whole: bool = False
+    is_complete: bool = False
     body: bytes = b""
     events: list[tuple[int, str, bool]] = field(default_factory=list)
-    has_left: bool = False
+    is_abandoned: bool = False
     content: str = ""
-    crashes: bool = False
+    crashes_servers: bool = False
 
 
 @dataclass(frozen=True)
-class Run:
+class Execution:
     """A server began to work on a request."""
 
     id: str
@@ -86,7 +86,7 @@
     """A call of the cloud API."""
 
     holder: str
-    fence: int
+    fencing_token: int
     subject: str
     counts: str
     at: float
@@ -103,7 +103,7 @@
     begin: float
     end: float
     is_planned: bool = False
-    spares_hosts: bool = False
+    affects_servers_only: bool = False
 
 
 @dataclass
@@ -123,26 +123,26 @@
         end: when callers stopped.
     """
 
-    sent: dict[str, Sent] = field(default_factory=dict)
-    runs: list[Run] = field(default_factory=list)
-    arrivals: list[Run] = field(default_factory=list)
+    requests: dict[str, SentRequest] = field(default_factory=dict)
+    executions: list[Execution] = field(default_factory=list)
+    arrivals: list[Execution] = field(default_factory=list)
     crashes: list[Crash] = field(default_factory=list)
-    calls: list[DutyCall] = field(default_factory=list)
+    duty_calls: list[DutyCall] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
-    revoked: dict[str, float] = field(default_factory=dict)
-    left: dict[str, float] = field(default_factory=dict)
-    final_fault_end: float = 0.0
+    key_revoked_at: dict[str, float] = field(default_factory=dict)
+    server_departing_at: dict[str, float] = field(default_factory=dict)
+    last_fault_end: float = 0.0
     end: float = 0.0
 
     def is_disturbed(
-        self, host: str, begin: float, end: float, *, counts_servers: bool = True
+        self, host: str, begin: float, end: float, *, include_server_faults: bool = True
     ) -> bool:
         """Whether an unplanned fault touched a host or all hosts in a time."""
         return any(
-            not one.is_planned
-            and (counts_servers or not one.spares_hosts)
-            and one.host in {"", host}
-            and one.begin <= end
-            and one.end >= begin
-            for one in self.disturbances
+            not disturbance.is_planned
+            and (include_server_faults or not disturbance.affects_servers_only)
+            and disturbance.host in {"", host}
+            and disturbance.begin <= end
+            and disturbance.end >= begin
+            for disturbance in self.disturbances
         )
--- a/dewridge/tests/soak/runs.py
+++ b/dewridge/tests/soak/runs.py
@@ -9,22 +9,22 @@
 import trio
 
 from dewridge.tests.soak.callers import Caller
-from dewridge.tests.soak.checks import RECOVERY, check_all, count_outcomes
+from dewridge.tests.soak.checks import RECOVERY_SECONDS, check_all, count_outcomes
 from dewridge.tests.soak.crashing import CrashingCaller
-from dewridge.tests.soak.faults import draw_faults, play
-from dewridge.tests.soak.records import Kind
-from dewridge.tests.soak.stage import QUOTAS, Stage
+from dewridge.tests.soak.faults import draw_faults, inject_faults
+from dewridge.tests.soak.records import RequestKind
+from dewridge.tests.soak.stage import QUOTAS, SoakEnvironment
 
-SETTLE = 4.0
+WARM_UP_SECONDS = 4.0
 """Seconds from the start of the processes until callers begin."""
-CALM_TAIL = RECOVERY + 6.0
+FAULT_FREE_SECONDS = RECOVERY_SECONDS + 6.0
 """Seconds of calm after the last fault, in which nearly all must be served."""
-PAUSE = 0.15
+MEAN_PAUSE = 0.15
 """Seconds between a caller's requests, on average."""
 
 
 @dataclass(frozen=True)
-class Size:
+class SoakSize:
     """How large a run is."""
 
     hosts: int = 4
@@ -36,11 +36,11 @@
 
 
 @dataclass
-class Result:
+class SoakResult:
     """What came of a run."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     faults: list[str] = field(default_factory=list)
     outcomes: dict[str, int] = field(default_factory=dict)
     stalls: list[float] = field(default_factory=list)
@@ -48,7 +48,7 @@
 
     def format_line(self) -> str:
         """Return the line that a run prints."""
-        verdict = "broken" if self.broken else "kept"
+        verdict = "broken" if self.violations else "kept"
         return json.dumps(
             {
                 "seed": self.seed,
@@ -56,12 +56,12 @@
                 "outcomes": self.outcomes,
                 "own_stalls": self.stalls,
                 "faults": self.faults,
-                "broken": self.broken[:10],
+                "broken": self.violations[:10],
             }
         )
 
 
-async def run_soak(seed: int, size: Size, folder: Path) -> Result:
+async def run_soak(seed: int, size: SoakSize, folder: Path) -> SoakResult:
     """Play one seed.
 
     Args:
@@ -72,47 +72,53 @@
     rng = random.Random(seed)
     faults = draw_faults(rng, size.seconds)
     async with trio.open_nursery() as nursery:
-        stage = Stage(rng, folder, nursery)
+        environment = SoakEnvironment(rng, folder, nursery)
         try:
-            await stage.open(size.hosts, size.servers)
-            await trio.sleep(SETTLE)
-            start_callers(stage, size)
-            start_crashing(stage, size, random.Random(f"crashing {seed}"))
-            await play(stage, faults)
-            await trio.sleep(CALM_TAIL)
-            stage.history.end = time.monotonic()
+            await environment.start(size.hosts, size.servers)
+            await trio.sleep(WARM_UP_SECONDS)
+            start_callers(environment, size)
+            start_crashing_callers(environment, size, random.Random(f"crashing {seed}"))
+            await inject_faults(environment, faults)
+            await trio.sleep(FAULT_FREE_SECONDS)
+            environment.history.end = time.monotonic()
             await trio.sleep(0.5)
         finally:
-            await stage.close()
+            await environment.close()
             nursery.cancel_scope.cancel()
-    history = stage.history
-    return Result(
+    history = environment.history
+    return SoakResult(
         seed=seed,
-        broken=check_all(history, QUOTAS),
-        faults=[f"{one.at:.1f} {one.name} {one.seconds:.1f}" for one in faults],
+        violations=check_all(history, QUOTAS),
+        faults=[f"{fault.at:.1f} {fault.name} {fault.seconds:.1f}" for fault in faults],
         outcomes=count_outcomes(history),
-        stalls=stage.stalls,
+        stalls=environment.stalls,
     )
 
 
-def start_callers(stage: Stage, size: Size) -> None:
+def start_callers(environment: SoakEnvironment, size: SoakSize) -> None:
     """Let callers begin."""
-    hosts = {one.callers: one.name for one in stage.gateways}
-    keys = [key for own in stage.keys.values() for key in own]
+    host_by_address = {
+        gateway.caller_address: gateway.name for gateway in environment.gateways
+    }
+    keys = [key for account_keys in environment.keys.values() for key in account_keys]
     for number in range(size.callers):
         caller = Caller(
             name=f"c{number}",
-            history=stage.history,
-            find_directories=lambda: [one.directory for one in stage.gateways],
-            find_host=hosts.__getitem__,
-            rng=random.Random(stage.rng.random()),
+            history=environment.history,
+            list_directory_addresses=lambda: [
+                gateway.directory_address for gateway in environment.gateways
+            ],
+            get_host_name=host_by_address.__getitem__,
+            rng=random.Random(environment.rng.random()),
             keys=keys,
-            pause=PAUSE,
+            mean_pause=MEAN_PAUSE,
         )
-        stage.nursery.start_soon(caller.run)
+        environment.nursery.start_soon(caller.run)
 
 
-def start_crashing(stage: Stage, size: Size, rng: random.Random) -> None:
+def start_crashing_callers(
+    environment: SoakEnvironment, size: SoakSize, rng: random.Random
+) -> None:
     """Let callers with crashing requests begin.
 
     They draw from a generator of their own, so that a seed plays the same faults with
@@ -121,10 +127,12 @@
     for number in range(size.crashing):
         caller = CrashingCaller(
             name=f"x{number}",
-            kind=rng.choice([Kind.CHAT, Kind.READ, Kind.DRAFT]),
-            key=rng.choice([own[0] for own in stage.keys.values()]),
-            history=stage.history,
-            gateways=stage.gateways,
+            kind=rng.choice([RequestKind.CHAT, RequestKind.READ, RequestKind.DRAFT]),
+            key=rng.choice(
+                [account_keys[0] for account_keys in environment.keys.values()]
+            ),
+            history=environment.history,
+            gateways=environment.gateways,
             rng=random.Random(rng.random()),
         )
-        stage.nursery.start_soon(caller.run)
+        environment.nursery.start_soon(caller.run)
--- a/dewridge/tests/soak/seeds.py
+++ b/dewridge/tests/soak/seeds.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from dewridge.tests.soak.runs import Size
+from dewridge.tests.soak.runs import SoakSize
 
 
 @dataclass(frozen=True)
@@ -10,24 +10,24 @@
     """A seed to play again as it was."""
 
     seed: int
-    size: Size
+    size: SoakSize
     cause: str
 
 
 KEPT = (
     KeptSeed(
         1,
-        Size(seconds=10.0),
+        SoakSize(seconds=10.0),
         "requests open at the soak's own end counted as cut off in calm",
     ),
     KeptSeed(
         103,
-        Size(hosts=20, callers=30, seconds=15.0),
+        SoakSize(hosts=20, callers=30, seconds=15.0),
         "the store's stand-in polled for each abandoned watch and starved",
     ),
     KeptSeed(
         307,
-        Size(hosts=18, callers=14, seconds=15.0),
+        SoakSize(hosts=18, callers=14, seconds=15.0),
         "the soak's own process stood still on a busy machine: no store for any host",
     ),
 )
--- a/dewridge/tests/soak/servers.py
+++ b/dewridge/tests/soak/servers.py
@@ -12,15 +12,15 @@
 from dewridge.tests.gateway.memorystore import MemoryStore
 from dewridge.tests.gateway.world import ScriptedServer, ServerExchange
 from dewridge.tests.soak.links import Link
-from dewridge.tests.soak.records import Crash, History, Run
+from dewridge.tests.soak.records import Crash, Execution, History
 
-CRASH_BODY = b"crash "
+CRASH_BODY_PREFIX = b"crash "
 """How a body begins that ends each server that begins to run it."""
-CRASH_SECONDS = 0.05
+CRASH_DELAY = 0.05
 """Seconds from the begin of such a run to the server's end."""
-PLAIN_SECONDS = 0.015
-EVENT_SECONDS = 0.04
-EVENTS = 12
+PLAIN_RESPONSE_SECONDS = 0.015
+EVENT_INTERVAL = 0.04
+EVENTS_PER_STREAM = 12
 """Events of a stream: half a second in all, so that faults meet many of them."""
 
 
@@ -54,13 +54,13 @@
     history: History
     mood: Mood = Mood.GOOD
     is_draining: bool = False
-    is_listed: bool = True
+    is_registered: bool = True
     link: Link = field(default_factory=lambda: Link(""))
     on_crash: Callable[["SoakServer"], None] = lambda server: None
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Listen, and open the link."""
-        server = ScriptedServer(BackendServerId(self.id), self._answer)
+        server = ScriptedServer(BackendServerId(self.id), self._handle_request)
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
         self.link.target = f"127.0.0.1:{port}"
@@ -70,7 +70,7 @@
     def write_record(self, store: MemoryStore) -> None:
         """Write this server's record as it is now, or take it away."""
         key = f"servers/{self.id}"
-        if not self.is_listed:
+        if not self.is_registered:
             store.remove(key)
             return
         record = {
@@ -82,7 +82,7 @@
         }
         store.write(key, json.dumps(record).encode())
 
-    async def _answer(self, exchange: ServerExchange) -> None:
+    async def _handle_request(self, exchange: ServerExchange) -> None:
         expected = exchange.headers.get(b"x-expect-instance", b"").decode()
         if expected != self.id:
             await exchange.answer(b"", 421)
@@ -90,32 +90,32 @@
         if self.mood is Mood.FULL:
             await exchange.answer(b"", 503, b"X-Not-Executed: 1\r\n")
             return
-        name = exchange.headers.get(b"x-attempt-id", b"").decode()
+        request_id = exchange.headers.get(b"x-attempt-id", b"").decode()
         account = exchange.headers.get(b"x-tenant", b"").decode()
-        run = Run(name, self.id, account, time.monotonic())
-        self.history.runs.append(run)
-        if exchange.body.startswith(CRASH_BODY):
-            self.history.arrivals.append(run)
-            await self._crash(name)
+        execution = Execution(request_id, self.id, account, time.monotonic())
+        self.history.executions.append(execution)
+        if exchange.body.startswith(CRASH_BODY_PREFIX):
+            self.history.arrivals.append(execution)
+            await self._crash(request_id)
             return
         if self.mood is Mood.HANGING:
             await trio.sleep(20)
         if self.mood is Mood.FAILING:
             await exchange.answer(b"failed", 500)
         elif exchange.target.startswith((b"/chat/", b"/draft/")):
-            await self._stream(exchange, name)
+            await self._send_stream(exchange, request_id)
         else:
-            await self._answer_plainly(exchange, name.encode())
+            await self._send_plain_response(exchange, request_id.encode())
 
-    async def _crash(self, name: str) -> None:
-        await trio.sleep(CRASH_SECONDS)
-        content = self.history.sent[name].content
+    async def _crash(self, request_id: str) -> None:
+        await trio.sleep(CRASH_DELAY)
+        content = self.history.requests[request_id].content
         self.history.crashes.append(Crash(content, self.id, time.monotonic()))
-        self.link.end()
+        self.link.close()
         self.on_crash(self)
 
-    async def _answer_plainly(self, exchange: ServerExchange, body: bytes) -> None:
-        await trio.sleep(PLAIN_SECONDS)
+    async def _send_plain_response(self, exchange: ServerExchange, body: bytes) -> None:
+        await trio.sleep(PLAIN_RESPONSE_SECONDS)
         if self.mood is Mood.CUTTING:
             length = b"Content-Length: %d\r\n" % (len(body) + 5)
             await exchange.send(exchange.make_head(200, length) + body)
@@ -126,14 +126,14 @@
             await trio.sleep(0.02)
             await exchange.answer(body)
 
-    async def _stream(self, exchange: ServerExchange, name: str) -> None:
-        after = int(exchange.headers.get(b"last-event-id", b"0"))
+    async def _send_stream(self, exchange: ServerExchange, request_id: str) -> None:
+        last_received = int(exchange.headers.get(b"last-event-id", b"0"))
         await exchange.begin_stream()
-        for number in range(after + 1, EVENTS + 1):
-            await trio.sleep(EVENT_SECONDS)
-            last = " last" if number == EVENTS else ""
-            event = f"id: {number}\ndata: {name}{last}\n\n".encode()
-            if self.mood is Mood.CUTTING and number == EVENTS // 2:
+        for number in range(last_received + 1, EVENTS_PER_STREAM + 1):
+            await trio.sleep(EVENT_INTERVAL)
+            last_marker = " last" if number == EVENTS_PER_STREAM else ""
+            event = f"id: {number}\ndata: {request_id}{last_marker}\n\n".encode()
+            if self.mood is Mood.CUTTING and number == EVENTS_PER_STREAM // 2:
                 event = event[: len(event) // 2]
                 await exchange.send(b"%x\r\n%s\r\n" % (len(event), event))
                 exchange.reset()
--- a/dewridge/tests/soak/stage.py
+++ b/dewridge/tests/soak/stage.py
@@ -18,31 +18,33 @@
 from dewridge.tests.soak.servers import Mood, SoakServer
 from dewridge.tests.soak.standins import StoreStandIn, build_cloud_app
 
-RESTART_PAUSE = 0.3
+RESTART_DELAY = 0.3
 """Seconds until an ended process is started again."""
 RECORD_PERIOD = 1.2
 """Seconds between two writes of a server's record."""
-RECOVERY_OF_CALLS = 1.0
+CALL_RETRY_SECONDS = 1.0
 """Seconds after a stall in which calls that timed out are made again."""
-PACE_PERIOD = 0.1
+STALL_CHECK_PERIOD = 0.1
 """Seconds between two looks at whether this process itself keeps pace."""
-STALL = 0.5
+MIN_STALL_SECONDS = 0.5
 """Seconds by which a look may be late; the store's stand-in runs in this process, and
 later than that its callers give their calls up."""
-CRASH_RESTART = 2.0
+CRASH_RESTART_DELAY = 2.0
 """Seconds until a server that ended is back as a new start."""
-LAPSE = 3.6
+RECORD_EXPIRY_SECONDS = 3.6
 """Seconds until the record of a server that ended lapses."""
-CRASH_FELT = 1.0
+CRASH_IMPACT_SECONDS = 1.0
 """Seconds in which requests may be cut off by a server's end, or find too few."""
-LEAVING_SECONDS = 3.0
+DEPARTURE_SECONDS = 3.0
 """Seconds that a leaving server still serves."""
-RATE = 3_000.0
-BURST = 6_000.0
-SLACK = 4_000.0
-OVERRUN = 0.1
+QUOTA_RATE = 3_000.0
+QUOTA_BURST = 6_000.0
+QUOTA_SLACK = 4_000.0
+QUOTA_OVERRUN = 0.1
 ACCOUNTS = ("account-a", "account-b")
-QUOTAS = dict.fromkeys(ACCOUNTS, (RATE * 8 + BURST) * (1 + OVERRUN) + SLACK)
+QUOTAS = dict.fromkeys(
+    ACCOUNTS, (QUOTA_RATE * 8 + QUOTA_BURST) * (1 + QUOTA_OVERRUN) + QUOTA_SLACK
+)
 """Most tokens of each account in any eight seconds."""
 
 
@@ -51,25 +53,25 @@
     """One entry host: its settings, its way to the store, its process."""
 
     name: str
-    path: Path
+    settings_path: Path
     ports: list[int]
     link: Link
     process: Process | None = None
-    is_kept_up: bool = True
+    should_restart: bool = True
 
     @property
-    def callers(self) -> str:
+    def caller_address(self) -> str:
         """Address for callers."""
         return f"127.0.0.1:{self.ports[0]}"
 
     @property
-    def directory(self) -> str:
+    def directory_address(self) -> str:
         """Address for questions which hosts to use."""
         return f"127.0.0.1:{self.ports[2]}"
 
 
 @dataclass
-class Stage:
+class SoakEnvironment:
     """What a fault may act on."""
 
     rng: random.Random
@@ -80,13 +82,13 @@
     gateways: list[Gateway] = field(default_factory=list)
     servers: list[SoakServer] = field(default_factory=list)
     keys: dict[str, list[str]] = field(default_factory=dict)
-    version: int = 0
+    written_version: int = 0
     stalls: list[float] = field(default_factory=list)
-    _started: int = 0
+    _server_count: int = 0
 
-    async def open(self, hosts: int, servers: int) -> None:
+    async def start(self, hosts: int, servers: int) -> None:
         """Start all."""
-        self.nursery.start_soon(self.store.keep_copies)
+        self.nursery.start_soon(self.store.record_snapshots)
         cloud = Listener(build_cloud_app(self.history))
         await self.nursery.start(self.store.listener.run)
         await self.nursery.start(cloud.run)
@@ -96,12 +98,12 @@
         self.write_configuration()
         for number in range(servers):
             await self.add_server("engine" if number % 2 else "plain")
-        self.nursery.start_soon(self._keep_records)
-        self.nursery.start_soon(self._watch_pace)
+        self.nursery.start_soon(self._restore_records)
+        self.nursery.start_soon(self._record_stalls)
         for number in range(hosts):
             await self._open_gateway(f"host-{number}", cloud.address)
         for gateway in self.gateways:
-            self.nursery.start_soon(self._keep_up, gateway)
+            self.nursery.start_soon(self._supervise_gateway, gateway)
 
     async def _open_gateway(self, name: str, cloud: str) -> None:
         link = Link(self.store.listener.address)
@@ -118,39 +120,39 @@
                 "descriptors": 1024,
             },
             "listen": {
-                "callers": gateway.callers,
+                "callers": gateway.caller_address,
                 "readiness": f"127.0.0.1:{ports[1]}",
-                "directory": gateway.directory,
+                "directory": gateway.directory_address,
                 "operations": f"127.0.0.1:{ports[3]}",
                 "peer_ports": [ports[4], ports[4]],
             },
             "services": {"store": link.address, "cloud": cloud},
             "bounds": {
-                "quota_slack": SLACK,
-                "quota_overrun": OVERRUN,
+                "quota_slack": QUOTA_SLACK,
+                "quota_overrun": QUOTA_OVERRUN,
                 "retry_slack": 54,
             },
         }
         path.write_text(json.dumps(settings))
         self.gateways.append(gateway)
 
-    async def _keep_up(self, gateway: Gateway) -> None:
+    async def _supervise_gateway(self, gateway: Gateway) -> None:
         while True:
-            if gateway.is_kept_up:
+            if gateway.should_restart:
                 gateway.process = await start_gateway(gateway, self.folder)
-                self._note_restart(gateway)
+                self._clear_first_start(gateway)
                 await gateway.process.handle.wait()
-            await trio.sleep(RESTART_PAUSE)
+            await trio.sleep(RESTART_DELAY)
 
-    def _note_restart(self, gateway: Gateway) -> None:
+    def _clear_first_start(self, gateway: Gateway) -> None:
         # The settings of a later start say that others ran before.
-        settings = json.loads(gateway.path.read_text())
+        settings = json.loads(gateway.settings_path.read_text())
         settings["host"]["is_first_start"] = False
-        gateway.path.write_text(json.dumps(settings))
+        gateway.settings_path.write_text(json.dumps(settings))
 
     def write_configuration(self) -> None:
         """Write the next version as the operator does."""
-        self.version += self.rng.randint(1, 3)
+        self.written_version += self.rng.randint(1, 3)
         routes = [
             make_route("read", "idempotent", "plain", 2),
             make_route("write", "non_idempotent", "plain", 1),
@@ -158,7 +160,7 @@
             make_route("draft", "streaming", "engine", 1),
         ]
         document = {
-            "version": self.version,
+            "version": self.written_version,
             "routes": routes,
             "services": [
                 {"name": "plain", "max_connections": 200},
@@ -181,65 +183,69 @@
                     "api_keys": keys,
                     "unit": "tokens",
                     "plain_tokens": 10,
-                    "rate_per_s": RATE,
-                    "burst": BURST,
+                    "rate_per_s": QUOTA_RATE,
+                    "burst": QUOTA_BURST,
                 }
                 for account, keys in self.keys.items()
             ],
             "limits": {},
         }
-        self.store.store.write("op/config", json.dumps(document).encode())
+        self.store.memory_store.write("op/config", json.dumps(document).encode())
 
-    def revoke(self) -> None:
+    def revoke_key(self) -> None:
         """Take a key away; the store's word counts from now."""
         account = self.rng.choice(ACCOUNTS)
         if len(self.keys[account]) > 2:
             key = self.keys[account].pop()
             self.write_configuration()
-            self.history.revoked[key] = time.monotonic()
+            self.history.key_revoked_at[key] = time.monotonic()
 
     async def add_server(self, service: str) -> None:
         """Start a server and list it."""
-        self._started += 1
-        server = SoakServer(f"{service}-{self._started}", service, self.history)
-        server.on_crash = lambda one: self.nursery.start_soon(self._restart, one)
+        self._server_count += 1
+        server = SoakServer(f"{service}-{self._server_count}", service, self.history)
+        server.on_crash = lambda crashed: self.nursery.start_soon(
+            self._replace_crashed_server, crashed
+        )
         await server.start(self.nursery)
-        server.write_record(self.store.store)
+        server.write_record(self.store.memory_store)
         self.servers.append(server)
 
-    async def _restart(self, server: SoakServer) -> None:
+    async def _replace_crashed_server(self, server: SoakServer) -> None:
         """Bring a server that ended back as a new start; its record lapses later."""
         if server not in self.servers:
             return
         self.servers.remove(server)
-        self.disturb("", CRASH_RESTART + CRASH_FELT, spares_hosts=True)
-        await trio.sleep(CRASH_RESTART)
+        self.record_disturbance(
+            "", CRASH_RESTART_DELAY + CRASH_IMPACT_SECONDS, affects_servers_only=True
+        )
+        await trio.sleep(CRASH_RESTART_DELAY)
         await self.add_server(server.service)
-        await trio.sleep(LAPSE - CRASH_RESTART)
-        server.is_listed = False
-        server.write_record(self.store.store)
+        await trio.sleep(RECORD_EXPIRY_SECONDS - CRASH_RESTART_DELAY)
+        server.is_registered = False
+        server.write_record(self.store.memory_store)
 
     async def replace_server(self, server: SoakServer) -> None:
         """Let a server leave as planned, a new one first."""
         await self.add_server(server.service)
         await trio.sleep(0.5)
         server.is_draining = True
-        server.write_record(self.store.store)
-        self.history.left[server.id] = time.monotonic()
-        await trio.sleep(LEAVING_SECONDS)
-        server.is_listed = False
-        server.write_record(self.store.store)
+        server.write_record(self.store.memory_store)
+        self.history.server_departing_at[server.id] = time.monotonic()
+        await trio.sleep(DEPARTURE_SECONDS)
+        server.is_registered = False
+        server.write_record(self.store.memory_store)
         if server in self.servers:
             self.servers.remove(server)
 
-    async def _keep_records(self) -> None:
+    async def _restore_records(self) -> None:
         while True:
             await trio.sleep(RECORD_PERIOD)
             for server in self.servers:
-                if f"servers/{server.id}" not in self.store.store.data.items:
-                    server.write_record(self.store.store)
+                if f"servers/{server.id}" not in self.store.memory_store.data.items:
+                    server.write_record(self.store.memory_store)
 
-    async def _watch_pace(self) -> None:
+    async def _record_stalls(self) -> None:
         """Record stalls of this process: all its stand-ins are away meanwhile.
 
         On a busy machine the whole soak can stand still for seconds. All gateways then
@@ -247,38 +253,44 @@
         """
         while True:
             begin = time.monotonic()
-            await trio.sleep(PACE_PERIOD)
-            late = time.monotonic() - begin - PACE_PERIOD
-            if late > STALL:
+            await trio.sleep(STALL_CHECK_PERIOD)
+            delay = time.monotonic() - begin - STALL_CHECK_PERIOD
+            if delay > MIN_STALL_SECONDS:
                 self.history.disturbances.append(
-                    Disturbance("", begin, time.monotonic() + RECOVERY_OF_CALLS)
+                    Disturbance("", begin, time.monotonic() + CALL_RETRY_SECONDS)
                 )
-                self.history.final_fault_end = time.monotonic()
-                self.stalls.append(round(late, 2))
+                self.history.last_fault_end = time.monotonic()
+                self.stalls.append(round(delay, 2))
 
     def list_servers(self, mood: Mood = Mood.GOOD) -> list[SoakServer]:
         """Return the servers in a mood that don't leave."""
-        return [one for one in self.servers if one.mood is mood and not one.is_draining]
+        return [
+            server
+            for server in self.servers
+            if server.mood is mood and not server.is_draining
+        ]
 
-    def disturb(
+    def record_disturbance(
         self,
         host: str,
         seconds: float,
         *,
         is_planned: bool = False,
-        spares_hosts: bool = False,
+        affects_servers_only: bool = False,
     ) -> None:
         """Record that a fault is at work from now on."""
         now = time.monotonic()
-        one = Disturbance(host, now, now + seconds, is_planned, spares_hosts)
-        self.history.disturbances.append(one)
-        self.history.final_fault_end = max(self.history.final_fault_end, one.end)
+        disturbance = Disturbance(
+            host, now, now + seconds, is_planned, affects_servers_only
+        )
+        self.history.disturbances.append(disturbance)
+        self.history.last_fault_end = max(self.history.last_fault_end, disturbance.end)
 
     async def close(self) -> None:
         """End the gateways by their ids."""
         with trio.CancelScope(shield=True):
             for gateway in self.gateways:
-                gateway.is_kept_up = False
+                gateway.should_restart = False
                 if gateway.process is not None and gateway.process.is_running:
                     gateway.process.thaw()
                     gateway.process.kill()
@@ -309,7 +321,7 @@
     with log_path.open("ab") as log_file:
         handle = await trio.lowlevel.open_process(
             [sys.executable, "-m", "dewridge.gateway"],
-            env={**os.environ, "DEWRIDGE_NODE_FILE": str(gateway.path)},
+            env={**os.environ, "DEWRIDGE_NODE_FILE": str(gateway.settings_path)},
             stdout=log_file,
             stderr=log_file,
         )
--- a/dewridge/tests/soak/standins.py
+++ b/dewridge/tests/soak/standins.py
@@ -16,15 +16,15 @@
 from dewridge.tests.gateway.memorystore import MemoryStore
 from dewridge.tests.soak.records import DutyCall, History
 
-STATUS = {
+STATUS_BY_CODE = {
     ResultCode.KEY_VALUE_CONFLICT: 412,
     ResultCode.KEY_VALUE_LEASE_ENDED: 404,
 }
 
 
-LAG = 3.0
+STALE_READ_LAG = 3.0
 """Seconds by which reads that may lag do."""
-COPY_PERIOD = 0.25
+SNAPSHOT_PERIOD = 0.25
 
 
 class StoreStandIn:
@@ -36,29 +36,31 @@
     """
 
     def __init__(self) -> None:
-        self.store = MemoryStore()
-        self.loses_answers = False
+        self.memory_store = MemoryStore()
+        self.drops_responses = False
         self._compacted_at = 0
-        self._copies: deque[tuple[float, dict[str, Item], int]] = deque()
+        self._snapshots: deque[tuple[float, dict[str, Item], int]] = deque()
         self.listener = Listener(build_store_app(self))
 
     def compact(self) -> None:
         """Drop the history up to now."""
-        self._compacted_at = self.store.data.revision
-        self.store.data.changes.clear()
+        self._compacted_at = self.memory_store.data.revision
+        self.memory_store.data.changes.clear()
 
-    async def keep_copies(self) -> None:
+    async def record_snapshots(self) -> None:
         """Keep copies of what the store held, for reads that may lag."""
         while True:
-            data = self.store.data
-            self._copies.append((trio.current_time(), dict(data.items), data.revision))
-            while self._copies[0][0] < trio.current_time() - LAG:
-                self._copies.popleft()
-            await trio.sleep(COPY_PERIOD)
-
-    def list_lagging(self, prefix: str) -> Listing:
+            data = self.memory_store.data
+            self._snapshots.append(
+                (trio.current_time(), dict(data.items), data.revision)
+            )
+            while self._snapshots[0][0] < trio.current_time() - STALE_READ_LAG:
+                self._snapshots.popleft()
+            await trio.sleep(SNAPSHOT_PERIOD)
+
+    def list_stale(self, prefix: str) -> Listing:
         """Return what was under a prefix `LAG` seconds ago."""
-        _, items, revision = self._copies[0]
+        _, items, revision = self._snapshots[0]
         found = [item for key, item in sorted(items.items()) if key.startswith(prefix)]
         return Listing(tuple(found), revision)
 
@@ -70,7 +72,7 @@
 def build_store_app(stand_in: StoreStandIn) -> QuartTrio:
     """Return the store's calls."""
     app = make_app("store")
-    store = stand_in.store
+    store = stand_in.memory_store
 
     @app.get("/-/kv-key")
     async def read() -> Response:
@@ -84,7 +86,7 @@
         prefix = request.args["path_prefix"]
         listing: Listing | Failure
         if "stale_ok" in request.args:
-            listing = stand_in.list_lagging(prefix)
+            listing = stand_in.list_stale(prefix)
         else:
             listing = await store.list_items(prefix)
         if isinstance(listing, Failure):
@@ -97,10 +99,10 @@
         if not stand_in.has_history(after):
             return reply({}, 410)
         wait = int(request.args["wait_ms"]) / 1000
-        news = await store.watch(request.args["path_prefix"], after, wait)
-        if isinstance(news, Failure):
+        update = await store.watch(request.args["path_prefix"], after, wait)
+        if isinstance(update, Failure):
             return reply({}, 503)
-        return reply({"events": news.items, "current_rev": news.revision})
+        return reply({"events": update.items, "current_rev": update.revision})
 
     @app.post("/-/kv-txn")
     async def change() -> Response:
@@ -114,20 +116,20 @@
             writes=tuple(writes),
             drop=tuple(body.get("drop", [])),
         )
-        if stand_in.loses_answers:
+        if stand_in.drops_responses:
             await trio.sleep_forever()
         if isinstance(result, Failure):
-            return reply({"items": []}, STATUS.get(result.code, 503))
+            return reply({"items": []}, STATUS_BY_CODE.get(result.code, 503))
         return reply({"revision": result})
 
     @app.post("/-/kv-lease")
     async def grant() -> Response:
         body = msgspec.json.decode(await request.get_data(as_text=False))
-        return answer_lease(await store.grant_lease(body["ttl_ms"] / 1000))
+        return make_lease_reply(await store.grant_lease(body["ttl_ms"] / 1000))
 
     @app.post("/-/kv-keep/<int:lease>")
     async def renew(lease: int) -> Response:
-        return answer_lease(await store.renew_lease(lease))
+        return make_lease_reply(await store.renew_lease(lease))
 
     @app.delete("/-/kv-lease-end/<int:lease>")
     async def end(lease: int) -> Response:
@@ -137,10 +139,10 @@
     return app
 
 
-def answer_lease(lease: Lease | Failure) -> Response:
+def make_lease_reply(lease: Lease | Failure) -> Response:
     """Answer a grant or a renewal."""
     if isinstance(lease, Failure):
-        return reply({}, STATUS.get(lease.code, 503))
+        return reply({}, STATUS_BY_CODE.get(lease.code, 503))
     return reply({"lease": lease.id, "ttl_ms": round(lease.ttl * 1000)})
 
 
@@ -148,26 +150,26 @@
     """Return the cloud API's calls; each is recorded and accepted."""
     app = make_app("cloud")
 
-    async def note(subject: str, body: dict[str, Any]) -> Response:
+    async def record_call(subject: str, body: dict[str, Any]) -> Response:
         headers = request.headers
         call = DutyCall(
             holder=headers["X-Duty-Holder"],
-            fence=int(headers["X-Fencing-Token"]),
+            fencing_token=int(headers["X-Fencing-Token"]),
             subject=subject,
             counts=str(sorted(body.get("counts", {}).items())),
             at=time.monotonic(),
         )
-        history.calls.append(call)
+        history.duty_calls.append(call)
         return reply({})
 
     @app.post("/usage")
     async def report() -> Response:
         body = msgspec.json.decode(await request.get_data(as_text=False))
-        return await note(f"usage {body['window_id']}", body)
+        return await record_call(f"usage {body['window_id']}", body)
 
     @app.post("/scale")
     async def order() -> Response:
         body = msgspec.json.decode(await request.get_data(as_text=False))
-        return await note(f"servers {body['service']} {body['zone']}", body)
+        return await record_call(f"servers {body['service']} {body['zone']}", body)
 
     return app
