--- a/dewridge/tests/soak/__init__.py
+++ b/dewridge/tests/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A randomized soak: real gateways, faults from outside, promises checked.
+"""A randomized soak test: gateways run under injected faults and are checked.
 
-`make soak` plays seeds. Store, cloud API, servers and callers are stand-ins in the
-soak's own process; gateways are real processes that it starts, signals and ends by id.
+`make soak` runs seeds. The store, the cloud API, the backend servers and the callers
+are stand-ins in the process of the soak test. Gateways are real processes, which it
+starts, signals and kills by process id.
 """
--- a/dewridge/tests/soak/__main__.py
+++ b/dewridge/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dewridge.tests.soak`: play seeds of the soak."""
+"""`python -m dewridge.tests.soak`: runs the soak test with given or random seeds."""
 
 import random
 import sys
@@ -24,17 +24,17 @@
     kept: Annotated[bool, typer.Option(help="The seeds that once failed.")] = False,
     folder: Annotated[Path, typer.Option(help="For logs.")] = Path("build/soak"),
 ) -> None:
-    """Play seeds one after the other; the status is 1 if a promise was broken."""
+    """Run seeds one after the other; exit with status 1 if a check failed."""
     first = seed or random.SystemRandom().randrange(1, 1_000_000)
     size = SoakSize(hosts=hosts, callers=callers, seconds=seconds, crashing=crashing)
-    planned_runs = [(number, size) for number in range(first, first + runs)]
+    planned_runs = [(run_seed, size) for run_seed in range(first, first + runs)]
     if kept:
         planned_runs = [(kept_seed.seed, kept_seed.size) for kept_seed in KEPT]
     has_violation = False
-    for number, run_size in planned_runs:
-        run_folder = folder / str(number)
+    for run_seed, run_size in planned_runs:
+        run_folder = folder / str(run_seed)
         run_folder.mkdir(parents=True, exist_ok=True)
-        result = trio.run(run_soak, number, run_size, run_folder)
+        result = trio.run(run_soak, run_seed, run_size, run_folder)
         print(result.format_line(), flush=True)
         has_violation |= bool(result.violations)
     sys.exit(int(has_violation))
--- a/dewridge/tests/soak/callers.py
+++ b/dewridge/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they ask for addresses, keep connections, and record answers."""
+"""Callers: they resolve host addresses, reuse connections and record responses."""
 
 import json
 import random
@@ -12,33 +12,36 @@
 from dewridge.tests.soak.records import History, RequestKind, SentRequest
 
 ADDRESS_LIST_TTL = 1.0
-"""Seconds that a list of addresses is kept; one caller in four keeps it thrice."""
+"""Seconds that a caller caches host addresses; one in four uses three times that."""
 MAX_REQUESTS_PER_CONNECTION = 6
-"""Requests on one connection before a caller opens another one."""
+"""Maximum requests that a caller sends on one connection."""
 REQUEST_TIMEOUTS = {
     RequestKind.READ: 2.0,
     RequestKind.WRITE: 2.0,
     RequestKind.CHAT: 6.0,
     RequestKind.DRAFT: 6.0,
 }
+"""Seconds after which a caller abandons a request; also sent as its deadline."""
 ABANDON_PROBABILITY = 0.03
-"""Part of the requests whose callers leave early."""
+"""Share of the requests that their caller abandons after 0.1 seconds."""
 STREAM_TOKENS = 100
+"""Quota tokens that a streaming request uses."""
 PLAIN_TOKENS = 10
+"""Quota tokens that a request without a stream uses."""
 
 
 @dataclass
 class Caller:
-    """One caller; sends one request after the other until told to stop.
+    """Sends one request after the other until it is cancelled.
 
     Attributes:
-        name: begins its requests' ids.
-        history: where it records.
-        find_directories: returns addresses that may know the hosts.
-        find_host: names the host of an address.
-        rng: its choices.
-        keys: account keys, by account.
-        pause: seconds between requests, on average.
+        name: prefix of the ids of its requests.
+        history: records its requests.
+        list_directory_addresses: returns the addresses that resolve host addresses.
+        get_host_name: returns the name of the host with a given address.
+        rng: random generator of its choices.
+        keys: account keys to choose from.
+        mean_pause: average seconds between requests.
     """
 
     name: str
@@ -53,7 +56,7 @@
     _request_count: int = 0
 
     async def run(self) -> None:
-        """Send for ever."""
+        """Send requests until cancelled."""
         address_ttl = ADDRESS_LIST_TTL * (3 if self.rng.random() < 0.25 else 1)
         while True:
             if time.monotonic() - self._resolved_at > address_ttl:
@@ -114,8 +117,8 @@
     history: History,
     timeout: float,
 ) -> bool:
-    """Send one request; returns whether the connection may be used again."""
-    data = _encode(state, request)
+    """Send a request and return whether the connection can be reused."""
+    data = _encode_request(state, request)
     request.sent_at = time.monotonic()
     history.requests[request.id] = request
     has_ended = False
@@ -135,7 +138,7 @@
     )
 
 
-def _encode(state: h11.Connection, request: SentRequest) -> bytes:
+def _encode_request(state: h11.Connection, request: SentRequest) -> bytes:
     head = h11.Request(
         method="POST",
         target=f"/{request.kind.value}/x",
@@ -156,7 +159,7 @@
 async def receive_response(
     stream: trio.SocketStream, state: h11.Connection, request: SentRequest
 ) -> None:
-    """Read one answer into the record."""
+    """Read a response and store it in the record of its request."""
     remainder = b""
     while True:
         try:
@@ -182,7 +185,7 @@
 
 
 def parse_event(raw: bytes) -> tuple[int, str, bool]:
-    """Return an event's number, owner and whether it is the last one."""
+    """Return an event's number, its request id and whether it is the last event."""
     lines = raw.decode().split("\n")
     number = int(lines[0].removeprefix("id: "))
     owner, _, last = lines[1].removeprefix("data: ").partition(" ")
@@ -190,7 +193,7 @@
 
 
 async def resolve_addresses(address: str) -> list[str]:
-    """Ask a host for addresses; none if it does not answer well."""
+    """Ask a host for host addresses; return an empty list if that fails."""
     host, _, port = address.rpartition(":")
     try:
         async with await trio.open_tcp_stream(host, int(port)) as stream:
--- a/dewridge/tests/soak/checks.py
+++ b/dewridge/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises, checked on what was recorded; each returns the broken ones as text."""
+"""Checks of the recorded history; each returns a text for every violation."""
 
 from collections import Counter, defaultdict
 
@@ -6,37 +6,38 @@
 from dewridge.tests.soak.records import Execution, History, SentRequest
 
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
-"""Answers that promise that the request has not run."""
+"""Status codes that guarantee that the request was not executed."""
 MAX_REVOCATION_DELAY = 5.0
-"""Seconds after which a key taken away must not work, on every host."""
+"""Seconds after which every host must reject a revoked key."""
 MAX_DEPARTURE_DELAY = 2.0
-"""Seconds after which a leaving server gets no new work from hosts in touch."""
+"""Seconds after which up-to-date hosts send no new work to a departing server."""
 HOST_SYNC_SECONDS = 3.0
-"""Seconds without a fault from which a host counts as in touch."""
+"""Seconds without a fault after which a host counts as up to date."""
 LEASE_SECONDS = 3.0
-"""Seconds in which two holders must not act by turns."""
+"""Minimum seconds between two calls of a holder if another called in between."""
 RECOVERY_SECONDS = 12.0
-"""Seconds after the last fault by which most requests are served again."""
+"""Seconds after the last fault by which most requests must succeed again."""
 MIN_SERVED_SHARE = 0.8
-"""Part of the requests that must be served after recovery."""
+"""Share of the requests that must succeed after recovery."""
 CRASH_THRESHOLD = 3
-"""Ends of servers after which a request must be known to cause them."""
+"""Server crashes under a request after which hosts must quarantine it."""
 MAX_LATE_ARRIVALS = 3
-"""Sendings of such a request that may still reach servers, once hosts must know."""
+"""Attempts that may still reach servers after hosts must quarantine the request."""
 QUOTA_WINDOW_SECONDS = 8.0
+"""Length of the sliding window in which the usage of an account is summed up."""
 FIRST_EVENT_NUMBER = 1
 QUARANTINED_CODE = ResultCode.REQUEST_SET_ASIDE.name.encode()
 
 
 def check_all(history: History, quotas: dict[str, float]) -> list[str]:
-    """Return all broken promises.
+    """Return all violations.
 
     Args:
-        history: what was recorded.
-        quotas: most units of each account in any `QUOTA_WINDOW`.
+        history: the records of the run.
+        quotas: maximum tokens of each account in any `QUOTA_WINDOW_SECONDS`.
     """
     return [
-        *check_answers(history),
+        *check_responses(history),
         *check_executions(history),
         *check_keys(history),
         *check_departing_servers(history),
@@ -48,8 +49,11 @@
     ]
 
 
-def check_answers(history: History) -> list[str]:
-    """Each caller gets its own whole answer, or one that does not look whole."""
+def check_responses(history: History) -> list[str]:
+    """Check that successful responses are signed, correct and complete.
+
+    A response that does not look complete to the caller may be truncated.
+    """
     violations = []
     for request in history.requests.values():
         if request.status == 200 and not request.is_signed:
@@ -82,7 +86,11 @@
 
 
 def check_executions(history: History) -> list[str]:
-    """What may not be repeated runs once; what is told as not run never runs."""
+    """Check that requests that are not retryable are executed at most once.
+
+    They must not be executed at all if the status says so, and no request may be
+    executed that no caller sent.
+    """
     counts = Counter(execution.id for execution in history.executions)
     violations = [
         f"{request_id}: nobody sent it"
@@ -109,7 +117,7 @@
 
 
 def check_keys(history: History) -> list[str]:
-    """A key that was taken away works nowhere after a time."""
+    """Check that no host accepts a revoked key after `MAX_REVOCATION_DELAY`."""
     violations = []
     for execution, request in _list_executions(history):
         revoked_at = history.key_revoked_at.get(request.key)
@@ -117,15 +125,15 @@
             revoked_at is not None
             and request.sent_at > revoked_at + MAX_REVOCATION_DELAY
         ):
-            late = request.sent_at - revoked_at
+            delay = request.sent_at - revoked_at
             violations.append(
-                f"{execution.id}: ran {late:.1f} s after its key was taken away"
+                f"{execution.id}: ran {delay:.1f} s after its key was taken away"
             )
     return violations
 
 
 def check_departing_servers(history: History) -> list[str]:
-    """A server that leaves gets no new work from hosts in touch."""
+    """Check that up-to-date hosts send no new work to a departing server."""
     violations = []
     for execution, request in _list_executions(history):
         departing_at = history.server_departing_at.get(execution.server)
@@ -137,15 +145,18 @@
         if not history.is_disturbed(
             request.host, departing_at - HOST_SYNC_SECONDS, execution.at
         ):
-            late = execution.at - departing_at
+            lag = execution.at - departing_at
             violations.append(
-                f"{execution.id}: reached {execution.server} {late:.1f} s after it left"
+                f"{execution.id}: reached {execution.server} {lag:.1f} s after it left"
             )
     return violations
 
 
 def check_interruptions(history: History) -> list[str]:
-    """A graceful stop, a reload or a change cuts no request off."""
+    """Check that requests are interrupted by unplanned faults only.
+
+    A graceful stop, a reload or a change of the configuration must not interrupt any.
+    """
     server_by_request = {
         execution.id: execution.server for execution in history.executions
     }
@@ -171,7 +182,11 @@
 
 
 def check_duties(history: History) -> list[str]:
-    """One holder at a time, growing numbers, one sum a window."""
+    """Check the calls of duty holders to the cloud API.
+
+    Each fencing token belongs to one holder, tokens never decrease, holders don't
+    alternate within `LEASE_SECONDS`, and all reports of a usage window are equal.
+    """
     violations = []
     by_subject = defaultdict(list)
     for call in history.duty_calls:
@@ -213,7 +228,7 @@
 
 
 def check_quotas(history: History, quotas: dict[str, float]) -> list[str]:
-    """No account gets more than its quota in any window, over all hosts."""
+    """Check that no account exceeds its quota in any window, summed over all hosts."""
     usage = defaultdict(list)
     for execution, request in _list_executions(history):
         usage[execution.account].append((execution.at, request.tokens))
@@ -231,9 +246,9 @@
 
 
 def check_recovery(history: History) -> list[str]:
-    """Some time after the last fault nearly all requests are served again."""
+    """Check that most requests succeed some time after the last fault."""
     begin = history.last_fault_end + RECOVERY_SECONDS
-    late = [
+    late_requests = [
         request
         for request in history.requests.values()
         if begin < request.sent_at < history.end - 2.0
@@ -241,14 +256,16 @@
         and request.status != 429
         and not request.crashes_servers
     ]
-    served = sum(request.status == 200 and request.is_complete for request in late)
-    if len(late) >= 20 and served < MIN_SERVED_SHARE * len(late):
-        return [f"{served} of {len(late)} served after recovery"]
+    served = sum(
+        request.status == 200 and request.is_complete for request in late_requests
+    )
+    if len(late_requests) >= 20 and served < MIN_SERVED_SHARE * len(late_requests):
+        return [f"{served} of {len(late_requests)} served after recovery"]
     return []
 
 
 def check_crashing_requests(history: History) -> list[str]:
-    """A request under which three servers ended is hardly sent to any further one."""
+    """Check that a request that crashed three servers hardly reaches another one."""
     crash_times = defaultdict(list)
     for crash in history.crashes:
         crash_times[crash.content].append(crash.at)
@@ -257,7 +274,7 @@
         if len(times) < CRASH_THRESHOLD:
             continue
         quarantined_by = sorted(times)[CRASH_THRESHOLD - 1] + HOST_SYNC_SECONDS
-        late = [
+        late_arrivals = [
             execution
             for execution, request in _list_arrivals(history)
             if request.content == content
@@ -269,8 +286,10 @@
                 include_server_faults=False,
             )
         ]
-        if len(late) > MAX_LATE_ARRIVALS:
-            violations.append(f"{content}: sent {len(late)} times, {len(times)} ended")
+        if len(late_arrivals) > MAX_LATE_ARRIVALS:
+            violations.append(
+                f"{content}: sent {len(late_arrivals)} times, {len(times)} ended"
+            )
     return violations
 
 
@@ -281,7 +300,7 @@
 
 
 def count_outcomes(history: History) -> dict[str, int]:
-    """Return how many requests ended how, for the run's line."""
+    """Return the number of requests by outcome, which the run prints in its line."""
     counts: Counter[str] = Counter()
     for request in history.requests.values():
         suffix = "" if request.is_complete else " cut"
--- a/dewridge/tests/soak/checks_tests.py
+++ b/dewridge/tests/soak/checks_tests.py
@@ -1,4 +1,4 @@
-"""The soak's own checks, on histories made by hand with one promise broken each."""
+"""Tests of the soak test's checks on handmade histories with one violation each."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 
 
 def make_history() -> History:
-    """Return a history in which all promises are kept."""
+    """Return a history without any violation."""
     history = History(end=100.0)
     for number, kind in enumerate(RequestKind):
         request_id = f"r-{number}"
@@ -42,7 +42,7 @@
 
 
 def find_request(history: History, kind: RequestKind) -> SentRequest:
-    """Return the request of a kind."""
+    """Return the first request of a kind."""
     return next(
         request for request in history.requests.values() if request.kind is kind
     )
@@ -52,7 +52,7 @@
     find_request(history, RequestKind.READ).is_signed = False
 
 
-def swap_answers(history: History) -> None:
+def return_other_response(history: History) -> None:
     find_request(history, RequestKind.READ).body = b"r-9"
 
 
@@ -137,7 +137,7 @@
 
 VIOLATIONS = (
     forge_success,
-    swap_answers,
+    return_other_response,
     drop_event,
     truncate_stream,
     execute_twice,
--- a/dewridge/tests/soak/crashing.py
+++ b/dewridge/tests/soak/crashing.py
@@ -1,4 +1,4 @@
-"""A caller whose request ends each server that runs it, sent again and again."""
+"""A caller that keeps retrying a request that crashes each server that runs it."""
 
 import random
 from dataclasses import dataclass
@@ -12,20 +12,20 @@
 from dewridge.tests.soak.stage import Gateway
 
 MEAN_PAUSE = 0.4
-"""Seconds between two sendings, on average."""
+"""Average seconds between two attempts."""
 
 
 @dataclass
 class CrashingCaller:
-    """Sends one request for ever, each time under a new id to any host.
+    """Retries one request until cancelled, each time with a new id and a random host.
 
     Attributes:
-        name: begins the ids, and tells this request from others of its kind.
-        kind: what is asked.
-        key: an account's key that is never taken away.
-        history: where it records.
+        name: prefix of the ids; part of the content, so that crashing requests differ.
+        kind: kind of the request.
+        key: account key that is never revoked.
+        history: records the attempts.
         gateways: the hosts to choose from.
-        rng: its choices.
+        rng: random generator of its choices.
     """
 
     name: str
@@ -37,7 +37,7 @@
     _request_count: int = 0
 
     async def run(self) -> None:
-        """Send for ever."""
+        """Send the request until cancelled."""
         while True:
             await trio.sleep(self.rng.expovariate(1 / MEAN_PAUSE))
             gateway = self.rng.choice(self.gateways)
--- a/dewridge/tests/soak/faults.py
+++ b/dewridge/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults and planned work, drawn from a seed; several may be at work at once."""
+"""Faults and planned operations, drawn from a seed; several may overlap."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -8,17 +8,23 @@
 
 from dewridge.tests.soak.links import Link, Mode
 from dewridge.tests.soak.servers import Mood
-from dewridge.tests.soak.stage import Gateway, SoakEnvironment, reload
+from dewridge.tests.soak.stage import Gateway, SoakEnvironment, reload_settings
 
 SHUTDOWN_GRACE = 8.0
-"""Seconds between asking a gateway to leave and killing it."""
+"""Seconds between asking a gateway to shut down and killing it."""
 RESTART_SECONDS = 2.0
-"""Seconds that a process needs to serve again."""
+"""Seconds until a killed gateway serves again."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """What happens, when and for how long; times in seconds from the start."""
+    """One fault or planned operation of a run.
+
+    Attributes:
+        name: key in `FAULTS`.
+        at: seconds from the start of the fault injection.
+        seconds: duration, for faults that last.
+    """
 
     name: str
     at: float
@@ -26,7 +32,7 @@
 
 
 async def kill_some(environment: SoakEnvironment, seconds: float) -> None:
-    """Kill one to all gateways at the same moment."""
+    """Kill one, two or all gateways at the same moment."""
     count = environment.rng.choice([1, 1, 2, len(environment.gateways)])
     for gateway in environment.rng.sample(environment.gateways, count):
         environment.record_disturbance(gateway.name, RESTART_SECONDS)
@@ -35,7 +41,7 @@
 
 
 async def freeze(environment: SoakEnvironment, seconds: float) -> None:
-    """Pause a gateway and let it go on with all its beliefs."""
+    """Pause a gateway and resume it, so that it continues with outdated state."""
     gateway = environment.rng.choice(environment.gateways)
     process = gateway.process
     environment.record_disturbance(gateway.name, seconds + 0.5)
@@ -46,13 +52,13 @@
 
 
 async def roll(environment: SoakEnvironment, seconds: float) -> None:
-    """Stop gateways one after the other as planned; they start again."""
+    """Stop two gateways gracefully, one after the other; they are restarted."""
     for gateway in environment.rng.sample(environment.gateways, 2):
         await stop_gateway(environment, gateway)
 
 
 async def stop_gateway(environment: SoakEnvironment, gateway: Gateway) -> None:
-    """Ask a gateway to leave, and kill it after the grace."""
+    """Ask a gateway to shut down, and kill it after `SHUTDOWN_GRACE`."""
     process = gateway.process
     if process is None:
         return
@@ -62,13 +68,13 @@
 
 
 async def reload_all(environment: SoakEnvironment, seconds: float) -> None:
-    """Tell all gateways that their settings changed."""
+    """Make all gateways reload their settings."""
     for gateway in environment.gateways:
-        reload(gateway)
+        reload_settings(gateway)
 
 
 async def disturb_store(environment: SoakEnvironment, seconds: float) -> None:
-    """Let every gateway's way to the store misbehave alike."""
+    """Disturb the links of all gateways to the store in the same way."""
     mode = environment.rng.choice([Mode.SILENT, Mode.RESET, Mode.SLOW, Mode.LOST_OPEN])
     environment.record_disturbance("", seconds)
     await _disturb_links(
@@ -77,7 +83,7 @@
 
 
 async def cut_off(environment: SoakEnvironment, seconds: float) -> None:
-    """Cut one gateway off the store."""
+    """Partition one gateway from the store."""
     gateway = environment.rng.choice(environment.gateways)
     mode = environment.rng.choice([Mode.SILENT, Mode.RESET, Mode.ONE_WAY])
     environment.record_disturbance(gateway.name, seconds)
@@ -85,7 +91,7 @@
 
 
 async def lose_answers(environment: SoakEnvironment, seconds: float) -> None:
-    """Let the store carry changes out and answer none of them."""
+    """Make the store execute changes without responding to them."""
     environment.record_disturbance("", seconds)
     environment.store.drops_responses = True
     await trio.sleep(seconds)
@@ -93,14 +99,14 @@
 
 
 async def compact(environment: SoakEnvironment, seconds: float) -> None:
-    """Let the store forget its history while things change."""
+    """Compact the history of the store right after a configuration change."""
     environment.record_disturbance("", 0.5)
     environment.write_configuration()
     environment.store.compact()
 
 
 async def disturb_server(environment: SoakEnvironment, seconds: float) -> None:
-    """Let the way to one server misbehave."""
+    """Disturb the link to one server."""
     server = environment.rng.choice(environment.servers)
     mode = environment.rng.choice(list(Mode))
     environment.record_disturbance("", seconds)
@@ -108,7 +114,7 @@
 
 
 async def spoil_server(environment: SoakEnvironment, seconds: float) -> None:
-    """Let one server answer badly while it looks well."""
+    """Make one server misbehave while its record still says that it is ready."""
     healthy_servers = environment.list_servers()
     if not healthy_servers:
         return
@@ -122,21 +128,21 @@
 
 
 async def replace_server(environment: SoakEnvironment, seconds: float) -> None:
-    """Replace a server as planned."""
+    """Replace a server gracefully."""
     healthy_servers = environment.list_servers()
     if healthy_servers:
         await environment.replace_server(environment.rng.choice(healthy_servers))
 
 
 async def change_configuration(environment: SoakEnvironment, seconds: float) -> None:
-    """Write versions in quick succession."""
+    """Write several configuration versions in quick succession."""
     for _ in range(environment.rng.randint(1, 5)):
         environment.write_configuration()
         await trio.sleep(0.2)
 
 
 async def revoke(environment: SoakEnvironment, seconds: float) -> None:
-    """Take a key away from connected callers."""
+    """Revoke an account key that callers are using."""
     environment.revoke_key()
 
 
@@ -170,7 +176,15 @@
 
 
 def draw_faults(rng: random.Random, seconds: float) -> list[Fault]:
-    """Draw the faults of a run: one each two seconds, series of some, overlapping."""
+    """Draw about one fault per two seconds; some come in series of three.
+
+    Args:
+        rng: generator seeded for the run.
+        seconds: duration of the fault injection.
+
+    Returns:
+        The faults in the order of their start times; they may overlap.
+    """
     drawn: list[Fault] = []
     while len(drawn) < seconds / 2:
         name = rng.choice(list(FAULTS))
@@ -182,7 +196,7 @@
 
 
 async def inject_faults(environment: SoakEnvironment, faults: list[Fault]) -> None:
-    """Let the faults happen at their times, side by side."""
+    """Start each fault at its time; faults run concurrently."""
     begin = trio.current_time()
     async with trio.open_nursery() as nursery:
         for fault in faults:
--- a/dewridge/tests/soak/links.py
+++ b/dewridge/tests/soak/links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections can be delayed, held, cut one way or reset."""
+"""A loopback proxy that can delay, block (also one way only) or reset connections."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,23 +8,27 @@
 from dewridge.tests.gateway.world import reset
 
 CHUNK_BYTES = 65_536
+"""Maximum bytes forwarded at once."""
 
 
 class Mode(Enum):
-    """What a link does with bytes."""
+    """How a link forwards bytes."""
 
     PASS = "pass"
     SLOW = "slow"
     SILENT = "silent"
+    """Nothing is forwarded until the mode changes."""
     ONE_WAY = "one way"
-    """Bytes go out, none come back."""
+    """Bytes from the client are forwarded; bytes from the target are blocked."""
     RESET = "reset"
+    """Open connections are reset when the mode is set, and new ones when accepted."""
     LOST_OPEN = "lost open"
-    """Connections open at the change stay silent for good; new ones work."""
+    """Connections open when the mode is set are blocked for good; new ones work."""
 
 
 SLOW_LINK_DELAY = 0.3
-"""Delay of each chunk of a slow link: a hundred times the usual answer of a store."""
+"""Seconds by which a slow link delays each chunk: a hundred times the usual response
+time of a store."""
 
 
 @dataclass
@@ -33,8 +37,8 @@
 
     Attributes:
         target: `a.b.c.d:port`.
-        address: where it listens; known after `start`.
-        mode: what it does now.
+        address: address that it listens on; empty until `start`.
+        mode: current mode.
     """
 
     target: str
@@ -44,12 +48,12 @@
     _connections: dict[int, tuple[trio.SocketStream, trio.SocketStream]] = field(
         default_factory=dict
     )
-    _last_number: int = 0
+    _last_connection_id: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
     _scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Listen."""
+        """Start to listen on a free port."""
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -60,14 +64,14 @@
             await trio.serve_listeners(self._forward, listeners)
 
     def close(self) -> None:
-        """Reset all connections and refuse new ones, as when a process ends."""
+        """Reset all connections and reject new ones, as if the target had crashed."""
         for streams in self._connections.values():
             for stream in streams:
                 reset(stream)
         self._scope.cancel()
 
     def set_mode(self, mode: Mode) -> None:
-        """Behave otherwise from now on."""
+        """Change the mode, also for open connections."""
         self.mode = mode
         self._changed.set()
         self._changed = trio.Event()
@@ -89,22 +93,26 @@
         except OSError:
             reset(client)
             return
-        self._last_number += 1
-        number = self._last_number
-        self._connections[number] = (client, server)
+        self._last_connection_id += 1
+        connection_id = self._last_connection_id
+        self._connections[connection_id] = (client, server)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._copy_bytes, number, client, server, True)
-                nursery.start_soon(self._copy_bytes, number, server, client, False)
+                nursery.start_soon(
+                    self._copy_bytes, connection_id, client, server, True
+                )
+                nursery.start_soon(
+                    self._copy_bytes, connection_id, server, client, False
+                )
         finally:
-            del self._connections[number]
-            self._stalled.discard(number)
+            del self._connections[connection_id]
+            self._stalled.discard(connection_id)
             reset(server)
             reset(client)
 
     async def _copy_bytes(
         self,
-        number: int,
+        connection_id: int,
         source: trio.SocketStream,
         sink: trio.SocketStream,
         is_outbound: bool,
@@ -112,7 +120,7 @@
         try:
             while True:
                 data = await source.receive_some(CHUNK_BYTES)
-                await self._delay(number, is_outbound)
+                await self._delay(connection_id, is_outbound)
                 if not data:
                     await sink.send_eof()
                     return
@@ -121,10 +129,10 @@
             reset(sink)
             reset(source)
 
-    async def _delay(self, number: int, is_outbound: bool) -> None:
+    async def _delay(self, connection_id: int, is_outbound: bool) -> None:
         if self.mode is Mode.SLOW:
             await trio.sleep(SLOW_LINK_DELAY)
-        while number in self._stalled or self._is_blocked(is_outbound):
+        while connection_id in self._stalled or self._is_blocked(is_outbound):
             await self._changed.wait()
 
     def _is_blocked(self, is_outbound: bool) -> bool:
--- a/dewridge/tests/soak/records.py
+++ b/dewridge/tests/soak/records.py
@@ -1,11 +1,11 @@
-"""What callers, servers, the cloud API and the store's stand-in saw, as records."""
+"""Records of what callers, servers and the cloud API stand-in saw."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class RequestKind(Enum):
-    """Kinds of requests that the soak sends."""
+    """Kinds of requests that the soak test sends; the value is the path prefix."""
 
     READ = "read"
     WRITE = "write"
@@ -14,35 +14,35 @@
 
     @property
     def is_retryable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether a request of this kind may be executed more than once."""
         return self in {RequestKind.READ, RequestKind.CHAT}
 
     @property
     def is_stream(self) -> bool:
-        """Whether it is answered by events."""
+        """Whether the response is a stream of events."""
         return self in {RequestKind.CHAT, RequestKind.DRAFT}
 
 
 @dataclass
 class SentRequest:
-    """One request as its caller saw it; times in seconds of the soak's clock.
+    """One request as its caller saw it; times in seconds of the monotonic clock.
 
     Attributes:
-        id: unique.
-        kind: what was asked.
+        id: unique id of the attempt.
+        kind: kind of the request.
         host: entry host that it was sent to.
-        key: account key sent along.
-        tokens: units of quota.
-        sent_at: when its last byte was sent.
-        ended_at: when its answer or connection ended; None if still open at the end.
-        status: of the answer; 0 if none came.
-        is_signed: whether the answer bore a server's signature.
-        is_whole: whether the answer ended as complete.
-        body: a plain answer's body.
-        events: (number, owner, is the last one) of each event.
-        has_left: whether the caller gave up by itself.
-        content: path, account and body; the same for repeats of one request.
-        crashes: whether it ends each server that begins to run it.
+        key: account key of the request.
+        tokens: quota tokens that it uses.
+        sent_at: when the caller began to send it.
+        ended_at: when its response or connection ended; None if still open at the end.
+        status: status code of the response; 0 if there was none.
+        is_signed: whether the response had a server's signature.
+        is_complete: whether the response was received to its end.
+        body: body of the response.
+        events: (number, request id, whether it is the last one) of each event.
+        is_abandoned: whether the caller stopped waiting for the response.
+        content: body of the request; the same for retries of one request.
+        crashes_servers: whether it crashes each server that begins to execute it.
     """
 
     id: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Execution:
-    """A server began to work on a request."""
+    """The start of a request on a server; `at` is a monotonic time in seconds."""
 
     id: str
     server: str
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """A server ended under a request; `content` names what it was."""
+    """A crash of a server while it executed a request with this content."""
 
     content: str
     server: str
@@ -83,7 +83,15 @@
 
 @dataclass(frozen=True)
 class DutyCall:
-    """A call of the cloud API."""
+    """A call of the cloud API by a duty holder.
+
+    Attributes:
+        holder: host that made the call.
+        fencing_token: token of the holder's lease.
+        subject: usage window or server group that the call is about.
+        counts: reported or ordered counts, as text.
+        at: monotonic time of the call.
+    """
 
     holder: str
     fencing_token: int
@@ -94,9 +102,9 @@
 
 @dataclass(frozen=True)
 class Disturbance:
-    """A time in which a fault was at work; `host` is empty for all hosts.
+    """A period in which a fault was active; `host` is empty for all hosts.
 
-    `spares_hosts` says that it touched servers only: the hosts stay in touch.
+    `affects_servers_only` means that hosts still reach the store and each other.
     """
 
     host: str
@@ -108,19 +116,19 @@
 
 @dataclass
 class History:
-    """All that one run of the soak recorded.
+    """All records of one run of the soak test.
 
     Attributes:
-        sent: requests by id.
-        runs: what servers began to work on.
-        arrivals: sendings of crashing requests that reached a server, run or not.
-        crashes: ends of servers under such a request.
-        calls: calls of the cloud API.
-        disturbances: when faults were at work, those of planned work included.
-        revoked: when the removal of a key was acknowledged.
-        left: when a server's leaving was acknowledged.
-        final_fault_end: end of the last fault.
-        end: when callers stopped.
+        requests: requests by id.
+        executions: requests that servers began to execute.
+        arrivals: attempts of crashing requests that reached a server, executed or not.
+        crashes: server crashes caused by such requests.
+        duty_calls: calls of the cloud API.
+        disturbances: periods of faults and of planned operations.
+        key_revoked_at: when the store acknowledged the removal of a key.
+        server_departing_at: when the store acknowledged that a server is draining.
+        last_fault_end: end of the last fault.
+        end: end of the observed period; later interruptions are ignored.
     """
 
     requests: dict[str, SentRequest] = field(default_factory=dict)
@@ -137,7 +145,7 @@
     def is_disturbed(
         self, host: str, begin: float, end: float, *, include_server_faults: bool = True
     ) -> bool:
-        """Whether an unplanned fault touched a host or all hosts in a time."""
+        """Whether an unplanned fault affected the host, or all hosts, in a period."""
         return any(
             not disturbance.is_planned
             and (include_server_faults or not disturbance.affects_servers_only)
--- a/dewridge/tests/soak/runs.py
+++ b/dewridge/tests/soak/runs.py
@@ -1,4 +1,4 @@
-"""One run of the soak from a seed, and its line."""
+"""One run of the soak test from a seed, and the line that it prints."""
 
 import json
 import random
@@ -16,38 +16,38 @@
 from dewridge.tests.soak.stage import QUOTAS, SoakEnvironment
 
 WARM_UP_SECONDS = 4.0
-"""Seconds from the start of the processes until callers begin."""
+"""Seconds from the start of the gateways until callers start."""
 FAULT_FREE_SECONDS = RECOVERY_SECONDS + 6.0
-"""Seconds of calm after the last fault, in which nearly all must be served."""
+"""Seconds without faults at the end, in which most requests must succeed again."""
 MEAN_PAUSE = 0.15
-"""Seconds between a caller's requests, on average."""
+"""Average seconds between two requests of a caller."""
 
 
 @dataclass(frozen=True)
 class SoakSize:
-    """How large a run is."""
+    """Size of a run; `seconds` is the duration of the fault injection."""
 
     hosts: int = 4
     servers: int = 6
     callers: int = 12
     seconds: float = 20.0
     crashing: int = 0
-    """Requests that end each server that begins to run them."""
+    """Number of requests that crash each server that begins to execute them."""
 
 
 @dataclass
 class SoakResult:
-    """What came of a run."""
+    """Result of a run."""
 
     seed: int
     violations: list[str]
     faults: list[str] = field(default_factory=list)
     outcomes: dict[str, int] = field(default_factory=dict)
     stalls: list[float] = field(default_factory=list)
-    """Seconds of each stall of the soak's own process."""
+    """Seconds of each stall of the process of the soak test."""
 
     def format_line(self) -> str:
-        """Return the line that a run prints."""
+        """Return the JSON line that a run prints."""
         verdict = "broken" if self.violations else "kept"
         return json.dumps(
             {
@@ -62,12 +62,12 @@
 
 
 async def run_soak(seed: int, size: SoakSize, folder: Path) -> SoakResult:
-    """Play one seed.
+    """Run the soak test with one seed.
 
     Args:
-        seed: draws the faults, the callers' choices and all victims.
-        size: how large.
-        folder: where settings and logs go; it exists.
+        seed: seeds the choice of faults, of their targets and of requests.
+        size: size of the run.
+        folder: existing folder for settings and logs.
     """
     rng = random.Random(seed)
     faults = draw_faults(rng, size.seconds)
@@ -96,7 +96,7 @@
 
 
 def start_callers(environment: SoakEnvironment, size: SoakSize) -> None:
-    """Let callers begin."""
+    """Start the callers."""
     host_by_address = {
         gateway.caller_address: gateway.name for gateway in environment.gateways
     }
@@ -119,10 +119,10 @@
 def start_crashing_callers(
     environment: SoakEnvironment, size: SoakSize, rng: random.Random
 ) -> None:
-    """Let callers with crashing requests begin.
+    """Start the callers that send crashing requests.
 
-    They draw from a generator of their own, so that a seed plays the same faults with
-    and without them.
+    They use a separate random generator, so that a seed gives the same faults with and
+    without them.
     """
     for number in range(size.crashing):
         caller = CrashingCaller(
--- a/dewridge/tests/soak/seeds.py
+++ b/dewridge/tests/soak/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds that once failed, each with its size and what was found."""
+"""Seeds that failed once, with the size of their run and the cause of the failure."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class KeptSeed:
-    """A seed to play again as it was."""
+    """A seed to run again with the same size, as a regression test."""
 
     seed: int
     size: SoakSize
--- a/dewridge/tests/soak/servers.py
+++ b/dewridge/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers of the soak: they record what they run, and misbehave when told."""
+"""Backend servers that record the requests they execute and can misbehave."""
 
 import json
 import time
@@ -15,38 +15,44 @@
 from dewridge.tests.soak.records import Crash, Execution, History
 
 CRASH_BODY_PREFIX = b"crash "
-"""How a body begins that ends each server that begins to run it."""
+"""Prefix of a request body that crashes each server that begins to execute it."""
 CRASH_DELAY = 0.05
-"""Seconds from the begin of such a run to the server's end."""
+"""Seconds from the start of such a request to the crash of the server."""
 PLAIN_RESPONSE_SECONDS = 0.015
+"""Seconds until a server responds to a request without a stream."""
 EVENT_INTERVAL = 0.04
+"""Seconds before each event of a stream."""
 EVENTS_PER_STREAM = 12
-"""Events of a stream: half a second in all, so that faults meet many of them."""
+"""Events of a stream, which takes half a second, so that faults hit many streams."""
 
 
 class Mood(Enum):
-    """How a server answers."""
+    """How a server responds."""
 
     GOOD = "good"
     FAILING = "failing"
     HANGING = "hanging"
     CUTTING = "cutting"
-    """It breaks off in the middle."""
+    """Resets the connection in the middle of the response."""
     REPEATING = "repeating"
-    """It sends a second answer where the next one is due."""
+    """Sends a plain response again where the next response is expected."""
     FULL = "full"
+    """Rejects requests with status 503 and does not execute them."""
 
 
 @dataclass
 class SoakServer:
-    """One start of a backend server behind a link of its own.
+    """One incarnation of a backend server behind its own link.
 
     Attributes:
         id: new at each start.
-        service: what it serves.
-        history: where it records what it runs.
-        mood: how it answers now.
-        on_crash: told when it ends under a request.
+        service: name of the service.
+        history: records the requests that it executes.
+        mood: how it currently responds.
+        is_draining: whether its record says that it departs.
+        is_registered: whether it has a record in the store.
+        link: proxy in front of it.
+        on_crash: called when it crashes under a request.
     """
 
     id: str
@@ -59,7 +65,7 @@
     on_crash: Callable[["SoakServer"], None] = lambda server: None
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Listen, and open the link."""
+        """Start the server and its link."""
         server = ScriptedServer(BackendServerId(self.id), self._handle_request)
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
@@ -68,7 +74,7 @@
         await self.link.start(nursery)
 
     def write_record(self, store: MemoryStore) -> None:
-        """Write this server's record as it is now, or take it away."""
+        """Write this server's current record to the store, or remove it."""
         key = f"servers/{self.id}"
         if not self.is_registered:
             store.remove(key)
--- a/dewridge/tests/soak/soak_tests.py
+++ b/dewridge/tests/soak/soak_tests.py
@@ -1,4 +1,4 @@
-"""A short run of the soak with a fixed seed: real processes, kept promises."""
+"""Short runs of the soak test with fixed seeds and real gateway processes."""
 
 from pathlib import Path
 
@@ -7,7 +7,8 @@
 from dewridge.tests.soak.runs import SoakSize, run_soak
 
 RANDOM_FAULTS_SEED = 7
-SECONDS = 6.0
+FAULT_SECONDS = 6.0
+"""Duration of the fault injection."""
 
 
 CRASHING_SEED = 29
@@ -17,8 +18,8 @@
 async def test_crashing_request_crashes_few_servers(
     tmp_path: Path,
 ) -> None:
-    """One request ends each server that begins to run it, and comes again anywhere."""
-    size = SoakSize(hosts=4, servers=8, callers=6, seconds=SECONDS, crashing=1)
+    """A request crashes each server that executes it and is retried at any host."""
+    size = SoakSize(hosts=4, servers=8, callers=6, seconds=FAULT_SECONDS, crashing=1)
     result = await run_soak(CRASHING_SEED, size, tmp_path)
     assert result.violations == []
     assert result.outcomes["servers ended"] >= 3
@@ -26,8 +27,8 @@
 
 @pytest.mark.timeout(90)
 async def test_guarantees_hold_under_random_faults(tmp_path: Path) -> None:
-    """Faults and planned work overlap on real processes for some seconds."""
-    size = SoakSize(hosts=3, servers=4, callers=8, seconds=SECONDS)
+    """Faults and planned operations overlap for some seconds."""
+    size = SoakSize(hosts=3, servers=4, callers=8, seconds=FAULT_SECONDS)
     result = await run_soak(RANDOM_FAULTS_SEED, size, tmp_path)
     assert result.violations == []
     assert result.outcomes.get("200", 0) > 100
--- a/dewridge/tests/soak/stage.py
+++ b/dewridge/tests/soak/stage.py
@@ -1,4 +1,4 @@
-"""All parts of one soak: stand-ins, servers, gateways as processes, records."""
+"""Environment of a run: stand-ins, servers, gateway processes and records."""
 
 import json
 import os
@@ -19,38 +19,43 @@
 from dewridge.tests.soak.standins import StoreStandIn, build_cloud_app
 
 RESTART_DELAY = 0.3
-"""Seconds until an ended process is started again."""
-RECORD_PERIOD = 1.2
-"""Seconds between two writes of a server's record."""
+"""Seconds until a gateway process that ended is restarted."""
+RECORD_CHECK_PERIOD = 1.2
+"""Seconds between two checks that restore missing records of servers."""
 CALL_RETRY_SECONDS = 1.0
-"""Seconds after a stall in which calls that timed out are made again."""
+"""Seconds after a stall in which calls that timed out are retried."""
 STALL_CHECK_PERIOD = 0.1
-"""Seconds between two looks at whether this process itself keeps pace."""
+"""Seconds between two checks for a stall of this process."""
 MIN_STALL_SECONDS = 0.5
-"""Seconds by which a look may be late; the store's stand-in runs in this process, and
-later than that its callers give their calls up."""
+"""Seconds by which a check may be late before it counts as a stall. The store stand-in
+runs in this process, and its clients time out after longer delays."""
 CRASH_RESTART_DELAY = 2.0
-"""Seconds until a server that ended is back as a new start."""
+"""Seconds until a crashed server is replaced by a new incarnation."""
 RECORD_EXPIRY_SECONDS = 3.6
-"""Seconds until the record of a server that ended lapses."""
+"""Seconds until the record of a crashed server expires."""
 CRASH_IMPACT_SECONDS = 1.0
-"""Seconds in which requests may be cut off by a server's end, or find too few."""
+"""Seconds after the restart in which the crash may still interrupt requests or leave
+too few servers for them."""
 DEPARTURE_SECONDS = 3.0
-"""Seconds that a leaving server still serves."""
+"""Seconds that a departing server still serves."""
 QUOTA_RATE = 3_000.0
+"""Tokens per second of each account."""
 QUOTA_BURST = 6_000.0
+"""Tokens that an account may use at once."""
 QUOTA_SLACK = 4_000.0
+"""Tokens beyond the quota that the gateways may admit in a window."""
 QUOTA_OVERRUN = 0.1
+"""Share of the quota by which the gateways may exceed it."""
 ACCOUNTS = ("account-a", "account-b")
 QUOTAS = dict.fromkeys(
     ACCOUNTS, (QUOTA_RATE * 8 + QUOTA_BURST) * (1 + QUOTA_OVERRUN) + QUOTA_SLACK
 )
-"""Most tokens of each account in any eight seconds."""
+"""Maximum tokens of each account in any eight seconds."""
 
 
 @dataclass
 class Gateway:
-    """One entry host: its settings, its way to the store, its process."""
+    """An entry host: its settings file, ports, link to the store, and process."""
 
     name: str
     settings_path: Path
@@ -61,18 +66,31 @@
 
     @property
     def caller_address(self) -> str:
-        """Address for callers."""
+        """Address that accepts requests of callers."""
         return f"127.0.0.1:{self.ports[0]}"
 
     @property
     def directory_address(self) -> str:
-        """Address for questions which hosts to use."""
+        """Address that resolves the addresses of the hosts."""
         return f"127.0.0.1:{self.ports[2]}"
 
 
 @dataclass
 class SoakEnvironment:
-    """What a fault may act on."""
+    """All parts of a run, which faults act on.
+
+    Attributes:
+        rng: generator from which faults and callers are drawn.
+        folder: folder for settings and logs.
+        nursery: runs all background tasks.
+        history: records of the run.
+        store: stand-in of the platform's store.
+        gateways: entry hosts.
+        servers: backend servers that have neither crashed nor departed.
+        keys: account keys that are not revoked, by account.
+        written_version: version of the last configuration written.
+        stalls: seconds of each stall of this process.
+    """
 
     rng: random.Random
     folder: Path
@@ -87,7 +105,7 @@
     _server_count: int = 0
 
     async def start(self, hosts: int, servers: int) -> None:
-        """Start all."""
+        """Start the stand-ins, the servers and the gateways."""
         self.nursery.start_soon(self.store.record_snapshots)
         cloud = Listener(build_cloud_app(self.history))
         await self.nursery.start(self.store.listener.run)
@@ -101,11 +119,11 @@
         self.nursery.start_soon(self._restore_records)
         self.nursery.start_soon(self._record_stalls)
         for number in range(hosts):
-            await self._open_gateway(f"host-{number}", cloud.address)
+            await self._add_gateway(f"host-{number}", cloud.address)
         for gateway in self.gateways:
             self.nursery.start_soon(self._supervise_gateway, gateway)
 
-    async def _open_gateway(self, name: str, cloud: str) -> None:
+    async def _add_gateway(self, name: str, cloud_address: str) -> None:
         link = Link(self.store.listener.address)
         await link.start(self.nursery)
         ports = choose_ports(5)
@@ -126,7 +144,7 @@
                 "operations": f"127.0.0.1:{ports[3]}",
                 "peer_ports": [ports[4], ports[4]],
             },
-            "services": {"store": link.address, "cloud": cloud},
+            "services": {"store": link.address, "cloud": cloud_address},
             "bounds": {
                 "quota_slack": QUOTA_SLACK,
                 "quota_overrun": QUOTA_OVERRUN,
@@ -145,13 +163,13 @@
             await trio.sleep(RESTART_DELAY)
 
     def _clear_first_start(self, gateway: Gateway) -> None:
-        # The settings of a later start say that others ran before.
+        # Later starts must not claim to be the first start of the host.
         settings = json.loads(gateway.settings_path.read_text())
         settings["host"]["is_first_start"] = False
         gateway.settings_path.write_text(json.dumps(settings))
 
     def write_configuration(self) -> None:
-        """Write the next version as the operator does."""
+        """Write the next configuration version to the store, as the operator does."""
         self.written_version += self.rng.randint(1, 3)
         routes = [
             make_route("read", "idempotent", "plain", 2),
@@ -193,7 +211,10 @@
         self.store.memory_store.write("op/config", json.dumps(document).encode())
 
     def revoke_key(self) -> None:
-        """Take a key away; the store's word counts from now."""
+        """Revoke a key of a random account if the account has more than two.
+
+        It counts as revoked as soon as the store has acknowledged the change.
+        """
         account = self.rng.choice(ACCOUNTS)
         if len(self.keys[account]) > 2:
             key = self.keys[account].pop()
@@ -201,7 +222,7 @@
             self.history.key_revoked_at[key] = time.monotonic()
 
     async def add_server(self, service: str) -> None:
-        """Start a server and list it."""
+        """Start a server and write its record."""
         self._server_count += 1
         server = SoakServer(f"{service}-{self._server_count}", service, self.history)
         server.on_crash = lambda crashed: self.nursery.start_soon(
@@ -212,7 +233,7 @@
         self.servers.append(server)
 
     async def _replace_crashed_server(self, server: SoakServer) -> None:
-        """Bring a server that ended back as a new start; its record lapses later."""
+        """Start a new incarnation of a crashed server; its old record expires later."""
         if server not in self.servers:
             return
         self.servers.remove(server)
@@ -226,7 +247,7 @@
         server.write_record(self.store.memory_store)
 
     async def replace_server(self, server: SoakServer) -> None:
-        """Let a server leave as planned, a new one first."""
+        """Start a replacement of a server, then drain and deregister the server."""
         await self.add_server(server.service)
         await trio.sleep(0.5)
         server.is_draining = True
@@ -240,16 +261,16 @@
 
     async def _restore_records(self) -> None:
         while True:
-            await trio.sleep(RECORD_PERIOD)
+            await trio.sleep(RECORD_CHECK_PERIOD)
             for server in self.servers:
                 if f"servers/{server.id}" not in self.store.memory_store.data.items:
                     server.write_record(self.store.memory_store)
 
     async def _record_stalls(self) -> None:
-        """Record stalls of this process: all its stand-ins are away meanwhile.
+        """Record stalls of this process as faults that affect all hosts.
 
-        On a busy machine the whole soak can stand still for seconds. All gateways then
-        lose the store at the same moment, without a fault that was drawn.
+        On a busy machine this process can stall for seconds, and all its stand-ins
+        with it. All gateways then lose the store at once without any drawn fault.
         """
         while True:
             begin = time.monotonic()
@@ -263,7 +284,7 @@
                 self.stalls.append(round(delay, 2))
 
     def list_servers(self, mood: Mood = Mood.GOOD) -> list[SoakServer]:
-        """Return the servers in a mood that don't leave."""
+        """Return the servers with a mood that are not draining."""
         return [
             server
             for server in self.servers
@@ -278,7 +299,7 @@
         is_planned: bool = False,
         affects_servers_only: bool = False,
     ) -> None:
-        """Record that a fault is at work from now on."""
+        """Record that a fault is active from now on, for `seconds`."""
         now = time.monotonic()
         disturbance = Disturbance(
             host, now, now + seconds, is_planned, affects_servers_only
@@ -287,7 +308,7 @@
         self.history.last_fault_end = max(self.history.last_fault_end, disturbance.end)
 
     async def close(self) -> None:
-        """End the gateways by their ids."""
+        """Kill the gateways by process id; they are not restarted."""
         with trio.CancelScope(shield=True):
             for gateway in self.gateways:
                 gateway.should_restart = False
@@ -300,7 +321,7 @@
 def make_route(
     name: str, kind: str, service: str, attempts: int
 ) -> dict[str, str | int]:
-    """Return a route as the operator writes it."""
+    """Return a route in the format that the operator writes."""
     return {
         "name": name,
         "hostname": "example.test",
@@ -316,7 +337,7 @@
 
 
 async def start_gateway(gateway: Gateway, folder: Path) -> Process:
-    """Start a gateway's process; its log goes on in one file."""
+    """Start a gateway's process; it appends to the gateway's log file."""
     log_path = folder / f"{gateway.name}.log"
     with log_path.open("ab") as log_file:
         handle = await trio.lowlevel.open_process(
@@ -328,7 +349,7 @@
     return Process(gateway.name, handle, log_path, {})
 
 
-def reload(gateway: Gateway) -> None:
-    """Tell a gateway that its settings changed."""
+def reload_settings(gateway: Gateway) -> None:
+    """Send a gateway the signal to reload its settings."""
     if gateway.process is not None and gateway.process.is_running:
         os.kill(gateway.process.handle.pid, signal.SIGHUP)
--- a/dewridge/tests/soak/standins.py
+++ b/dewridge/tests/soak/standins.py
@@ -1,4 +1,4 @@
-"""The platform's store and cloud API as HTTP stand-ins over the store in memory."""
+"""HTTP stand-ins of the platform's store and cloud API, on an in-memory store."""
 
 import time
 from collections import deque
@@ -23,16 +23,18 @@
 
 
 STALE_READ_LAG = 3.0
-"""Seconds by which reads that may lag do."""
+"""Seconds by which reads that allow stale data lag behind."""
 SNAPSHOT_PERIOD = 0.25
+"""Seconds between two snapshots for stale reads."""
 
 
 class StoreStandIn:
-    """The store; the operator and servers write to `store` directly.
+    """The store; the operator and servers write to `memory_store` directly.
 
     Attributes:
-        store: what it holds.
-        loses_answers: whether changes are carried out and never answered.
+        memory_store: contents of the store.
+        drops_responses: whether changes are executed without a response.
+        listener: HTTP server of the store.
     """
 
     def __init__(self) -> None:
@@ -43,12 +45,12 @@
         self.listener = Listener(build_store_app(self))
 
     def compact(self) -> None:
-        """Drop the history up to now."""
+        """Drop the history of changes up to the current revision."""
         self._compacted_at = self.memory_store.data.revision
         self.memory_store.data.changes.clear()
 
     async def record_snapshots(self) -> None:
-        """Keep copies of what the store held, for reads that may lag."""
+        """Record snapshots of the store for stale reads until cancelled."""
         while True:
             data = self.memory_store.data
             self._snapshots.append(
@@ -58,19 +60,19 @@
                 self._snapshots.popleft()
             await trio.sleep(SNAPSHOT_PERIOD)
 
-    def list_stale(self, prefix: str) -> Listing:
-        """Return what was under a prefix `LAG` seconds ago."""
+    def list_stale_items(self, prefix: str) -> Listing:
+        """Return the items under a prefix as of `STALE_READ_LAG` seconds ago."""
         _, items, revision = self._snapshots[0]
         found = [item for key, item in sorted(items.items()) if key.startswith(prefix)]
         return Listing(tuple(found), revision)
 
     def has_history(self, after: int) -> bool:
-        """Whether changes past a revision are still known."""
+        """Whether the history still has all changes after a revision."""
         return after >= self._compacted_at
 
 
 def build_store_app(stand_in: StoreStandIn) -> QuartTrio:
-    """Return the store's calls."""
+    """Return an app with the store's HTTP API."""
     app = make_app("store")
     store = stand_in.memory_store
 
@@ -86,7 +88,7 @@
         prefix = request.args["path_prefix"]
         listing: Listing | Failure
         if "stale_ok" in request.args:
-            listing = stand_in.list_stale(prefix)
+            listing = stand_in.list_stale_items(prefix)
         else:
             listing = await store.list_items(prefix)
         if isinstance(listing, Failure):
@@ -98,8 +100,8 @@
         after = int(request.args["after"])
         if not stand_in.has_history(after):
             return reply({}, 410)
-        wait = int(request.args["wait_ms"]) / 1000
-        update = await store.watch(request.args["path_prefix"], after, wait)
+        wait_seconds = int(request.args["wait_ms"]) / 1000
+        update = await store.watch(request.args["path_prefix"], after, wait_seconds)
         if isinstance(update, Failure):
             return reply({}, 503)
         return reply({"events": update.items, "current_rev": update.revision})
@@ -140,14 +142,14 @@
 
 
 def make_lease_reply(lease: Lease | Failure) -> Response:
-    """Answer a grant or a renewal."""
+    """Return the response to the grant or renewal of a lease."""
     if isinstance(lease, Failure):
         return reply({}, STATUS_BY_CODE.get(lease.code, 503))
     return reply({"lease": lease.id, "ttl_ms": round(lease.ttl * 1000)})
 
 
 def build_cloud_app(history: History) -> QuartTrio:
-    """Return the cloud API's calls; each is recorded and accepted."""
+    """Return an app with the cloud API, which records and accepts each call."""
     app = make_app("cloud")
 
     async def record_call(subject: str, body: dict[str, Any]) -> Response:
