--- a/dewridge/tests/soak/checks.py
+++ b/dewridge/tests/soak/checks.py
@@ -22,7 +22,7 @@
 CRASH_THRESHOLD = 3
 """Server crashes under a request after which hosts must quarantine it."""
 MAX_LATE_ARRIVALS = 3
-"""Attempts that may still reach servers after hosts must quarantine the request."""
+"""Attempts in flight that may reach servers after hosts must quarantine a request."""
 QUOTA_WINDOW_SECONDS = 8.0
 """Length of the sliding window in which the usage of an account is summed up."""
 FIRST_EVENT_NUMBER = 1
--- a/dewridge/tests/soak/soak_tests.py
+++ b/dewridge/tests/soak/soak_tests.py
@@ -18,7 +18,10 @@
 async def test_crashing_request_crashes_few_servers(
     tmp_path: Path,
 ) -> None:
-    """A request crashes each server that executes it and is retried at any host."""
+    """A request that crashes each server and is retried at any host is quarantined.
+
+    Otherwise its retries would crash one server after the other.
+    """
     size = SoakSize(hosts=4, servers=8, callers=6, seconds=FAULT_SECONDS, crashing=1)
     result = await run_soak(CRASHING_SEED, size, tmp_path)
     assert result.violations == []
@@ -27,7 +30,7 @@
 
 @pytest.mark.timeout(90)
 async def test_guarantees_hold_under_random_faults(tmp_path: Path) -> None:
-    """Faults and planned operations overlap for some seconds."""
+    """Faults and planned operations that overlap for seconds cause no violation."""
     size = SoakSize(hosts=3, servers=4, callers=8, seconds=FAULT_SECONDS)
     result = await run_soak(RANDOM_FAULTS_SEED, size, tmp_path)
     assert result.violations == []
