--- a/dewridge/tests/soak/__main__.py
+++ b/dewridge/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dewridge.tests.soak`: play seeds of the soak."""
+"""`python -m dewridge.tests.soak`: runs the soak test with given or random seeds."""
 
 import random
 import sys
@@ -8,7 +8,7 @@
 import trio
 import typer
 
-from dewridge.tests.soak.runs import Size, run_soak
+from dewridge.tests.soak.runs import SoakSize, run_soak
 from dewridge.tests.soak.seeds import KEPT
 
 
@@ -24,20 +24,20 @@
     kept: Annotated[bool, typer.Option(help="The seeds that once failed.")] = False,
     folder: Annotated[Path, typer.Option(help="For logs.")] = Path("build/soak"),
 ) -> None:
-    """Play seeds one after the other; the status is 1 if a promise was broken."""
+    """Run seeds one after the other; exit with status 1 if a check failed."""
     first = seed or random.SystemRandom().randrange(1, 1_000_000)
-    size = Size(hosts=hosts, callers=callers, seconds=seconds, crashing=crashing)
-    plays = [(number, size) for number in range(first, first + runs)]
+    size = SoakSize(hosts=hosts, callers=callers, seconds=seconds, crashing=crashing)
+    planned_runs = [(run_seed, size) for run_seed in range(first, first + runs)]
     if kept:
-        plays = [(one.seed, one.size) for one in KEPT]
-    is_broken = False
-    for number, own_size in plays:
-        own_folder = folder / str(number)
-        own_folder.mkdir(parents=True, exist_ok=True)
-        result = trio.run(run_soak, number, own_size, own_folder)
+        planned_runs = [(kept_seed.seed, kept_seed.size) for kept_seed in KEPT]
+    has_violation = False
+    for run_seed, run_size in planned_runs:
+        run_folder = folder / str(run_seed)
+        run_folder.mkdir(parents=True, exist_ok=True)
+        result = trio.run(run_soak, run_seed, run_size, run_folder)
         print(result.format_line(), flush=True)
-        is_broken |= bool(result.broken)
-    sys.exit(int(is_broken))
+        has_violation |= bool(result.violations)
+    sys.exit(int(has_violation))
 
 
 if __name__ == "__main__":
--- a/dewridge/tests/soak/soak_tests.py
+++ b/dewridge/tests/soak/soak_tests.py
@@ -1,33 +1,37 @@
-"""A short run of the soak with a fixed seed: real processes, kept promises."""
+"""Short runs of the soak test with fixed seeds and real gateway processes."""
 
 from pathlib import Path
 
 import pytest
 
-from dewridge.tests.soak.runs import Size, run_soak
+from dewridge.tests.soak.runs import SoakSize, run_soak
 
-SEED = 7
-SECONDS = 6.0
+RANDOM_FAULTS_SEED = 7
+FAULT_SECONDS = 6.0
+"""Duration of the fault injection."""
 
 
 CRASHING_SEED = 29
 
 
 @pytest.mark.timeout(90)
-async def test_a_crashing_request_ends_few_servers_of_real_hosts(
+async def test_crashing_request_crashes_few_servers(
     tmp_path: Path,
 ) -> None:
-    """One request ends each server that begins to run it, and comes again anywhere."""
-    size = Size(hosts=4, servers=8, callers=6, seconds=SECONDS, crashing=1)
+    """A request that crashes each server and is retried at any host is quarantined.
+
+    Otherwise its retries would crash one server after the other.
+    """
+    size = SoakSize(hosts=4, servers=8, callers=6, seconds=FAULT_SECONDS, crashing=1)
     result = await run_soak(CRASHING_SEED, size, tmp_path)
-    assert result.broken == []
+    assert result.violations == []
     assert result.outcomes["servers ended"] >= 3
 
 
 @pytest.mark.timeout(90)
-async def test_promises_hold_under_drawn_faults(tmp_path: Path) -> None:
-    """Faults and planned work overlap on real processes for some seconds."""
-    size = Size(hosts=3, servers=4, callers=8, seconds=SECONDS)
-    result = await run_soak(SEED, size, tmp_path)
-    assert result.broken == []
+async def test_guarantees_hold_under_random_faults(tmp_path: Path) -> None:
+    """Faults and planned operations that overlap for seconds cause no violation."""
+    size = SoakSize(hosts=3, servers=4, callers=8, seconds=FAULT_SECONDS)
+    result = await run_soak(RANDOM_FAULTS_SEED, size, tmp_path)
+    assert result.violations == []
     assert result.outcomes.get("200", 0) > 100
--- a/dewridge/tests/soak/standins.py
+++ b/dewridge/tests/soak/standins.py
@@ -1,4 +1,4 @@
-"""The platform's store and cloud API as HTTP stand-ins over the store in memory."""
+"""HTTP stand-ins of the platform's store and cloud API, on an in-memory store."""
 
 import time
 from collections import deque
@@ -16,61 +16,65 @@
 from dewridge.tests.gateway.memorystore import MemoryStore
 from dewridge.tests.soak.records import DutyCall, History
 
-STATUS = {
+STATUS_BY_CODE = {
     ResultCode.KEY_VALUE_CONFLICT: 412,
     ResultCode.KEY_VALUE_LEASE_ENDED: 404,
 }
 
 
-LAG = 3.0
-"""Seconds by which reads that may lag do."""
-COPY_PERIOD = 0.25
+STALE_READ_LAG = 3.0
+"""Seconds by which reads that allow stale data lag behind."""
+SNAPSHOT_PERIOD = 0.25
+"""Seconds between two snapshots for stale reads."""
 
 
 class StoreStandIn:
-    """The store; the operator and servers write to `store` directly.
+    """The store; the operator and servers write to `memory_store` directly.
 
     Attributes:
-        store: what it holds.
-        loses_answers: whether changes are carried out and never answered.
+        memory_store: contents of the store.
+        drops_responses: whether changes are executed without a response.
+        listener: HTTP server of the store.
     """
 
     def __init__(self) -> None:
-        self.store = MemoryStore()
-        self.loses_answers = False
+        self.memory_store = MemoryStore()
+        self.drops_responses = False
         self._compacted_at = 0
-        self._copies: deque[tuple[float, dict[str, Item], int]] = deque()
+        self._snapshots: deque[tuple[float, dict[str, Item], int]] = deque()
         self.listener = Listener(build_store_app(self))
 
     def compact(self) -> None:
-        """Drop the history up to now."""
-        self._compacted_at = self.store.data.revision
-        self.store.data.changes.clear()
+        """Drop the history of changes up to the current revision."""
+        self._compacted_at = self.memory_store.data.revision
+        self.memory_store.data.changes.clear()
 
-    async def keep_copies(self) -> None:
-        """Keep copies of what the store held, for reads that may lag."""
+    async def record_snapshots(self) -> None:
+        """Record snapshots of the store for stale reads until cancelled."""
         while True:
-            data = self.store.data
-            self._copies.append((trio.current_time(), dict(data.items), data.revision))
-            while self._copies[0][0] < trio.current_time() - LAG:
-                self._copies.popleft()
-            await trio.sleep(COPY_PERIOD)
-
-    def list_lagging(self, prefix: str) -> Listing:
-        """Return what was under a prefix `LAG` seconds ago."""
-        _, items, revision = self._copies[0]
+            data = self.memory_store.data
+            self._snapshots.append(
+                (trio.current_time(), dict(data.items), data.revision)
+            )
+            while self._snapshots[0][0] < trio.current_time() - STALE_READ_LAG:
+                self._snapshots.popleft()
+            await trio.sleep(SNAPSHOT_PERIOD)
+
+    def list_stale_items(self, prefix: str) -> Listing:
+        """Return the items under a prefix as of `STALE_READ_LAG` seconds ago."""
+        _, items, revision = self._snapshots[0]
         found = [item for key, item in sorted(items.items()) if key.startswith(prefix)]
         return Listing(tuple(found), revision)
 
     def has_history(self, after: int) -> bool:
-        """Whether changes past a revision are still known."""
+        """Whether the history still has all changes after a revision."""
         return after >= self._compacted_at
 
 
 def build_store_app(stand_in: StoreStandIn) -> QuartTrio:
-    """Return the store's calls."""
+    """Return an app with the store's HTTP API."""
     app = make_app("store")
-    store = stand_in.store
+    store = stand_in.memory_store
 
     @app.get("/-/kv-key")
     async def read() -> Response:
@@ -84,7 +88,7 @@
         prefix = request.args["path_prefix"]
         listing: Listing | Failure
         if "stale_ok" in request.args:
-            listing = stand_in.list_lagging(prefix)
+            listing = stand_in.list_stale_items(prefix)
         else:
             listing = await store.list_items(prefix)
         if isinstance(listing, Failure):
@@ -96,11 +100,11 @@
         after = int(request.args["after"])
         if not stand_in.has_history(after):
             return reply({}, 410)
-        wait = int(request.args["wait_ms"]) / 1000
-        news = await store.watch(request.args["path_prefix"], after, wait)
-        if isinstance(news, Failure):
+        wait_seconds = int(request.args["wait_ms"]) / 1000
+        update = await store.watch(request.args["path_prefix"], after, wait_seconds)
+        if isinstance(update, Failure):
             return reply({}, 503)
-        return reply({"events": news.items, "current_rev": news.revision})
+        return reply({"events": update.items, "current_rev": update.revision})
 
     @app.post("/-/kv-txn")
     async def change() -> Response:
@@ -114,20 +118,20 @@
             writes=tuple(writes),
             drop=tuple(body.get("drop", [])),
         )
-        if stand_in.loses_answers:
+        if stand_in.drops_responses:
             await trio.sleep_forever()
         if isinstance(result, Failure):
-            return reply({"items": []}, STATUS.get(result.code, 503))
+            return reply({"items": []}, STATUS_BY_CODE.get(result.code, 503))
         return reply({"revision": result})
 
     @app.post("/-/kv-lease")
     async def grant() -> Response:
         body = msgspec.json.decode(await request.get_data(as_text=False))
-        return answer_lease(await store.grant_lease(body["ttl_ms"] / 1000))
+        return make_lease_reply(await store.grant_lease(body["ttl_ms"] / 1000))
 
     @app.post("/-/kv-keep/<int:lease>")
     async def renew(lease: int) -> Response:
-        return answer_lease(await store.renew_lease(lease))
+        return make_lease_reply(await store.renew_lease(lease))
 
     @app.delete("/-/kv-lease-end/<int:lease>")
     async def end(lease: int) -> Response:
@@ -137,37 +141,37 @@
     return app
 
 
-def answer_lease(lease: Lease | Failure) -> Response:
-    """Answer a grant or a renewal."""
+def make_lease_reply(lease: Lease | Failure) -> Response:
+    """Return the response to the grant or renewal of a lease."""
     if isinstance(lease, Failure):
-        return reply({}, STATUS.get(lease.code, 503))
+        return reply({}, STATUS_BY_CODE.get(lease.code, 503))
     return reply({"lease": lease.id, "ttl_ms": round(lease.ttl * 1000)})
 
 
 def build_cloud_app(history: History) -> QuartTrio:
-    """Return the cloud API's calls; each is recorded and accepted."""
+    """Return an app with the cloud API, which records and accepts each call."""
     app = make_app("cloud")
 
-    async def note(subject: str, body: dict[str, Any]) -> Response:
+    async def record_call(subject: str, body: dict[str, Any]) -> Response:
         headers = request.headers
         call = DutyCall(
             holder=headers["X-Duty-Holder"],
-            fence=int(headers["X-Fencing-Token"]),
+            fencing_token=int(headers["X-Fencing-Token"]),
             subject=subject,
             counts=str(sorted(body.get("counts", {}).items())),
             at=time.monotonic(),
         )
-        history.calls.append(call)
+        history.duty_calls.append(call)
         return reply({})
 
     @app.post("/usage")
     async def report() -> Response:
         body = msgspec.json.decode(await request.get_data(as_text=False))
-        return await note(f"usage {body['window_id']}", body)
+        return await record_call(f"usage {body['window_id']}", body)
 
     @app.post("/scale")
     async def order() -> Response:
         body = msgspec.json.decode(await request.get_data(as_text=False))
-        return await note(f"servers {body['service']} {body['zone']}", body)
+        return await record_call(f"servers {body['service']} {body['zone']}", body)
 
     return app
