--- a/dewridge/composition.py
+++ b/dewridge/composition.py
@@ -196,7 +196,7 @@
     peers = PeerTransport(
         settings=settings.peers,
         deployment=settings.host.deployment,
-        me=PeerIdentity(me.host, me.incarnation, me.failure_domain),
+        local_identity=PeerIdentity(me.host, me.incarnation, me.failure_domain),
         metrics=metrics,
     )
     registration = Registration(
@@ -211,7 +211,7 @@
         seed=seed,
         on_fenced=lifecycle.fenced.set,
     )
-    peers.is_refused = membership.check_peer
+    peers.check_peer = membership.check_peer
     configuration = ConfigurationService(
         settings=platform,
         key_value=outside.key_value,
--- a/dewridge/peers/connection.py
+++ b/dewridge/peers/connection.py
@@ -13,8 +13,8 @@
 from dewridge.peers.frames import (
     HEARTBEAT,
     HELLO_LIMIT,
+    FrameContent,
     FrameReader,
-    Parcel,
     encode_frame,
 )
 from dewridge.peers.greetings import RECEIVE_BYTES, ConnectionOptions, greet
@@ -35,7 +35,7 @@
 spend more on heartbeats than all probes together (see `_is_spent`)."""
 
 OpenStream = Callable[[], Awaitable[trio.SocketStream]]
-Deliver = Callable[["Connection", Parcel], None]
+Deliver = Callable[["Connection", FrameContent], None]
 """Takes a message that is no reply, at once."""
 
 
@@ -107,7 +107,9 @@
     async def call(self, message: Message, timeout: float) -> Message | Failure:
         """Send a message and wait for its reply; see `Peers.call`."""
         number = next(self._numbers)
-        frame = encode_frame(Parcel(number, 0, message), self._options.frame_limit)
+        frame = encode_frame(
+            FrameContent(number, 0, message), self._options.frame_limit
+        )
         if isinstance(frame, Failure):
             return frame
         promise: Promise[Message] = Promise()
@@ -124,17 +126,17 @@
 
     def send(self, message: Message) -> Failure | None:
         """Queue a message that needs no reply."""
-        frame = encode_frame(Parcel(0, 0, message), self._options.frame_limit)
+        frame = encode_frame(FrameContent(0, 0, message), self._options.frame_limit)
         return frame if isinstance(frame, Failure) else self._post(Outgoing(frame))
 
     def reply(self, call: int, result: Message | Failure) -> None:
         """Queue the reply to a message of the peer's."""
         message = make_refusal(result) if isinstance(result, Failure) else result
         limit = self._options.frame_limit
-        frame = encode_frame(Parcel(0, call, message), limit)
+        frame = encode_frame(FrameContent(0, call, message), limit)
         if isinstance(frame, Failure):
             refusal = make_refusal(Failure(ResultCode.INTERNAL, frame.reason))
-            frame = encode_frame(Parcel(0, call, refusal), limit)
+            frame = encode_frame(FrameContent(0, call, refusal), limit)
         if isinstance(frame, Failure) or self._post(Outgoing(frame)) is not None:
             self._options.metrics.add("peer_replies_dropped")
 
@@ -260,7 +262,7 @@
             self._options.metrics.add("peer_frames_received", count)
         return True
 
-    def _accept(self, parcel: Parcel) -> bool:
+    def _accept(self, parcel: FrameContent) -> bool:
         assert self.peer is not None
         refusal = self._options.is_refused(self.peer)
         if refusal is not None:
--- a/dewridge/peers/frames.py
+++ b/dewridge/peers/frames.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parcel:
+class FrameContent:
     """What one frame carries.
 
     Attributes:
@@ -61,14 +61,14 @@
         return self.message is None and not self.call and not self.reply_to
 
 
-HEARTBEAT = Parcel(0, 0, None)
+HEARTBEAT = FrameContent(0, 0, None)
 
 _protocol = TBinaryProtocolAccelerated(TMemoryBuffer())
 """Used for every frame in turn, as this process has one thread: making one takes as
 long as encoding a small frame. It keeps nothing between frames."""
 
 
-def encode_frame(parcel: Parcel, limit: int) -> bytes | Failure:
+def encode_frame(parcel: FrameContent, limit: int) -> bytes | Failure:
     """Return the frame that carries a parcel."""
     envelope = ttypes.Envelope(call=parcel.call, reply_to=parcel.reply_to)
     if parcel.message is not None:
@@ -87,7 +87,7 @@
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
-def decode_payload(payload: bytes) -> Parcel | Failure:
+def decode_payload(payload: bytes) -> FrameContent | Failure:
     """Read what follows a frame's length."""
     _protocol.trans = TMemoryBuffer(payload)
     # No string or list can be longer than the bytes that are here, so that a
@@ -104,7 +104,7 @@
     found = [message for message in read_messages(envelope) if message is not None]
     if len(found) > 1:
         return _fail("several messages in one frame")
-    return Parcel(envelope.call, envelope.reply_to, found[0] if found else None)
+    return FrameContent(envelope.call, envelope.reply_to, found[0] if found else None)
 
 
 class FrameReader:
@@ -122,7 +122,7 @@
             self._start = 0
         self._bytes += data
 
-    def take(self) -> Parcel | Failure | None:
+    def take(self) -> FrameContent | Failure | None:
         """Return the next whole frame's content; None if more bytes are needed.
 
         After a Failure the stream can't be followed any further.
--- a/dewridge/peers/greetings.py
+++ b/dewridge/peers/greetings.py
@@ -5,7 +5,7 @@
 import trio
 
 from dewridge.metrics.registry import Metrics
-from dewridge.peers.frames import FrameReader, Parcel, encode_frame
+from dewridge.peers.frames import FrameContent, FrameReader, encode_frame
 from dewridge.peers.hello import (
     Greeted,
     Greeting,
@@ -51,7 +51,7 @@
     A dialled connection's messages wait for the peer's hello: only so can a call
     to a frozen host, whose kernel still takes connections, be told as never sent.
     """
-    hello = Parcel(0, 0, make_hello(options.greeting))
+    hello = FrameContent(0, 0, make_hello(options.greeting))
     try:
         if dialled:
             await _send(stream, hello, options)
@@ -64,7 +64,7 @@
         if isinstance(greeted, Greeted):
             await _send(stream, hello, options)
         elif isinstance(first.message, ttypes.Hello):
-            await _send(stream, Parcel(0, 0, make_refusal(greeted)), options)
+            await _send(stream, FrameContent(0, 0, make_refusal(greeted)), options)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
         return unreachable("broken while greeting")
     return greeted
@@ -81,7 +81,7 @@
 
 async def _receive(
     stream: trio.SocketStream, reader: FrameReader, metrics: Metrics
-) -> Parcel | Failure:
+) -> FrameContent | Failure:
     while (first := reader.take()) is None:
         data = await stream.receive_some(RECEIVE_BYTES)
         if not data:
@@ -92,7 +92,7 @@
 
 
 async def _send(
-    stream: trio.SocketStream, parcel: Parcel, options: ConnectionOptions
+    stream: trio.SocketStream, parcel: FrameContent, options: ConnectionOptions
 ) -> None:
     frame = encode_frame(parcel, options.frame_limit)
     if isinstance(frame, bytes):
--- a/dewridge/peers/transport.py
+++ b/dewridge/peers/transport.py
@@ -10,7 +10,7 @@
 from dewridge.codes import ResultCode
 from dewridge.metrics.registry import Metrics
 from dewridge.peers.connection import Connection
-from dewridge.peers.frames import Parcel
+from dewridge.peers.frames import FrameContent
 from dewridge.peers.greetings import ConnectionOptions
 from dewridge.peers.hello import Greeting, RefusalCheck
 from dewridge.peers.model import Handler, Message, PeerIdentity
@@ -66,7 +66,7 @@
     calls side by side.
 
     Attributes:
-        is_refused: says which peers must not be listened to; the membership sets it.
+        check_peer: says which peers must not be listened to; the membership sets it.
     """
 
     def __init__(
@@ -74,14 +74,14 @@
         *,
         settings: PeerSettings,
         deployment: str,
-        me: PeerIdentity,
+        local_identity: PeerIdentity,
         metrics: Metrics,
     ) -> None:
-        self.is_refused: RefusalCheck = lambda peer: None
+        self.check_peer: RefusalCheck = lambda peer: None
         self._settings = settings
         self._metrics = metrics
         self._options = ConnectionOptions(
-            greeting=Greeting(deployment, me),
+            greeting=Greeting(deployment, local_identity),
             frame_limit=settings.frame_limit,
             connect_timeout=settings.connect_timeout,
             idle_timeout=settings.idle_timeout,
@@ -172,7 +172,7 @@
         }
 
     def _check_peer(self, peer: PeerIdentity) -> Failure | None:
-        return self.is_refused(peer)
+        return self.check_peer(peer)
 
     def _find_connection(self, address: str) -> Connection | Failure:
         connection = self._dialled.get(address)
@@ -213,7 +213,7 @@
         finally:
             del self._accepted[connection]
 
-    def _deliver(self, connection: Connection, parcel: Parcel) -> None:
+    def _deliver(self, connection: Connection, parcel: FrameContent) -> None:
         kind = type(parcel.message)
         if self._nursery is None or connection.peer is None:
             return
@@ -242,12 +242,14 @@
             kind = type(message).__name__
             self._metrics.add("peer_messages_dropped", kind=kind)
 
-    def _refuse(self, connection: Connection, parcel: Parcel, reason: str) -> None:
+    def _refuse(
+        self, connection: Connection, parcel: FrameContent, reason: str
+    ) -> None:
         if parcel.call:
             connection.reply(parcel.call, Failure(ResultCode.PEER_REFUSED, reason))
 
     async def _answer_call(
-        self, connection: Connection, peer: PeerIdentity, parcel: Parcel
+        self, connection: Connection, peer: PeerIdentity, parcel: FrameContent
     ) -> None:
         try:
             result = await self.answer(peer, parcel.message)
--- a/dewridge/slopes/frames.py
+++ b/dewridge/slopes/frames.py
@@ -12,7 +12,12 @@
 
 from dewridge.ids import FailureDomain, HostId, Incarnation
 from dewridge.metrics.registry import Metrics
-from dewridge.peers.frames import LENGTH_BYTES, Parcel, decode_payload, encode_frame
+from dewridge.peers.frames import (
+    LENGTH_BYTES,
+    FrameContent,
+    decode_payload,
+    encode_frame,
+)
 from dewridge.peers.model import Message, PeerIdentity
 from dewridge.peers.transport import PeerTransport
 from dewridge.peers.wire import ttypes
@@ -55,7 +60,7 @@
     return PeerTransport(
         settings=PeerSettings(port=0),
         deployment="slopes",
-        me=PeerIdentity(HostId(host), Incarnation(1), FailureDomain("a")),
+        local_identity=PeerIdentity(HostId(host), Incarnation(1), FailureDomain("a")),
         metrics=Metrics(),
     )
 
@@ -97,10 +102,10 @@
     """Print the figures."""
     log.remove()
     message = make_message()
-    frame = encode_frame(Parcel(1, 0, message), LIMIT)
+    frame = encode_frame(FrameContent(1, 0, message), LIMIT)
     assert isinstance(frame, bytes)
     print(f"a frame of {RUNS} streams, {TOKENS} tokens each: {len(frame)} bytes")
-    time_one("encode", lambda: encode_frame(Parcel(1, 0, message), LIMIT))
+    time_one("encode", lambda: encode_frame(FrameContent(1, 0, message), LIMIT))
     time_one("decode", lambda: decode_payload(frame[LENGTH_BYTES:]))
     for callers in (1, 16, 64):
         trio.run(time_calls, callers)
--- a/dewridge/slopes/members.py
+++ b/dewridge/slopes/members.py
@@ -74,7 +74,7 @@
         transport = PeerTransport(
             settings=PeerSettings(port=0),
             deployment="slopes",
-            me=identity,
+            local_identity=identity,
             metrics=self._metrics,
         )
         self._nursery.start_soon(transport.run)
@@ -97,7 +97,7 @@
             metrics=self._metrics,
             seed=seed * 10_000 + number,
         )
-        transport.is_refused = service.check_peer
+        transport.check_peer = service.check_peer
         service.subscribe(partial(self._note_change, number))
         service.subscribe_rumors(RUMOR_KIND, partial(self._note_rumor, number))
         self._services.append(service)
--- a/dewridge/tests/membership/networks.py
+++ b/dewridge/tests/membership/networks.py
@@ -13,7 +13,7 @@
 from dewridge.membership.model import Member, MemberState
 from dewridge.membership.service import MembershipService
 from dewridge.metrics.registry import Metrics
-from dewridge.peers.frames import Parcel, decode_payload, encode_frame
+from dewridge.peers.frames import FrameContent, decode_payload, encode_frame
 from dewridge.peers.model import Handler, Message, PeerIdentity
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import MembershipSettings
@@ -27,10 +27,10 @@
 
 def transcode(message: Message) -> Message:
     """Return the message as decoded by the receiver."""
-    frame = encode_frame(Parcel(1, 0, message), MAX_FRAME_BYTES)
+    frame = encode_frame(FrameContent(1, 0, message), MAX_FRAME_BYTES)
     assert isinstance(frame, bytes), frame
     parcel = decode_payload(frame[4:])
-    assert isinstance(parcel, Parcel)
+    assert isinstance(parcel, FrameContent)
     return parcel.message
 
 
--- a/dewridge/tests/peers/frames_tests.py
+++ b/dewridge/tests/peers/frames_tests.py
@@ -8,8 +8,8 @@
 from dewridge.codes import ResultCode
 from dewridge.peers.frames import (
     HEARTBEAT,
+    FrameContent,
     FrameReader,
-    Parcel,
     decode_payload,
     encode_frame,
 )
@@ -25,15 +25,15 @@
         for n in range(3)
     ]
     message = ttypes.ReplicateTokens(runs=runs)
-    frame = encode_frame(Parcel(7, 0, message), LIMIT)
+    frame = encode_frame(FrameContent(7, 0, message), LIMIT)
     assert isinstance(frame, bytes)
     return frame
 
 
-def read_all(data: bytes) -> list[Parcel | Failure]:
+def read_all(data: bytes) -> list[FrameContent | Failure]:
     reader = FrameReader(LIMIT)
     reader.feed(data)
-    found: list[Parcel | Failure] = []
+    found: list[FrameContent | Failure] = []
     while (item := reader.take()) is not None:
         found.append(item)
         if isinstance(item, Failure):
@@ -55,9 +55,9 @@
         data = data[size:]
         while (item := reader.take()) is not None:
             found.append(item)
-    assert [type(item) for item in found] == [Parcel] * 3
+    assert [type(item) for item in found] == [FrameContent] * 3
     first = found[0]
-    assert isinstance(first, Parcel) and first.message is not None
+    assert isinstance(first, FrameContent) and first.message is not None
     assert first.message.runs[2].offset == 2
     assert found[1] == HEARTBEAT
 
@@ -71,7 +71,7 @@
     # A faulty network card, a port scanner or a release with a fault sends bytes
     # that are no frame. An exception would end tasks that serve other peers.
     result = decode_payload(noise)
-    assert isinstance(result, Parcel) or result.code is ResultCode.FRAME_MALFORMED
+    assert isinstance(result, FrameContent) or result.code is ResultCode.FRAME_MALFORMED
     read_all(noise)
     frame = bytearray(make_frame())
     place = data.draw(st.integers(4, len(frame) - 1))
@@ -99,6 +99,6 @@
     # must hear so, and the connection goes on.
     big = ttypes.Find(request="x" * LIMIT)
     for message in (big, ttypes.Find(request=5), object()):
-        failure = encode_frame(Parcel(1, 0, message), LIMIT)
+        failure = encode_frame(FrameContent(1, 0, message), LIMIT)
         assert isinstance(failure, Failure)
         assert failure.code is ResultCode.FRAME_MALFORMED
--- a/dewridge/tests/peers/transport_tests.py
+++ b/dewridge/tests/peers/transport_tests.py
@@ -9,7 +9,7 @@
 from dewridge.codes import ResultCode
 from dewridge.ids import FailureDomain, HostId, Incarnation
 from dewridge.metrics.registry import Metrics
-from dewridge.peers.frames import Parcel, encode_frame
+from dewridge.peers.frames import FrameContent, encode_frame
 from dewridge.peers.hello import Greeting, make_hello
 from dewridge.peers.model import Message, PeerIdentity
 from dewridge.peers.transport import PeerTransport
@@ -33,7 +33,10 @@
 ) -> tuple[PeerTransport, Metrics]:
     metrics = Metrics()
     transport = PeerTransport(
-        settings=SETTINGS, deployment=deployment, me=identify(host), metrics=metrics
+        settings=SETTINGS,
+        deployment=deployment,
+        local_identity=identify(host),
+        metrics=metrics,
     )
     return transport, metrics
 
@@ -183,7 +186,7 @@
     async with run_pair() as (one, two, metrics, two_metrics):
         assert await can_find(one, two.address)
         hello = encode_frame(
-            Parcel(0, 0, make_hello(Greeting("test", identify("three")))), 5_000
+            FrameContent(0, 0, make_hello(Greeting("test", identify("three")))), 5_000
         )
         assert isinstance(hello, bytes)
         oversized = (SETTINGS.frame_limit + 1).to_bytes(4, "big")
@@ -215,7 +218,7 @@
     # open connections. It must hear that it is fenced, and do nothing more.
     async with run_pair() as (one, two, _, _):
         assert await can_find(one, two.address)
-        two.is_refused = lambda peer: Failure(ResultCode.FENCED, "taken over")
+        two.check_peer = lambda peer: Failure(ResultCode.FENCED, "taken over")
         cut_off = await one.call(two.address, FIND, 1)
         assert code_of(cut_off) is ResultCode.PEER_TIMEOUT
         refused = await one.call(two.address, FIND, 1)
@@ -245,7 +248,7 @@
 
         async def greet_only(stream: trio.SocketStream) -> None:
             hello = make_hello(Greeting("test", identify("stuck")))
-            frame = encode_frame(Parcel(0, 0, hello), 5_000)
+            frame = encode_frame(FrameContent(0, 0, hello), 5_000)
             assert isinstance(frame, bytes)
             await stream.send_all(frame)
             while True:  # heartbeats, so that it looks alive
