--- a/dewridge/peers/__init__.py
+++ b/dewridge/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Frames and connections between the system's own processes."""
+"""Framed messages over TCP connections between entry hosts."""
--- a/dewridge/peers/frames.py
+++ b/dewridge/peers/frames.py
@@ -1,7 +1,7 @@
-"""Frames between peers: a four-byte length and one Envelope in thrift's binary form.
+"""Encoding of frames: a four-byte length and one Envelope in Thrift's binary protocol.
 
-No input or output here. Whatever bytes come in, the result is an Envelope or a
-Failure, never an exception.
+This module does no I/O. Any input bytes decode to a FrameContent or a Failure, never
+to an exception.
 """
 
 from dataclasses import dataclass
@@ -17,23 +17,24 @@
 from dewridge.sentinels import Failure
 
 LENGTH_BYTES = 4
-CONTAINER_LIMIT = 262_144
-"""Most elements of one list or map. An answer's tokens are the longest list, and
-the longest answers made are a tenth of this. Without it four garbled bytes could
-ask for a list of two thousand million places before an element was read."""
-HELLO_LIMIT = 4_096
-"""Largest first frame of a connection. A hello takes under 300 bytes; whoever has
-not greeted yet, be it a port scanner, can't make this host hold more."""
+MAX_CONTAINER_ELEMENTS = 262_144
+"""Maximum number of elements of a list or map. The longest list holds the tokens of
+an answer, and the longest answers have a tenth of this. Without the limit, four
+garbled bytes could request a list of two billion elements before one is read."""
+MAX_HELLO_BYTES = 4_096
+"""Maximum size of the first frame of a connection. A hello takes under 300 bytes; the
+limit bounds the memory used for a client that has sent no hello, such as a port
+scanner."""
 
 Envelope = Any
-"""`wire.ttypes.Envelope`; generated, hence without types."""
+"""`wire.ttypes.Envelope`; Any, as the generated code has no type annotations."""
 
 CONTROL_FIELDS = ("call", "reply_to")
 MESSAGE_FIELDS = tuple(
     name for name in ttypes.Envelope.__slots__ if name not in CONTROL_FIELDS
 )
-read_messages = attrgetter(*MESSAGE_FIELDS)
-FIELD_OF_KIND: dict[type, str] = {
+get_message_fields = attrgetter(*MESSAGE_FIELDS)
+FIELD_BY_MESSAGE_TYPE: dict[type, str] = {
     spec[3][0]: spec[2]
     for spec in ttypes.Envelope.thrift_spec
     if spec is not None and spec[2] in MESSAGE_FIELDS
@@ -42,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameContent:
-    """What one frame carries.
+    """Decoded content of a frame.
 
     Attributes:
-        call: number under which a reply is wanted; 0 if none is.
-        reply_to: number of the call that this replies to; 0 if none.
-        message: the structure; None in a heartbeat and where a newer release
-            sent a kind that this one does not know.
+        call: id of the call if a reply is expected, otherwise 0.
+        reply_to: id of the call that this replies to, otherwise 0.
+        message: the message; None in a heartbeat and for a message type that only
+            newer releases know.
     """
 
     call: int
@@ -57,88 +58,98 @@
 
     @property
     def is_heartbeat(self) -> bool:
-        """Whether it only shows that the sender is alive."""
+        """Whether this is a heartbeat: no message, no call and no reply."""
         return self.message is None and not self.call and not self.reply_to
 
 
 HEARTBEAT = FrameContent(0, 0, None)
 
 _protocol = TBinaryProtocolAccelerated(TMemoryBuffer())
-"""Used for every frame in turn, as this process has one thread: making one takes as
-long as encoding a small frame. It keeps nothing between frames."""
+"""Shared by all frames, which is safe in a single-threaded process: creating one takes
+as long as encoding a small frame. It holds no state between frames."""
 
 
-def encode_frame(parcel: FrameContent, limit: int) -> bytes | Failure:
-    """Return the frame that carries a parcel."""
-    envelope = ttypes.Envelope(call=parcel.call, reply_to=parcel.reply_to)
-    if parcel.message is not None:
-        field = FIELD_OF_KIND.get(type(parcel.message))
+def encode_frame(content: FrameContent, limit: int) -> bytes | Failure:
+    """Encode a frame; fail if its payload is invalid or exceeds `limit` bytes."""
+    envelope = ttypes.Envelope(call=content.call, reply_to=content.reply_to)
+    if content.message is not None:
+        field = FIELD_BY_MESSAGE_TYPE.get(type(content.message))
         if field is None:
-            return _fail(f"no envelope carries a {type(parcel.message).__name__}")
-        setattr(envelope, field, parcel.message)
+            return _make_malformed(
+                f"no envelope carries a {type(content.message).__name__}"
+            )
+        setattr(envelope, field, content.message)
     buffer = _protocol.trans = TMemoryBuffer()
     try:
         envelope.write(_protocol)
-    except Exception as error:  # a field of a wrong type; which one thrift won't say
-        return _fail(f"can't encode: {type(error).__name__}")
+    except Exception as error:  # a field of a wrong type; Thrift does not say which
+        return _make_malformed(f"can't encode: {type(error).__name__}")
     payload: bytes = buffer.getvalue()
     if len(payload) > limit:
-        return _fail(f"frame of {len(payload)} bytes, at most {limit} allowed")
+        return _make_malformed(
+            f"frame of {len(payload)} bytes, at most {limit} allowed"
+        )
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
 def decode_payload(payload: bytes) -> FrameContent | Failure:
-    """Read what follows a frame's length."""
+    """Decode the payload of a frame, the bytes after its length."""
     _protocol.trans = TMemoryBuffer(payload)
-    # No string or list can be longer than the bytes that are here, so that a
-    # garbled length is found before memory is taken for it.
+    # No string or list can be longer than the payload. The limits detect a garbled
+    # length before memory is allocated for it.
     _protocol.string_length_limit = max(1, len(payload))
-    _protocol.container_length_limit = max(1, min(len(payload), CONTAINER_LIMIT))
+    _protocol.container_length_limit = max(1, min(len(payload), MAX_CONTAINER_ELEMENTS))
     envelope: Envelope = ttypes.Envelope()
     try:
         envelope.read(_protocol)
-    except Exception as error:  # thrift raises half a dozen kinds on garbled bytes
-        return _fail(f"can't decode: {type(error).__name__}")
+    except Exception as error:  # Thrift raises half a dozen types on garbled bytes
+        return _make_malformed(f"can't decode: {type(error).__name__}")
     if not isinstance(envelope.call, int) or not isinstance(envelope.reply_to, int):
-        return _fail("no call numbers")
-    found = [message for message in read_messages(envelope) if message is not None]
-    if len(found) > 1:
-        return _fail("several messages in one frame")
-    return FrameContent(envelope.call, envelope.reply_to, found[0] if found else None)
+        return _make_malformed("no call numbers")
+    messages = [
+        message for message in get_message_fields(envelope) if message is not None
+    ]
+    if len(messages) > 1:
+        return _make_malformed("several messages in one frame")
+    return FrameContent(
+        envelope.call, envelope.reply_to, messages[0] if messages else None
+    )
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames and decodes them."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self._bytes = bytearray()
-        self._start = 0
+        self._buffer = bytearray()
+        self._offset = 0
 
     def feed(self, data: bytes | bytearray) -> None:
-        """Add bytes that came in; call `take` until None after each."""
-        if self._start:
-            del self._bytes[: self._start]
-            self._start = 0
-        self._bytes += data
+        """Add received bytes; call `next_frame` afterwards until it returns None."""
+        if self._offset:
+            del self._buffer[: self._offset]
+            self._offset = 0
+        self._buffer += data
 
-    def take(self) -> FrameContent | Failure | None:
-        """Return the next whole frame's content; None if more bytes are needed.
+    def next_frame(self) -> FrameContent | Failure | None:
+        """Return the content of the next complete frame; None if more bytes are needed.
 
-        After a Failure the stream can't be followed any further.
+        After a Failure the stream can't be read any further.
         """
-        begin = self._start + LENGTH_BYTES
-        if len(self._bytes) < begin:
+        begin = self._offset + LENGTH_BYTES
+        if len(self._buffer) < begin:
             return None
-        length = int.from_bytes(self._bytes[self._start : begin], "big")
+        length = int.from_bytes(self._buffer[self._offset : begin], "big")
         if length > self.limit:
-            return _fail(f"frame of {length} bytes, at most {self.limit} allowed")
+            return _make_malformed(
+                f"frame of {length} bytes, at most {self.limit} allowed"
+            )
         end = begin + length
-        if len(self._bytes) < end:
+        if len(self._buffer) < end:
             return None
-        self._start = end
-        return decode_payload(bytes(self._bytes[begin:end]))
+        self._offset = end
+        return decode_payload(bytes(self._buffer[begin:end]))
 
 
-def _fail(reason: str) -> Failure:
+def _make_malformed(reason: str) -> Failure:
     return Failure(ResultCode.FRAME_MALFORMED, reason)
--- a/dewridge/peers/greetings.py
+++ b/dewridge/peers/greetings.py
@@ -1,4 +1,4 @@
-"""Opening a connection: both sides greet before any message goes."""
+"""Handshake of a connection: both sides exchange hellos before any other message."""
 
 from dataclasses import dataclass
 
@@ -7,94 +7,104 @@
 from dewridge.metrics.registry import Metrics
 from dewridge.peers.frames import FrameContent, FrameReader, encode_frame
 from dewridge.peers.hello import (
-    Greeted,
-    Greeting,
-    RefusalCheck,
+    HandshakeResult,
+    HelloInfo,
+    PeerCheck,
     check_hello,
     make_hello,
 )
 from dewridge.peers.model import Message
-from dewridge.peers.refusals import hide_code, make_refusal, read_refusal, unreachable
+from dewridge.peers.refusals import (
+    make_refusal,
+    make_unreachable,
+    mask_fenced_code,
+    read_refusal,
+)
 from dewridge.peers.wire import ttypes
 from dewridge.sentinels import Failure
 
-HEARTBEATS_IN_TIMEOUT = 3
-"""Heartbeats that fit into the idle timeout: two may be late or lost."""
-RECEIVE_BYTES = 65_536
+HEARTBEATS_PER_IDLE_TIMEOUT = 3
+"""Heartbeats sent per idle timeout, so that two may be late or lost."""
+MAX_RECEIVE_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOptions:
-    """What all connections of a host have in common."""
+    """Options shared by all connections of a host: sizes in bytes, times in seconds."""
 
-    greeting: Greeting
+    hello_info: HelloInfo
     frame_limit: int
     connect_timeout: float
     idle_timeout: float
     metrics: Metrics
-    is_refused: RefusalCheck
+    check_peer: PeerCheck
 
     @property
-    def heartbeat(self) -> float:
-        """Seconds without a frame sent after which a heartbeat goes out."""
-        return self.idle_timeout / HEARTBEATS_IN_TIMEOUT
+    def heartbeat_interval(self) -> float:
+        """Seconds after the last frame sent until a heartbeat is sent."""
+        return self.idle_timeout / HEARTBEATS_PER_IDLE_TIMEOUT
 
 
-async def greet(
+async def exchange_hellos(
     stream: trio.SocketStream,
     reader: FrameReader,
     options: ConnectionOptions,
-    dialled: bool,
-) -> Greeted | Failure:
-    """Exchange hellos; the side that dialled speaks first.
+    is_dialled: bool,
+) -> HandshakeResult | Failure:
+    """Exchange hellos; the side that dialled sends first.
 
-    A dialled connection's messages wait for the peer's hello: only so can a call
-    to a frozen host, whose kernel still takes connections, be told as never sent.
+    Messages on a dialled connection wait for the peer's hello. The kernel of a frozen
+    host still accepts connections, and a call to such a host can be reported as never
+    sent only if nothing was written before the hello arrived.
     """
-    hello = FrameContent(0, 0, make_hello(options.greeting))
+    hello = FrameContent(0, 0, make_hello(options.hello_info))
     try:
-        if dialled:
-            await _send(stream, hello, options)
-        first = await _receive(stream, reader, options.metrics)
-        if isinstance(first, Failure):
-            return first
-        greeted = _check(first.message, options, dialled)
-        if dialled:
-            return greeted
-        if isinstance(greeted, Greeted):
-            await _send(stream, hello, options)
-        elif isinstance(first.message, ttypes.Hello):
-            await _send(stream, FrameContent(0, 0, make_refusal(greeted)), options)
+        if is_dialled:
+            await _send_frame(stream, hello, options)
+        first_frame = await _receive_hello(stream, reader, options.metrics)
+        if isinstance(first_frame, Failure):
+            return first_frame
+        result = _check_first_message(first_frame.message, options, is_dialled)
+        if is_dialled:
+            return result
+        if isinstance(result, HandshakeResult):
+            await _send_frame(stream, hello, options)
+        elif isinstance(first_frame.message, ttypes.Hello):
+            await _send_frame(stream, FrameContent(0, 0, make_refusal(result)), options)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
-        return unreachable("broken while greeting")
-    return greeted
+        return make_unreachable("broken while greeting")
+    return result
 
 
-def _check(
-    message: Message | None, options: ConnectionOptions, dialled: bool
-) -> Greeted | Failure:
-    if dialled and isinstance(message, ttypes.Refusal):
+def _check_first_message(
+    message: Message | None, options: ConnectionOptions, is_dialled: bool
+) -> HandshakeResult | Failure:
+    if is_dialled and isinstance(message, ttypes.Refusal):
         return read_refusal(message)
-    checked = check_hello(message, options.greeting, options.is_refused)
-    return hide_code(checked) if dialled and isinstance(checked, Failure) else checked
+    result = check_hello(message, options.hello_info, options.check_peer)
+    return (
+        mask_fenced_code(result)
+        if is_dialled and isinstance(result, Failure)
+        else result
+    )
 
 
-async def _receive(
+async def _receive_hello(
     stream: trio.SocketStream, reader: FrameReader, metrics: Metrics
 ) -> FrameContent | Failure:
-    while (first := reader.take()) is None:
-        data = await stream.receive_some(RECEIVE_BYTES)
+    while (first_frame := reader.next_frame()) is None:
+        data = await stream.receive_some(MAX_RECEIVE_BYTES)
         if not data:
-            return unreachable("closed while greeting")
+            return make_unreachable("closed while greeting")
         metrics.add("peer_bytes_received", len(data))
         reader.feed(data)
-    return first
+    return first_frame
 
 
-async def _send(
-    stream: trio.SocketStream, parcel: FrameContent, options: ConnectionOptions
+async def _send_frame(
+    stream: trio.SocketStream, content: FrameContent, options: ConnectionOptions
 ) -> None:
-    frame = encode_frame(parcel, options.frame_limit)
+    frame = encode_frame(content, options.frame_limit)
     if isinstance(frame, bytes):
         options.metrics.add("peer_frames_sent")
         options.metrics.add("peer_bytes_sent", len(frame))
--- a/dewridge/peers/model.py
+++ b/dewridge/peers/model.py
@@ -1,4 +1,4 @@
-"""How other parts send messages to peers and receive them."""
+"""Interface for sending messages to peers and for handling theirs."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 from dewridge.sentinels import Failure
 
 Message = Any
-"""One of the structures of `dewridge.thrift` that an Envelope can carry. The
-generated classes share no base class, hence Any."""
+"""A structure of `dewridge.thrift` that an Envelope can carry. The generated classes
+share no base class, hence Any."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who is at the other end of a connection, as its hello said."""
+    """Identity of the peer of a connection, as given in its hello."""
 
     host: HostId
     incarnation: Incarnation
@@ -22,11 +22,12 @@
 
 
 Handler = Callable[[PeerIdentity, Message], Awaitable[Message | Failure | None]]
-"""Answers one message. A Failure goes back as a Refusal; None sends nothing."""
+"""Handles a message and returns the reply. A Failure is sent as a Refusal; None sends
+nothing."""
 
 
 class Peers(Protocol):
-    """Connections to other entry hosts, by their peer address."""
+    """Sends messages to other entry hosts, addressed by peer address."""
 
     async def call(
         self, address: str, message: Message, timeout: float
@@ -34,13 +35,13 @@
         """Send a message and wait for its reply.
 
         Returns:
-            The reply's structure, or PEER_UNREACHABLE (the message never
-            left), PEER_TIMEOUT (it may have been handled), or the code of the
-            peer's Refusal.
+            The reply's structure, or a Failure with PEER_UNREACHABLE (the message
+            was never sent), PEER_TIMEOUT (it may have been handled), or the code
+            of the peer's Refusal.
         """
 
     def send(self, address: str, message: Message) -> Failure | None:
-        """Queue a message that needs no reply; PEER_UNREACHABLE if it can't be."""
+        """Queue a message that needs no reply; PEER_UNREACHABLE if that fails."""
 
     def handle(self, kind: type, handler: Handler) -> None:
-        """Register what answers messages of a structure."""
+        """Register the handler of a message type."""
--- a/dewridge/peers/refusals.py
+++ b/dewridge/peers/refusals.py
@@ -1,4 +1,4 @@
-"""Failures on their way between peers."""
+"""Conversion between failures and the Refusal messages that carry them."""
 
 from dewridge.codes import ResultCode
 from dewridge.peers.model import Message
@@ -6,39 +6,40 @@
 from dewridge.sentinels import Failure
 
 
-def unreachable(reason: str) -> Failure:
-    """Return the failure of a message that provably never left."""
+def make_unreachable(reason: str) -> Failure:
+    """Return the failure of a message that was certainly never sent."""
     return Failure(ResultCode.PEER_UNREACHABLE, reason)
 
 
 def make_refusal(failure: Failure) -> Message:
-    """Return the message that carries a failure."""
+    """Return the Refusal message that carries a failure."""
     return ttypes.Refusal(
         code=int(failure.code), reason=failure.reason, retry_after=failure.retry_after
     )
 
 
 def read_refusal(refusal: Message) -> Failure:
-    """Return the failure that a message carries."""
+    """Return the failure that a Refusal message carries."""
     try:
         code = ResultCode(refusal.code)
-    except ValueError:  # a newer release has codes that this one does not know
+    except ValueError:  # a code that only newer releases know
         code = ResultCode.PEER_REFUSED
     return Failure(code, refusal.reason or "", refusal.retry_after)
 
 
 def read_reply(message: Message | None) -> Message | Failure:
-    """Return what a reply says."""
+    """Return the message of a reply, or the failure that it carries."""
     if message is None:
         return Failure(ResultCode.PEER_REFUSED, "reply of an unknown kind")
     return read_refusal(message) if isinstance(message, ttypes.Refusal) else message
 
 
-def hide_code(failure: Failure) -> Failure:
-    """Return why this host won't listen to a peer, as the result of a call to it.
+def mask_fenced_code(failure: Failure) -> Failure:
+    """Replace FENCED by PEER_REFUSED in the reason for which a peer is rejected.
 
-    FENCED as a call's result means that the peer fenced this host, which then
-    starts anew; that this host holds the peer for fenced must not read so.
+    The result is returned to callers on this host. To them FENCED means that the
+    peer has fenced this host, which then restarts as a new incarnation; it must not
+    be returned where this host regards the peer as fenced.
     """
     if failure.code is ResultCode.FENCED:
         return Failure(ResultCode.PEER_REFUSED, f"the peer: {failure.reason}")
--- a/dewridge/peers/transport.py
+++ b/dewridge/peers/transport.py
@@ -1,4 +1,4 @@
-"""Messages to and from other entry hosts over TCP."""
+"""Sends and receives messages of other entry hosts over TCP."""
 
 from collections import Counter, deque
 from functools import partial
@@ -12,39 +12,42 @@
 from dewridge.peers.connection import Connection
 from dewridge.peers.frames import FrameContent
 from dewridge.peers.greetings import ConnectionOptions
-from dewridge.peers.hello import Greeting, RefusalCheck
+from dewridge.peers.hello import HelloInfo, PeerCheck
 from dewridge.peers.model import Handler, Message, PeerIdentity
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import PeerSettings
 
-HANDLERS_PER_KIND = 256
-"""Calls of one kind handled at once. Counted by kind, so that claims which wait for
-a slow key-value service can't take the place of probes and make this host look dead.
-Made for 440 hosts that each have a call or two in flight here; one more is refused at
-once, which the caller can act on, where a longer wait would hold its memory."""
-LANE_LIMIT = 4_096
-"""Messages without reply that wait for their handler, for each connection; a slow
-handler loses the ones beyond, counted, in place of filling the memory."""
-ACCEPTED_LIMIT = 2_048
-"""Connections accepted at once: twice what 440 hosts open to one, old and new ones
-together while all reconnect. It keeps a faulty client from using up the process's
-descriptors, which callers need as well."""
-
-
-class Lane:
-    """Handles messages without reply of one connection in the order they came."""
+MAX_CALLS_PER_TYPE = 256
+"""Maximum number of concurrent calls of one message type. The limit is per type, so
+that claims waiting for a slow key-value service can't block probes and make this host
+look dead. It is sized for 440 hosts that each have one or two calls in flight here.
+Calls beyond it are rejected at once, so that the caller can react, while letting them
+wait longer would hold memory."""
+MAX_QUEUED_MESSAGES = 4_096
+"""Maximum number of one-way messages per connection that wait for their handler.
+Messages beyond it are dropped and counted, so that a slow handler can't exhaust the
+memory."""
+MAX_ACCEPTED_CONNECTIONS = 2_048
+"""Maximum number of accepted connections open at once: twice what 440 hosts open to
+one host, counting old and new connections while all reconnect. The limit keeps a
+faulty client from using up the file descriptors of the process, which connections of
+callers need as well."""
+
+
+class OneWayQueue:
+    """Handles the one-way messages of a connection in the order of arrival."""
 
     def __init__(self, transport: "PeerTransport", peer: PeerIdentity) -> None:
         self._transport = transport
         self._peer = peer
-        self._waiting: deque[Message] = deque()
+        self._messages: deque[Message] = deque()
         self._is_running = False
 
     def post(self, message: Message, nursery: trio.Nursery) -> bool:
-        """Leave a message; False when too many wait."""
-        if len(self._waiting) >= LANE_LIMIT:
+        """Add a message; return False if the queue is full."""
+        if len(self._messages) >= MAX_QUEUED_MESSAGES:
             return False
-        self._waiting.append(message)
+        self._messages.append(message)
         if not self._is_running:
             self._is_running = True
             nursery.start_soon(self._run)
@@ -52,8 +55,8 @@
 
     async def _run(self) -> None:
         try:
-            while self._waiting:
-                await self._transport.answer(self._peer, self._waiting.popleft())
+            while self._messages:
+                await self._transport.run_handler(self._peer, self._messages.popleft())
         finally:
             self._is_running = False
 
@@ -61,12 +64,13 @@
 class PeerTransport:
     """Connections to all peers; implements `Peers`.
 
-    Each host dials its own connection to a peer for what it starts, and replies
-    come back on it. Messages without reply of one sender are handled in order,
-    calls side by side.
+    Each host dials its own connection to a peer for the messages that it sends, and
+    receives the replies on it. One-way messages of a sender are handled in order,
+    calls concurrently.
 
     Attributes:
-        check_peer: says which peers must not be listened to; the membership sets it.
+        check_peer: returns why a peer must be rejected, or None; set by the membership
+            service.
     """
 
     def __init__(
@@ -77,32 +81,32 @@
         local_identity: PeerIdentity,
         metrics: Metrics,
     ) -> None:
-        self.check_peer: RefusalCheck = lambda peer: None
+        self.check_peer: PeerCheck = lambda peer: None
         self._settings = settings
         self._metrics = metrics
         self._options = ConnectionOptions(
-            greeting=Greeting(deployment, local_identity),
+            hello_info=HelloInfo(deployment, local_identity),
             frame_limit=settings.frame_limit,
             connect_timeout=settings.connect_timeout,
             idle_timeout=settings.idle_timeout,
             metrics=metrics,
-            is_refused=self._check_peer,
+            check_peer=self._run_peer_check,
         )
         self._handlers: dict[type, Handler] = {}
-        self._dialled: dict[str, Connection] = {}
-        self._accepted: dict[Connection, Lane | None] = {}
-        self._busy: Counter[type] = Counter()
+        self._dialled_connections: dict[str, Connection] = {}
+        self._accepted_connections: dict[Connection, OneWayQueue | None] = {}
+        self._running_calls: Counter[type] = Counter()
         self._nursery: trio.Nursery | None = None
         self._started = trio.Event()
         self._address = ""
 
     @property
     def address(self) -> str:
-        """IP number and port that peers connect to; known once started."""
+        """IP address and port that peers connect to; available once started."""
         return self._address
 
     async def run(self) -> None:
-        """Listen for peers and own all connections until cancelled."""
+        """Listen for peers and run all connections until cancelled."""
         listeners = await trio.open_tcp_listeners(
             self._settings.port, host=self._settings.address
         )
@@ -129,12 +133,12 @@
     ) -> Message | Failure:
         """Send a message and wait for its reply; see `Peers.call`."""
         deadline = trio.current_time() + timeout
-        reply, was_open = await self._try_call(address, message, timeout)
-        if was_open and _never_left(reply):
-            # The connection ended, by the peer or for want of use, just as the
-            # message was queued on it. It never left, so a second try is safe.
-            left = max(0.0, deadline - trio.current_time())
-            reply, _ = await self._try_call(address, message, left)
+        reply, was_established = await self._try_call(address, message, timeout)
+        if was_established and _was_never_sent(reply):
+            # The connection was closed, by the peer or as unused, just when the
+            # message was queued on it. It was never sent, so a retry is safe.
+            remaining = max(0.0, deadline - trio.current_time())
+            reply, _ = await self._try_call(address, message, remaining)
         if isinstance(reply, Failure):
             self._metrics.add("peer_calls_failed", code=reply.code.name)
         return reply
@@ -146,7 +150,7 @@
         if isinstance(connection, Failure):
             return connection, False
         reply = await connection.call(message, timeout)
-        return reply, connection.was_open
+        return reply, connection.was_established
 
     def send(self, address: str, message: Message) -> Failure | None:
         """Queue a message that needs no reply.
@@ -159,31 +163,35 @@
         return connection.send(message)
 
     def handle(self, kind: type, handler: Handler) -> None:
-        """Register what answers messages of a structure."""
+        """Register the handler of a message type."""
         self._handlers[kind] = handler
 
     async def describe(self) -> dict[str, Any]:
-        """Return the connections' state for a dump."""
-        connections = [*self._dialled.values(), *self._accepted]
+        """Return the state of the connections for a dump."""
+        connections = [*self._dialled_connections.values(), *self._accepted_connections]
         return {
             "address": self._address,
             "connections": [connection.describe() for connection in connections],
-            "handlers_busy": {kind.__name__: n for kind, n in self._busy.items() if n},
+            "handlers_busy": {
+                message_type.__name__: count
+                for message_type, count in self._running_calls.items()
+                if count
+            },
         }
 
-    def _check_peer(self, peer: PeerIdentity) -> Failure | None:
+    def _run_peer_check(self, peer: PeerIdentity) -> Failure | None:
         return self.check_peer(peer)
 
     def _find_connection(self, address: str) -> Connection | Failure:
-        connection = self._dialled.get(address)
+        connection = self._dialled_connections.get(address)
         if connection is not None and connection.is_usable:
             return connection
         if self._nursery is None:
             return Failure(ResultCode.PEER_UNREACHABLE, "not running")
         connection = Connection(
-            self._options, self._deliver, address=address, dialled=True
+            self._options, self._dispatch, address=address, is_dialled=True
         )
-        self._dialled[address] = connection
+        self._dialled_connections[address] = connection
         self._nursery.start_soon(self._run_dialled, connection)
         return connection
 
@@ -191,87 +199,89 @@
         try:
             await connection.run(partial(_open_stream, connection.address))
         finally:
-            if self._dialled.get(connection.address) is connection:
-                del self._dialled[connection.address]
+            if self._dialled_connections.get(connection.address) is connection:
+                del self._dialled_connections[connection.address]
 
     async def _run_accepted(self, stream: trio.SocketStream) -> None:
-        if len(self._accepted) >= ACCEPTED_LIMIT:
+        if len(self._accepted_connections) >= MAX_ACCEPTED_CONNECTIONS:
             self._metrics.add("peer_connections_ended", reason="too_many")
             await trio.aclose_forcefully(stream)
             return
         address = str(stream.socket.getpeername()[0])
         connection = Connection(
-            self._options, self._deliver, address=address, dialled=False
+            self._options, self._dispatch, address=address, is_dialled=False
         )
-        self._accepted[connection] = None
+        self._accepted_connections[connection] = None
 
-        async def take() -> trio.SocketStream:
+        async def get_stream() -> trio.SocketStream:
             return stream
 
         try:
-            await connection.run(take)
+            await connection.run(get_stream)
         finally:
-            del self._accepted[connection]
+            del self._accepted_connections[connection]
 
-    def _deliver(self, connection: Connection, parcel: FrameContent) -> None:
-        kind = type(parcel.message)
+    def _dispatch(self, connection: Connection, content: FrameContent) -> None:
+        message_type = type(content.message)
         if self._nursery is None or connection.peer is None:
             return
-        if kind not in self._handlers:
+        if message_type not in self._handlers:
             self._metrics.add("peer_messages_unknown")
-            self._refuse(connection, parcel, "message of an unknown kind")
-        elif not parcel.call:
-            self._post_to_lane(connection, connection.peer, parcel.message)
-        elif self._busy[kind] >= HANDLERS_PER_KIND:
-            self._metrics.add("peer_messages_dropped", kind=kind.__name__)
-            self._refuse(connection, parcel, "too many calls at once")
+            self._reject_call(connection, content, "message of an unknown kind")
+        elif not content.call:
+            self._enqueue_one_way(connection, connection.peer, content.message)
+        elif self._running_calls[message_type] >= MAX_CALLS_PER_TYPE:
+            self._metrics.add("peer_messages_dropped", kind=message_type.__name__)
+            self._reject_call(connection, content, "too many calls at once")
         else:
-            self._busy[kind] += 1
+            self._running_calls[message_type] += 1
             self._nursery.start_soon(
-                self._answer_call, connection, connection.peer, parcel
+                self._handle_call, connection, connection.peer, content
             )
 
-    def _post_to_lane(
+    def _enqueue_one_way(
         self, connection: Connection, peer: PeerIdentity, message: Message
     ) -> None:
-        lane = self._accepted.get(connection) or Lane(self, peer)
-        if connection in self._accepted:
-            self._accepted[connection] = lane
+        queue = self._accepted_connections.get(connection) or OneWayQueue(self, peer)
+        if connection in self._accepted_connections:
+            self._accepted_connections[connection] = queue
         assert self._nursery is not None
-        if not lane.post(message, self._nursery):
-            kind = type(message).__name__
-            self._metrics.add("peer_messages_dropped", kind=kind)
+        if not queue.post(message, self._nursery):
+            type_name = type(message).__name__
+            self._metrics.add("peer_messages_dropped", kind=type_name)
 
-    def _refuse(
-        self, connection: Connection, parcel: FrameContent, reason: str
+    def _reject_call(
+        self, connection: Connection, content: FrameContent, reason: str
     ) -> None:
-        if parcel.call:
-            connection.reply(parcel.call, Failure(ResultCode.PEER_REFUSED, reason))
+        if content.call:
+            connection.reply(content.call, Failure(ResultCode.PEER_REFUSED, reason))
 
-    async def _answer_call(
-        self, connection: Connection, peer: PeerIdentity, parcel: FrameContent
+    async def _handle_call(
+        self, connection: Connection, peer: PeerIdentity, content: FrameContent
     ) -> None:
         try:
-            result = await self.answer(peer, parcel.message)
+            result = await self.run_handler(peer, content.message)
         finally:
-            self._busy[type(parcel.message)] -= 1
+            self._running_calls[type(content.message)] -= 1
         if result is not None:
-            connection.reply(parcel.call, result)
+            connection.reply(content.call, result)
 
-    async def answer(
+    async def run_handler(
         self, peer: PeerIdentity, message: Message
     ) -> Message | Failure | None:
-        """Let the handler of its kind answer a message."""
-        kind = type(message)
+        """Run the handler of a message; return its result, or INTERNAL if it raises."""
+        message_type = type(message)
         try:
-            return await self._handlers[kind](peer, message)
-        except Exception as error:  # a handler's fault must not end the transport
-            self._metrics.add("peer_handler_faults", kind=kind.__name__)
-            log.opt(exception=error).error("handler of {} failed", kind.__name__)
+            return await self._handlers[message_type](peer, message)
+        except Exception as error:  # a failing handler must not stop the transport
+            self._metrics.add("peer_handler_faults", kind=message_type.__name__)
+            log.opt(exception=error).error(
+                "handler of {} failed", message_type.__name__
+            )
             return Failure(ResultCode.INTERNAL, "the peer's handler failed")
 
 
-def _never_left(reply: Message | Failure) -> bool:
+def _was_never_sent(reply: Message | Failure) -> bool:
     return isinstance(reply, Failure) and reply.code is ResultCode.PEER_UNREACHABLE
 
 
--- a/dewridge/tests/peers/frames_tests.py
+++ b/dewridge/tests/peers/frames_tests.py
@@ -1,4 +1,4 @@
-"""Frames survive a round trip, and garbled ones are only ever a Failure."""
+"""Frames survive a round trip; garbled frames give a Failure, never an exception."""
 
 import tracemalloc
 
@@ -33,72 +33,77 @@
 def read_all(data: bytes) -> list[FrameContent | Failure]:
     reader = FrameReader(LIMIT)
     reader.feed(data)
-    found: list[FrameContent | Failure] = []
-    while (item := reader.take()) is not None:
-        found.append(item)
+    items: list[FrameContent | Failure] = []
+    while (item := reader.next_frame()) is not None:
+        items.append(item)
         if isinstance(item, Failure):
             break
-    return found
+    return items
 
 
 @seed(1)
 @settings(database=None, max_examples=50, deadline=None)
 @given(st.lists(st.integers(1, 40), max_size=20))
-def test_frames_come_through_however_the_stream_is_cut(cuts: list[int]) -> None:
-    beat = encode_frame(HEARTBEAT, LIMIT)
-    assert isinstance(beat, bytes)
-    data = make_frame() + beat + make_frame()
+def test_frames_are_decoded_however_the_stream_is_split(chunk_sizes: list[int]) -> None:
+    heartbeat = encode_frame(HEARTBEAT, LIMIT)
+    assert isinstance(heartbeat, bytes)
+    data = make_frame() + heartbeat + make_frame()
     reader = FrameReader(LIMIT)
-    found = []
-    for size in [*cuts, len(data)]:
+    items = []
+    for size in [*chunk_sizes, len(data)]:
         reader.feed(data[:size])
         data = data[size:]
-        while (item := reader.take()) is not None:
-            found.append(item)
-    assert [type(item) for item in found] == [FrameContent] * 3
-    first = found[0]
+        while (item := reader.next_frame()) is not None:
+            items.append(item)
+    assert [type(item) for item in items] == [FrameContent] * 3
+    first = items[0]
     assert isinstance(first, FrameContent) and first.message is not None
     assert first.message.runs[2].offset == 2
-    assert found[1] == HEARTBEAT
+    assert items[1] == HEARTBEAT
 
 
 @seed(2)
 @settings(database=None, max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.data())
-def test_garbled_bytes_are_a_failure_and_no_exception(
-    noise: bytes, data: st.DataObject
+def test_garbled_bytes_give_a_failure_and_no_exception(
+    garbage: bytes, data: st.DataObject
 ) -> None:
-    # A faulty network card, a port scanner or a release with a fault sends bytes
-    # that are no frame. An exception would end tasks that serve other peers.
-    result = decode_payload(noise)
+    # A faulty network card, a port scanner or a faulty release sends bytes that are
+    # not a frame. An exception would end tasks that serve other peers.
+    result = decode_payload(garbage)
     assert isinstance(result, FrameContent) or result.code is ResultCode.FRAME_MALFORMED
-    read_all(noise)
+    read_all(garbage)
     frame = bytearray(make_frame())
-    place = data.draw(st.integers(4, len(frame) - 1))
-    frame[place] = data.draw(st.integers(0, 255))
+    position = data.draw(st.integers(4, len(frame) - 1))
+    frame[position] = data.draw(st.integers(0, 255))
     assert len(read_all(bytes(frame))) == 1
 
 
-def test_a_garbled_length_takes_no_memory() -> None:
-    # Four flipped bytes claim a frame, a list or a text of two thousand million
-    # places. Whoever allocates first and looks later is killed for want of memory.
-    huge = b"\x7f\xff\xff\xff"
-    tokens_run = b"\x0c\x00\x20\x0f\x00\x01\x0c"
-    too_deep = b"\x0c\x00\x63" * 10_000
+def test_a_garbled_length_allocates_no_memory() -> None:
+    # Four garbled bytes announce a frame, list or string of two billion elements. A
+    # process that allocates before it checks the length is killed for lack of memory.
+    huge_length = b"\x7f\xff\xff\xff"
+    token_run_list = b"\x0c\x00\x20\x0f\x00\x01\x0c"
+    deeply_nested = b"\x0c\x00\x63" * 10_000
     tracemalloc.start()
-    for garbled in (huge, b"\x0b\x00\x63" + huge, tokens_run + huge, too_deep):
+    for garbled in (
+        huge_length,
+        b"\x0b\x00\x63" + huge_length,
+        token_run_list + huge_length,
+        deeply_nested,
+    ):
         assert isinstance(decode_payload(garbled), Failure)
-    assert isinstance(read_all(huge + b"x")[0], Failure)
+    assert isinstance(read_all(huge_length + b"x")[0], Failure)
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert peak < 1_000_000
 
 
-def test_a_message_that_no_frame_can_carry_is_a_failure() -> None:
-    # A part hands over a wrong type or an answer larger than a frame may be; it
-    # must hear so, and the connection goes on.
-    big = ttypes.Find(request="x" * LIMIT)
-    for message in (big, ttypes.Find(request=5), object()):
+def test_a_message_that_cannot_be_encoded_gives_a_failure() -> None:
+    # A caller passes a wrong type, or an answer that exceeds the frame limit. It must
+    # get a failure, and the connection must continue.
+    oversized = ttypes.Find(request="x" * LIMIT)
+    for message in (oversized, ttypes.Find(request=5), object()):
         failure = encode_frame(FrameContent(1, 0, message), LIMIT)
         assert isinstance(failure, Failure)
         assert failure.code is ResultCode.FRAME_MALFORMED
--- a/dewridge/tests/peers/relays.py
+++ b/dewridge/tests/peers/relays.py
@@ -1,19 +1,19 @@
-"""A relay between two ends that stops forwarding without closing anything."""
+"""A TCP relay that can stop forwarding without closing its connections."""
 
 import trio
 
 
 class Relay:
-    """Forwards connections to an address until told to go silent."""
+    """Forwards connections to an address until `silence` is called."""
 
     def __init__(self, target: str) -> None:
         self._target = target
         self._silenced = trio.Event()
         self.address = ""
-        self.opened = 0
+        self.connection_count = 0
 
     def silence(self) -> None:
-        """Stop forwarding on the connections open now; new ones work."""
+        """Stop forwarding on all open connections; later connections work."""
         self._silenced.set()
         self._silenced = trio.Event()
 
@@ -24,14 +24,18 @@
         task_status.started()
         await trio.serve_listeners(self._forward, listeners)
 
-    async def _forward(self, near: trio.SocketStream) -> None:
-        self.opened += 1
+    async def _forward(self, client_stream: trio.SocketStream) -> None:
+        self.connection_count += 1
         silenced = self._silenced
         host, _, port = self._target.rpartition(":")
-        far = await trio.open_tcp_stream(host, int(port))
-        async with near, far, trio.open_nursery() as nursery:
-            nursery.start_soon(self._copy, near, far, nursery, silenced)
-            nursery.start_soon(self._copy, far, near, nursery, silenced)
+        target_stream = await trio.open_tcp_stream(host, int(port))
+        async with client_stream, target_stream, trio.open_nursery() as nursery:
+            nursery.start_soon(
+                self._copy, client_stream, target_stream, nursery, silenced
+            )
+            nursery.start_soon(
+                self._copy, target_stream, client_stream, nursery, silenced
+            )
 
     async def _copy(
         self,
--- a/dewridge/tests/peers/transport_tests.py
+++ b/dewridge/tests/peers/transport_tests.py
@@ -1,4 +1,4 @@
-"""Messages between peers, over connections that break, garble and go silent."""
+"""Messages between peers, over connections that break, go silent or carry garbage."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -10,7 +10,7 @@
 from dewridge.ids import FailureDomain, HostId, Incarnation
 from dewridge.metrics.registry import Metrics
 from dewridge.peers.frames import FrameContent, encode_frame
-from dewridge.peers.hello import Greeting, make_hello
+from dewridge.peers.hello import HelloInfo, make_hello
 from dewridge.peers.model import Message, PeerIdentity
 from dewridge.peers.transport import PeerTransport
 from dewridge.peers.wire import ttypes
@@ -24,7 +24,7 @@
 FIND = ttypes.Find(request="account/key")
 
 
-def identify(host: str, incarnation: int = 1) -> PeerIdentity:
+def make_identity(host: str, incarnation: int = 1) -> PeerIdentity:
     return PeerIdentity(HostId(host), Incarnation(incarnation), FailureDomain("a"))
 
 
@@ -35,7 +35,7 @@
     transport = PeerTransport(
         settings=SETTINGS,
         deployment=deployment,
-        local_identity=identify(host),
+        local_identity=make_identity(host),
         metrics=metrics,
     )
     return transport, metrics
@@ -49,16 +49,16 @@
 async def run_pair() -> AsyncIterator[
     tuple[PeerTransport, PeerTransport, Metrics, Metrics]
 ]:
-    one, one_metrics = make_transport("one")
-    two, two_metrics = make_transport("two")
-    two.handle(ttypes.Find, answer_find)
+    caller, caller_metrics = make_transport("one")
+    callee, callee_metrics = make_transport("two")
+    callee.handle(ttypes.Find, answer_find)
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(one.run)
-            nursery.start_soon(two.run)
-            await one.wait_started()
-            await two.wait_started()
-            yield one, two, one_metrics, two_metrics
+            nursery.start_soon(caller.run)
+            nursery.start_soon(callee.run)
+            await caller.wait_started()
+            await callee.wait_started()
+            yield caller, callee, caller_metrics, callee_metrics
             nursery.cancel_scope.cancel()
 
 
@@ -67,203 +67,204 @@
     return isinstance(reply, ttypes.FindReply) and reply.found
 
 
-def code_of(reply: object) -> ResultCode:
+def get_code(reply: object) -> ResultCode:
     assert isinstance(reply, Failure), reply
     return reply.code
 
 
 async def test_many_calls_share_one_connection_and_each_gets_its_own_reply() -> None:
-    async with run_pair() as (one, two, metrics, _):
+    async with run_pair() as (caller, callee, metrics, _):
         replies: dict[int, Message] = {}
 
-        async def ask(length: int) -> None:
+        async def call_find(length: int) -> None:
             message = ttypes.Find(request="x" * length)
-            replies[length] = await one.call(two.address, message, 5)
+            replies[length] = await caller.call(callee.address, message, 5)
 
         async with trio.open_nursery() as nursery:
             for length in range(200):
-                nursery.start_soon(ask, length)
+                nursery.start_soon(call_find, length)
         assert all(replies[n].tokens == n for n in range(200))
         assert metrics.read("peer_connections_opened", direction="dialled") == 1
 
 
 async def test_messages_without_reply_are_handled_in_order() -> None:
-    async with run_pair() as (one, two, _, _):
-        seen: list[int] = []
+    async with run_pair() as (caller, callee, _, _):
+        received: list[int] = []
         done = trio.Event()
 
-        async def note(peer: PeerIdentity, message: Message) -> None:
+        async def record_stream(peer: PeerIdentity, message: Message) -> None:
             await trio.lowlevel.checkpoint()
-            seen.append(message.stream)
-            if len(seen) == 500:
+            received.append(message.stream)
+            if len(received) == 500:
                 done.set()
 
-        two.handle(ttypes.StopFollow, note)
+        callee.handle(ttypes.StopFollow, record_stream)
         for n in range(500):
-            assert one.send(two.address, ttypes.StopFollow(stream=n)) is None
+            assert caller.send(callee.address, ttypes.StopFollow(stream=n)) is None
         await done.wait()
-        assert seen == list(range(500))
+        assert received == list(range(500))
 
 
-async def test_a_silent_connection_is_abandoned_while_new_ones_work() -> None:
-    # Something between two hosts forgets their open connection: both ends look
-    # open, nothing comes through, new connections work. A caller whose request
-    # hangs on it must only notice one late reply.
-    async with run_pair() as (one, two, metrics, two_metrics):
-        relay = Relay(two.address)
+async def test_a_silent_connection_is_replaced_by_a_new_one() -> None:
+    # A device between two hosts drops the state of their connection: it looks open at
+    # both ends, nothing gets through, and new connections work. A request that uses
+    # the connection must be delayed by one late reply at most.
+    async with run_pair() as (caller, callee, metrics, callee_metrics):
+        relay = Relay(callee.address)
         async with trio.open_nursery() as nursery:
             await nursery.start(relay.run)
-            for _ in range(20):  # in use for a while, so that it is kept
-                assert await can_find(one, relay.address)
+            for _ in range(20):  # in use for a while, so that it stays open
+                assert await can_find(caller, relay.address)
                 await trio.sleep(0.03)
-            assert relay.opened == 1
+            assert relay.connection_count == 1
             relay.silence()
-            assert code_of(await one.call(relay.address, FIND, 0.1)) is (
+            assert get_code(await caller.call(relay.address, FIND, 0.1)) is (
                 ResultCode.PEER_TIMEOUT
             )
-            assert await can_find(one, relay.address)
-            assert relay.opened == 2
+            assert await can_find(caller, relay.address)
+            assert relay.connection_count == 2
             await trio.sleep(1.2)
-            ended = "peer_connections_ended"
+            ended_metric = "peer_connections_ended"
             assert (
-                metrics.read(ended, reason="silent")
-                + (metrics.read(ended, reason="unused"))
+                metrics.read(ended_metric, reason="silent")
+                + (metrics.read(ended_metric, reason="unused"))
                 >= 1
             )
-            assert two_metrics.read(ended, reason="silent") == 1
+            assert callee_metrics.read(ended_metric, reason="silent") == 1
             nursery.cancel_scope.cancel()
 
 
-async def test_a_call_that_hangs_on_a_silent_connection_fails_by_the_idle_timeout() -> (
-    None
-):
-    # The same, and the caller allowed a long time for its reply. Without the
-    # heartbeats it would wait all of it for an answer that can't come.
-    async with run_pair() as (one, two, _, _):
-        relay = Relay(two.address)
+async def test_a_call_on_a_silent_connection_fails_after_the_idle_timeout() -> None:
+    # As above, with a call that has a long timeout. Without heartbeats it would wait
+    # the full timeout for a reply that can't arrive.
+    async with run_pair() as (caller, callee, _, _):
+        relay = Relay(callee.address)
 
-        async def wait_long(peer: PeerIdentity, message: Message) -> None:
+        async def wait_forever(peer: PeerIdentity, message: Message) -> None:
             await trio.sleep_forever()
 
-        two.handle(ttypes.Cancel, wait_long)
+        callee.handle(ttypes.Cancel, wait_forever)
         async with trio.open_nursery() as nursery:
             await nursery.start(relay.run)
-            with trio.move_on_after(1.5) as alive:  # heartbeats keep it open
-                await one.call(relay.address, ttypes.Cancel(request="r"), 30)
-            assert alive.cancelled_caught
+            with trio.move_on_after(1.5) as open_period:  # heartbeats keep it open
+                await caller.call(relay.address, ttypes.Cancel(request="r"), 30)
+            assert open_period.cancelled_caught
             relay.silence()
-            began = trio.current_time()
-            reply = await one.call(relay.address, ttypes.Cancel(request="r"), 30)
-            assert code_of(reply) is ResultCode.PEER_TIMEOUT
-            assert trio.current_time() - began < 2 * SETTINGS.idle_timeout
+            start_time = trio.current_time()
+            reply = await caller.call(relay.address, ttypes.Cancel(request="r"), 30)
+            assert get_code(reply) is ResultCode.PEER_TIMEOUT
+            assert trio.current_time() - start_time < 2 * SETTINGS.idle_timeout
             nursery.cancel_scope.cancel()
 
 
-async def test_only_what_never_left_is_called_unreachable() -> None:
-    # A host is gone, or frozen so that its kernel takes connections and nobody
-    # greets, or it loses the reply. Only in the first two may the caller be told
-    # that nothing was run.
-    async with run_pair() as (one, two, _, _):
-        frozen = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        port = frozen[0].socket.getsockname()[1]
+async def test_only_messages_never_sent_fail_as_unreachable() -> None:
+    # A host is down, or it is frozen so that its kernel accepts connections but no
+    # hello arrives, or its reply is lost. Only in the first two cases may the caller
+    # be told that nothing was run.
+    async with run_pair() as (caller, callee, _, _):
+        frozen_listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+        port = frozen_listeners[0].socket.getsockname()[1]
         unreachable = ResultCode.PEER_UNREACHABLE
-        assert code_of(await one.call("127.0.0.1:1", FIND, 1)) is unreachable
-        assert code_of(await one.call(f"127.0.0.1:{port}", FIND, 9)) is unreachable
-        assert code_of(await one.call("not an address", FIND, 1)) is unreachable
+        assert get_code(await caller.call("127.0.0.1:1", FIND, 1)) is unreachable
+        assert get_code(await caller.call(f"127.0.0.1:{port}", FIND, 9)) is unreachable
+        assert get_code(await caller.call("not an address", FIND, 1)) is unreachable
 
-        async def lose(peer: PeerIdentity, message: Message) -> None:
+        async def drop_reply(peer: PeerIdentity, message: Message) -> None:
             return None
 
-        two.handle(ttypes.Find, lose)
-        lost = await one.call(two.address, FIND, 0.1)
-        assert code_of(lost) is ResultCode.PEER_TIMEOUT
-        await frozen[0].aclose()
+        callee.handle(ttypes.Find, drop_reply)
+        unanswered = await caller.call(callee.address, FIND, 0.1)
+        assert get_code(unanswered) is ResultCode.PEER_TIMEOUT
+        await frozen_listeners[0].aclose()
 
 
-async def test_a_foreign_or_garbled_connection_harms_no_other() -> None:
-    # A port scanner, a peer with a fault, an oversized frame and a host of another
-    # deployment all connect. Calls of a proper peer go on over its connection.
-    async with run_pair() as (one, two, metrics, two_metrics):
-        assert await can_find(one, two.address)
+async def test_a_foreign_or_garbled_connection_does_not_affect_others() -> None:
+    # A port scanner, a faulty peer, a peer that sends an oversized frame and a host of
+    # another deployment connect. Calls of a valid peer continue on its connection.
+    async with run_pair() as (caller, callee, metrics, callee_metrics):
+        assert await can_find(caller, callee.address)
         hello = encode_frame(
-            FrameContent(0, 0, make_hello(Greeting("test", identify("three")))), 5_000
+            FrameContent(0, 0, make_hello(HelloInfo("test", make_identity("three")))),
+            5_000,
         )
         assert isinstance(hello, bytes)
         oversized = (SETTINGS.frame_limit + 1).to_bytes(4, "big")
-        host, port = two.address.split(":")
-        for noise in (
+        host, port = callee.address.split(":")
+        for garbage in (
             b"GET / HTTP/1.1\r\n\r\n",
             hello + oversized,
             hello + b"\0\0\0\1x",
         ):
             stream = await trio.open_tcp_stream(host, int(port))
-            await stream.send_all(noise)
+            await stream.send_all(garbage)
             while await stream.receive_some():
                 pass
             await stream.aclose()
-        assert two_metrics.read("peer_frames_malformed") == 3
-        stranger, _ = make_transport("stranger", deployment="other")
+        assert callee_metrics.read("peer_frames_malformed") == 3
+        foreign_transport, _ = make_transport("stranger", deployment="other")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(stranger.run)
-            await stranger.wait_started()
-            refused = await stranger.call(two.address, FIND, 1)
-            assert code_of(refused) is ResultCode.PEER_REFUSED
+            nursery.start_soon(foreign_transport.run)
+            await foreign_transport.wait_started()
+            rejected = await foreign_transport.call(callee.address, FIND, 1)
+            assert get_code(rejected) is ResultCode.PEER_REFUSED
             nursery.cancel_scope.cancel()
-        assert await can_find(one, two.address)
+        assert await can_find(caller, callee.address)
         assert metrics.read("peer_connections_opened", direction="dialled") == 1
 
 
-async def test_a_fenced_peer_is_refused_also_on_a_connection_it_has() -> None:
-    # A host was paused, others took over its work, it wakes and goes on over its
-    # open connections. It must hear that it is fenced, and do nothing more.
-    async with run_pair() as (one, two, _, _):
-        assert await can_find(one, two.address)
-        two.check_peer = lambda peer: Failure(ResultCode.FENCED, "taken over")
-        cut_off = await one.call(two.address, FIND, 1)
-        assert code_of(cut_off) is ResultCode.PEER_TIMEOUT
-        refused = await one.call(two.address, FIND, 1)
-        assert code_of(refused) is ResultCode.FENCED
+async def test_a_fenced_peer_is_rejected_on_an_open_connection() -> None:
+    # A host is paused, others take over its work, and it resumes on its open
+    # connections. It must be told that it is fenced, and its calls must not be run.
+    async with run_pair() as (caller, callee, _, _):
+        assert await can_find(caller, callee.address)
+        callee.check_peer = lambda peer: Failure(ResultCode.FENCED, "taken over")
+        interrupted = await caller.call(callee.address, FIND, 1)
+        assert get_code(interrupted) is ResultCode.PEER_TIMEOUT
+        rejected = await caller.call(callee.address, FIND, 1)
+        assert get_code(rejected) is ResultCode.FENCED
 
 
-async def test_a_handler_fault_is_refused_as_internal() -> None:
-    # A handler meets a message that it does not understand. The peer must hear so
-    # at once, and later messages be answered.
-    async with run_pair() as (one, two, _, _):
+async def test_an_exception_in_a_handler_is_returned_as_internal() -> None:
+    # A handler raises on a message that it does not understand. The peer must get an
+    # error at once, and later messages must be answered.
+    async with run_pair() as (caller, callee, _, _):
 
-        async def fail(peer: PeerIdentity, message: Message) -> None:
+        async def raise_error(peer: PeerIdentity, message: Message) -> None:
             raise ValueError("a fault")
 
-        two.handle(ttypes.Cancel, fail)
-        reply = await one.call(two.address, ttypes.Cancel(request="r"), 5)
-        assert code_of(reply) is ResultCode.INTERNAL
-        unknown = await one.call(two.address, ttypes.ReadUsage(profile="p"), 5)
-        assert code_of(unknown) is ResultCode.PEER_REFUSED
-        assert await can_find(one, two.address)
+        callee.handle(ttypes.Cancel, raise_error)
+        reply = await caller.call(callee.address, ttypes.Cancel(request="r"), 5)
+        assert get_code(reply) is ResultCode.INTERNAL
+        unhandled = await caller.call(callee.address, ttypes.ReadUsage(profile="p"), 5)
+        assert get_code(unhandled) is ResultCode.PEER_REFUSED
+        assert await can_find(caller, callee.address)
 
 
-async def test_a_blocked_write_ends_the_connection() -> None:
-    # A peer greets and then reads nothing more, so that its buffers fill up. What
-    # is sent to it must not gather here for the minutes that a kernel retries.
-    async with run_pair() as (one, _, metrics, _):
+async def test_a_blocked_write_closes_the_connection() -> None:
+    # A peer sends its hello and then stops reading, so that its buffers fill up.
+    # Messages to it must not pile up here for the minutes that the kernel retries.
+    async with run_pair() as (caller, _, metrics, _):
 
-        async def greet_only(stream: trio.SocketStream) -> None:
-            hello = make_hello(Greeting("test", identify("stuck")))
+        async def send_hello_only(stream: trio.SocketStream) -> None:
+            hello = make_hello(HelloInfo("test", make_identity("stuck")))
             frame = encode_frame(FrameContent(0, 0, hello), 5_000)
             assert isinstance(frame, bytes)
             await stream.send_all(frame)
-            while True:  # heartbeats, so that it looks alive
+            while True:  # heartbeats, so that the peer seems live
                 await trio.sleep(0.1)
-                await stream.send_all(b"\0\0\0\x17" + _BEAT)
+                await stream.send_all(b"\0\0\0\x17" + _HEARTBEAT_PAYLOAD)
 
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(partial(trio.serve_listeners, greet_only, listeners))
-            big = ttypes.Find(request="x" * 40_000)
+            nursery.start_soon(
+                partial(trio.serve_listeners, send_hello_only, listeners)
+            )
+            large_message = ttypes.Find(request="x" * 40_000)
             while not metrics.read("peer_connections_ended", reason="write_blocked"):
-                one.send(address, big)
+                caller.send(address, large_message)
                 await trio.sleep(0.002)
             nursery.cancel_scope.cancel()
 
 
-_BEAT = b"\n\0\1" + bytes(8) + b"\n\0\2" + bytes(8) + b"\0"
+_HEARTBEAT_PAYLOAD = b"\n\0\1" + bytes(8) + b"\n\0\2" + bytes(8) + b"\0"
