--- a/dewridge/client/addresses.py
+++ b/dewridge/client/addresses.py
@@ -9,11 +9,11 @@
 
 FetchList = Callable[[str], Awaitable[ListedHosts | Failure]]
 """Asks one address for the entry list."""
-AVOID_SECONDS = 5.0
+AVOID_TIME = 5.0
 """How long an address that failed is tried last. Longer than a restart, shorter
 than the time that an entry list is kept."""
 
-REFRESH_PAUSE = 1.0
+MIN_REFRESH_INTERVAL = 1.0
 """Least time between two reads of the list. When a host dies, each of its
 streams fails at the same moment; one read serves them all."""
 
@@ -48,10 +48,10 @@
         for address in addresses:
             self._avoid.pop(address, None)
 
-    def note_failed(self, address: str) -> None:
+    def mark_failed(self, address: str) -> None:
         """Try an address last for a while."""
-        self._avoid[address] = trio.current_time() + AVOID_SECONDS
-        self._expires = min(self._expires, self._refreshed + REFRESH_PAUSE)
+        self._avoid[address] = trio.current_time() + AVOID_TIME
+        self._expires = min(self._expires, self._refreshed + MIN_REFRESH_INTERVAL)
 
     def _order(self) -> list[str]:
         now = trio.current_time()
@@ -64,7 +64,7 @@
             self._refreshed = trio.current_time()
             if not isinstance(listed, Failure):
                 self._listed = [host.address for host in listed.hosts]
-                self._expires = self._refreshed + max(REFRESH_PAUSE, listed.ttl)
+                self._expires = self._refreshed + max(MIN_REFRESH_INTERVAL, listed.ttl)
                 return
-            self._avoid[address] = self._refreshed + AVOID_SECONDS
-        self._expires = self._refreshed + REFRESH_PAUSE
+            self._avoid[address] = self._refreshed + AVOID_TIME
+        self._expires = self._refreshed + MIN_REFRESH_INTERVAL
--- a/dewridge/client/client.py
+++ b/dewridge/client/client.py
@@ -14,7 +14,7 @@
 
 from dewridge.client.addresses import AddressBook
 from dewridge.client.frames import (
-    AcceptedNote,
+    AcceptedEvent,
     FrameError,
     ListedHosts,
     StreamItem,
@@ -29,9 +29,9 @@
 from dewridge.requests.model import AnswerSummary, MovedEvent, TokensEvent
 from dewridge.sentinels import Failure
 
-POOL_CONNECTIONS = 1000
+MAX_CONNECTIONS = 1000
 """Connections of one client; each answer that is followed holds one."""
-NEVER_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 """Errors after which the host has not seen the request."""
 
 
@@ -70,7 +70,7 @@
             headers={"Authorization": f"Bearer {token}"},
             # Waits for answers have deadlines of their own.
             timeout=httpx.Timeout(None, connect=self._limits.connect_timeout),
-            limits=httpx.Limits(max_connections=POOL_CONNECTIONS),
+            limits=httpx.Limits(max_connections=MAX_CONNECTIONS),
             trust_env=False,
             verify=False,  # hosts are reached by IP number, without TLS
         )
@@ -103,7 +103,7 @@
         and the deadline allows; the call does not run twice by it.
         """
         key = RequestKey(call.key.lower() or str(uuid7()))
-        progress = Progress(self._limits.submissions)
+        progress = Progress(self._limits.max_submissions)
         ends = trio.current_time() + call.deadline
         run = _Run(call, key, ends, on_event, progress)
         return await self._finish(run)
@@ -134,7 +134,7 @@
 
     async def _take_turn(self, run: _Run) -> bool:
         progress = run.progress
-        bound = self._limits.submissions
+        bound = self._limits.max_submissions
         if not progress.accepted and 0 < bound <= progress.submissions:
             return False
         address = await self._choose_address(run)
@@ -143,8 +143,8 @@
             return await self._pause(run)
         try:
             step = await self._exchange(run, address)
-        except NEVER_SENT:
-            run.progress.note_never_sent()
+        except NOT_SENT_ERRORS:
+            run.progress.undo_submission()
             step = self._note_broken(run, address)
         except (httpx.HTTPError, FrameError, trio.TooSlowError):
             step = self._note_broken(run, address)
@@ -153,9 +153,9 @@
         return await self._pause(run)
 
     def _note_broken(self, run: _Run, address: str) -> Step:
-        self._book.note_failed(address)
+        self._book.mark_failed(address)
         run.failures += 1
-        return Step.REJOIN
+        return Step.RECONNECT
 
     async def _choose_address(self, run: _Run) -> str | None:
         addresses = await self._book.list_addresses()
@@ -183,11 +183,11 @@
         # A host that hangs must not use up the deadline of a short call. Going
         # to another host too early costs little: the key joins what runs.
         left = run.deadline - trio.current_time()
-        share = left * self._limits.patience
-        return min(limit, max(self._limits.least_patience, share))
+        share = left * self._limits.host_time_share
+        return min(limit, max(self._limits.min_host_timeout, share))
 
     def _build_submit(self, run: _Run, call: Call, address: str) -> httpx.Request:
-        number = run.progress.note_sending()
+        number = run.progress.begin_submission()
         body = {
             "key": run.key,
             "submission": number,
@@ -220,7 +220,7 @@
         refusal = decode_problem(content, response.status_code, header)
         run.failures += 1
         run.turn += 1
-        return run.progress.note_refused(refusal.failure, refusal.is_not_run)
+        return run.progress.handle_rejection(refusal.failure, refusal.is_not_run)
 
     async def _read_stream(self, run: _Run, response: httpx.Response) -> Step:
         async with aclosing(read_events(response.aiter_lines())) as items:
@@ -232,24 +232,24 @@
                 ):
                     item = await anext(items, None)
                 step = self._take_item(run, item)
-                if step is not Step.READ_ON:
+                if step is not Step.CONTINUE:
                     return step
 
     def _take_item(self, run: _Run, item: StreamItem | None) -> Step:
         progress = run.progress
         if item is None:
             run.failures += 1
-            return Step.REJOIN
-        if isinstance(item, AcceptedNote):
-            progress.note_accepted(item.generation)
+            return Step.RECONNECT
+        if isinstance(item, AcceptedEvent):
+            progress.record_accepted(item.generation)
             run.failures = 0
-            return Step.READ_ON
+            return Step.CONTINUE
         if isinstance(item, MovedEvent):
             self._book.prefer(item.addresses)
             run.failures += 1
             run.turn = 0
         before = progress.generation, len(progress.tokens)
-        step = progress.note_event(item)
+        step = progress.handle_event(item)
         if isinstance(item, TokensEvent):
             run.failures = 0
             _report_tokens(run, *before)
@@ -262,8 +262,8 @@
         limits = self._limits
         backoff = 0.0
         if run.failures > 1:  # the first failure is met by another host at once
-            longest = limits.first_pause * 2.0 ** min(run.failures - 2, 10)
-            backoff = self._random.uniform(0.5, 1) * min(limits.last_pause, longest)
+            longest = limits.initial_backoff * 2.0 ** min(run.failures - 2, 10)
+            backoff = self._random.uniform(0.5, 1) * min(limits.max_backoff, longest)
         # Callers that were refused together are told the same time; coming back
         # together they would be refused together again.
         wanted = run.progress.retry_after * self._random.uniform(1, 1.25)
@@ -280,7 +280,7 @@
     async def _wait_out(self, run: _Run) -> bool:
         # An accepted request gets its final word about its deadline; ask for it
         # until the grace has passed.
-        await trio.sleep(min(self._limits.last_pause, self._limits.grace / 4))
+        await trio.sleep(min(self._limits.max_backoff, self._limits.grace / 4))
         return True
 
     def _make_answer(self, run: _Run) -> Answer:
@@ -289,7 +289,7 @@
         if failure is None:
             reason = "no entry host could be reached"
             failure = Failure(ResultCode.PEER_UNREACHABLE, reason)
-        if ended is None and (progress.in_doubt or progress.accepted):
+        if ended is None and (progress.is_outcome_uncertain or progress.accepted):
             reason = "no final answer came before the deadline"
             failure = Failure(ResultCode.OUTCOME_UNKNOWN, reason)
         is_whole = ended is not None and ended.code is ResultCode.OK
@@ -316,7 +316,7 @@
             result = await ask(address)
             if not _is_unreachable(result):
                 return result
-            self._book.note_failed(address)
+            self._book.mark_failed(address)
         return result
 
     async def _ask(self, method: str, address: str, key: str) -> Any | Failure:
--- a/dewridge/client/frames.py
+++ b/dewridge/client/frames.py
@@ -19,19 +19,19 @@
 )
 from dewridge.sentinels import Failure
 
-LINE_LIMIT = 16_000_000
+MAX_LINE_CHARS = 16_000_000
 """Characters of one line; a host that sends more is taken for broken."""
 
 
 @dataclass(frozen=True, slots=True)
-class AcceptedNote:
+class AcceptedEvent:
     """The host has accepted the submission."""
 
     generation: Generation
     attached: bool
 
 
-StreamItem = AnswerEvent | AcceptedNote
+StreamItem = AnswerEvent | AcceptedEvent
 
 
 class FrameError(Exception):
@@ -83,7 +83,7 @@
     """
     name = ""
     async for line in lines:
-        if len(line) > LINE_LIMIT:
+        if len(line) > MAX_LINE_CHARS:
             raise FrameError("a line is too long")
         field, _, value = line.partition(":")
         if field == "event":
@@ -114,7 +114,7 @@
 
 
 _MAKERS: dict[str, Callable[[_Frame], StreamItem]] = {
-    "accepted": lambda f: AcceptedNote(Generation(f.generation), f.attached),
+    "accepted": lambda f: AcceptedEvent(Generation(f.generation), f.attached),
     "tokens": lambda f: TokensEvent(Generation(f.generation), f.offset, f.tokens),
     "restart": lambda f: RestartEvent(Generation(f.generation)),
     "moved": lambda f: MovedEvent(f.addresses),
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class Rejection:
     """An error answer.
 
     Attributes:
@@ -144,20 +144,20 @@
     is_not_run: bool
 
 
-def decode_problem(content: bytes, status: int, header: str | None) -> Refusal:
+def decode_problem(content: bytes, status: int, header: str | None) -> Rejection:
     """Decode an error answer; anything else than a problem is INTERNAL."""
     try:
         problem = msgspec.json.decode(content, type=_Problem)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         reason = f"the host answered {status} without a problem document"
         failure = Failure(ResultCode.INTERNAL, reason, _read_seconds(header))
-        return Refusal(failure, False)
+        return Rejection(failure, False)
     seconds = problem.retry_after
     if seconds is None:
         seconds = _read_seconds(header)
     reason = problem.detail or problem.title
     failure = Failure(read_code(problem.code), reason, seconds)
-    return Refusal(failure, problem.outcome == Outcome.NOT_RUN.value)
+    return Rejection(failure, problem.outcome == Outcome.NOT_RUN.value)
 
 
 def _read_seconds(header: str | None) -> float | None:
--- a/dewridge/client/model.py
+++ b/dewridge/client/model.py
@@ -56,7 +56,7 @@
     hosts: tuple[str, ...] = ()
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the whole answer came."""
         return self.code is ResultCode.OK
 
@@ -77,24 +77,24 @@
             hop that forgets a connection never closes it.
         list_timeout: for the entry list and other short reads.
         accept_timeout: from sending to the first answer.
-        patience: part of the time left that one host may take of it.
-        least_patience: but at least this long; more than a heartbeat.
-        first_pause: before the second try at hosts that failed; it doubles.
-        last_pause: longest pause between tries.
+        host_time_share: part of the time left that one host may take of it.
+        min_host_timeout: but at least this long; more than a heartbeat.
+        initial_backoff: before the second try at hosts that failed; it doubles.
+        max_backoff: longest pause between tries.
         grace: past the deadline, for the final word to arrive.
-        submissions: sendings of one key at most; 0 sets no bound.
+        max_submissions: sendings of one key at most; 0 sets no bound.
     """
 
     connect_timeout: float = 1.0
     silence_timeout: float = 7.0
     list_timeout: float = 1.5
     accept_timeout: float = 10.0
-    patience: float = 0.3
-    least_patience: float = 2.5
-    first_pause: float = 0.05
-    last_pause: float = 2.0
+    host_time_share: float = 0.3
+    min_host_timeout: float = 2.5
+    initial_backoff: float = 0.05
+    max_backoff: float = 2.0
     grace: float = 2.0
-    submissions: int = 0
+    max_submissions: int = 0
 
 
 OnEvent = Callable[[AnswerEvent], None]
--- a/dewridge/client/progress.py
+++ b/dewridge/client/progress.py
@@ -12,7 +12,7 @@
 )
 from dewridge.sentinels import Failure
 
-FINAL_REFUSALS = frozenset(
+FINAL_REJECTIONS = frozenset(
     {
         ResultCode.MALFORMED_REQUEST,
         ResultCode.MALFORMED_KEY,
@@ -28,13 +28,15 @@
 )
 """Refusals that another try with the same input and deadline does not change."""
 
-LAGGING_REFUSALS = frozenset({ResultCode.UNKNOWN_SERVICE, ResultCode.UNKNOWN_OPERATION})
+STALE_HOST_REJECTIONS = frozenset(
+    {ResultCode.UNKNOWN_SERVICE, ResultCode.UNKNOWN_OPERATION}
+)
 """Refusals by a host that may not have heard of a new service yet."""
-LAGGING_TRIES = 3
+MAX_STALE_HOST_REJECTIONS = 3
 """Hosts asked before such a refusal is believed; more would hide a wrong name."""
 
 
-UNKNOWN_TO_RESUBMIT = 2
+UNKNOWNS_BEFORE_RESUBMIT = 2
 """Times that an outcome is unknown before the key is sent again: what a holder that
 woke up delivers is there the second time."""
 
@@ -42,8 +44,8 @@
 class Step(Enum):
     """What a client does after an event."""
 
-    READ_ON = "read_on"
-    REJOIN = "rejoin"
+    CONTINUE = "read_on"
+    RECONNECT = "rejoin"
     """Follow the answer on another connection."""
     RESUBMIT = "resubmit"
     """Send the call again, with the next submission number."""
@@ -55,78 +57,81 @@
 
     Attributes:
         accepted: whether a host has accepted it; then it is followed by key.
-        in_doubt: whether a submission went out whose fate is not known.
+        is_outcome_uncertain: whether a submission went out whose fate is not known.
     """
 
-    def __init__(self, most_submissions: int = 0) -> None:
+    def __init__(self, max_submissions: int = 0) -> None:
         """Begin a call.
 
         Args:
-            most_submissions: sendings of its key at most; 0 sets no bound.
+            max_submissions: sendings of its key at most; 0 sets no bound.
         """
         self.submissions = 0
         self.restarts = 0
         self.generation = 0
         self.tokens: list[str] = []
         self.accepted = False
-        self.in_doubt = False
+        self.is_outcome_uncertain = False
         self.last_failure: Failure | None = None
         self.ended: EndedEvent | None = None
         self.retry_after = 0.0
         self._doubt_before = False
         self._lagging = 0
-        self._most_submissions = most_submissions
+        self._most_submissions = max_submissions
         self._times_unknown = 0
 
-    def note_sending(self) -> int:
+    def begin_submission(self) -> int:
         """Number one more submission."""
         self.submissions += 1
-        self._doubt_before = self.in_doubt
-        self.in_doubt = True
+        self._doubt_before = self.is_outcome_uncertain
+        self.is_outcome_uncertain = True
         self.ended = None
         return self.submissions
 
-    def note_never_sent(self) -> None:
+    def undo_submission(self) -> None:
         """Take back the last submission, which never left this client."""
         if not self.accepted:
-            self.in_doubt = self._doubt_before
+            self.is_outcome_uncertain = self._doubt_before
             self.submissions -= 1
 
-    def note_accepted(self, generation: int) -> None:
+    def record_accepted(self, generation: int) -> None:
         """Record that a host keeps the request now."""
         self.accepted = True
         self._begin(generation)
 
-    def note_refused(self, failure: Failure, is_not_run: bool) -> Step:
+    def handle_rejection(self, failure: Failure, is_not_run: bool) -> Step:
         """Record an error answer and decide what follows."""
         self.last_failure = failure
         self.retry_after = failure.retry_after or 0.0
         if is_not_run and not self.accepted:
-            self.in_doubt = False
+            self.is_outcome_uncertain = False
         if failure.code is ResultCode.UNKNOWN_REQUEST:
             # Accepted once, known nowhere now: its copies are lost. The same
             # key sent again joins it, runs it, or is told what became of it.
             self.accepted = False
             return Step.RESUBMIT
-        if failure.code in LAGGING_REFUSALS:
+        if failure.code in STALE_HOST_REJECTIONS:
             self._lagging += 1
-        if failure.code in FINAL_REFUSALS or self._lagging >= LAGGING_TRIES:
+        if (
+            failure.code in FINAL_REJECTIONS
+            or self._lagging >= MAX_STALE_HOST_REJECTIONS
+        ):
             return Step.FINISH
-        return Step.REJOIN if self.accepted else Step.RESUBMIT
+        return Step.RECONNECT if self.accepted else Step.RESUBMIT
 
-    def note_event(self, event: AnswerEvent) -> Step:
+    def handle_event(self, event: AnswerEvent) -> Step:
         """Take in an event and decide what follows."""
         match event:
             case TokensEvent():
                 return self._take_tokens(event)
             case RestartEvent():
                 self._begin(event.generation)
-                return Step.READ_ON
+                return Step.CONTINUE
             case MovedEvent():
-                return Step.REJOIN
+                return Step.RECONNECT
             case EndedEvent():
                 return self._take_end(event)
-        return Step.READ_ON
+        return Step.CONTINUE
 
     def _begin(self, generation: int) -> None:
         if generation == self.generation:
@@ -140,19 +145,19 @@
         # A late copy of an earlier generation, or a gap, must not get into the
         # answer: the first is dropped, the second is asked for again.
         if event.generation < self.generation:
-            return Step.READ_ON
+            return Step.CONTINUE
         if event.generation > self.generation:
             self._begin(event.generation)
         if event.offset > len(self.tokens):
-            return Step.REJOIN
+            return Step.RECONNECT
         known = len(self.tokens) - event.offset
         self.tokens.extend(event.tokens[known:])
-        return Step.READ_ON
+        return Step.CONTINUE
 
     def _take_end(self, event: EndedEvent) -> Step:
         is_short = event.summary.tokens > len(self.tokens) and not event.body
         if event.code is ResultCode.OK and is_short:
-            return Step.REJOIN  # the end overtook tokens
+            return Step.RECONNECT  # the end overtook tokens
         self.ended = event
         failure = Failure(event.code, event.reason, event.retry_after)
         self.last_failure = failure
@@ -161,8 +166,8 @@
             return Step.FINISH
         if failure.is_not_run:
             self.accepted = False
-            self.in_doubt = False
-            return Step.FINISH if event.code in FINAL_REFUSALS else Step.RESUBMIT
+            self.is_outcome_uncertain = False
+            return Step.FINISH if event.code in FINAL_REJECTIONS else Step.RESUBMIT
         if event.retry_after is None:
             return Step.FINISH
         return self._come_back()
@@ -177,8 +182,8 @@
         """
         self._times_unknown += 1
         is_last = 0 < self._most_submissions <= self.submissions
-        if self._times_unknown < UNKNOWN_TO_RESUBMIT or is_last:
-            return Step.REJOIN
+        if self._times_unknown < UNKNOWNS_BEFORE_RESUBMIT or is_last:
+            return Step.RECONNECT
         self._times_unknown = 0
         self.accepted = False
         return Step.RESUBMIT
--- a/dewridge/commands/request.py
+++ b/dewridge/commands/request.py
@@ -72,7 +72,7 @@
         print_json(_describe(answer))
     else:
         _print_end(answer)
-    if not answer.is_whole:
+    if not answer.is_complete:
         end = Failure(answer.code, f"{answer.reason} (key {answer.key})".strip())
         end_failed(Failure(end.code, end.reason, answer.retry_after))
 
@@ -119,7 +119,7 @@
         typer.echo()
     if answer.result is not None:
         print_json(answer.result)
-    if answer.is_whole:
+    if answer.is_complete:
         done = answer.summary
         typer.echo(
             f"[{answer.key} {done.backend_server} in {done.failure_domain}, "
--- a/dewridge/frontend/app.py
+++ b/dewridge/frontend/app.py
@@ -14,11 +14,11 @@
 
 from dewridge.codes import Outcome, ResultCode
 from dewridge.frontend.callers import add_caller_routes
-from dewridge.frontend.limits import StreamLimits
-from dewridge.frontend.model import ConfigurationStore, FrontendParts, ReadUsage
+from dewridge.frontend.limits import StreamLimiter
+from dewridge.frontend.model import ConfigurationStore, FrontendComponents, ReadUsage
 from dewridge.frontend.operators import add_operator_routes
 from dewridge.frontend.problems import answer_failure
-from dewridge.frontend.tokens import TokenBook
+from dewridge.frontend.tokens import TokenAuthenticator
 from dewridge.membership.model import MembershipView
 from dewridge.metrics.registry import Metrics
 from dewridge.requests.model import Requests
@@ -39,7 +39,7 @@
     is_leaving: Callable[[], bool],
 ) -> QuartTrio:
     """Build the application; the parts given do the work."""
-    parts = FrontendParts(
+    parts = FrontendComponents(
         settings=settings,
         requests=requests,
         configuration=configuration,
@@ -47,8 +47,8 @@
         usage=usage,
         dumps=dumps,
         metrics=metrics,
-        tokens=TokenBook(settings.accounts, settings.operators),
-        streams=StreamLimits(settings.frontend.account_stream_limit),
+        tokens=TokenAuthenticator(settings.accounts, settings.operators),
+        streams=StreamLimiter(settings.frontend.account_stream_limit),
         is_leaving=is_leaving,
     )
     app = QuartTrio("dewridge")
@@ -91,7 +91,9 @@
         return answer_failure(Failure(ResultCode.INTERNAL))
 
 
-def _make_describe(parts: FrontendParts) -> Callable[[], Awaitable[dict[str, object]]]:
+def _make_describe(
+    parts: FrontendComponents,
+) -> Callable[[], Awaitable[dict[str, object]]]:
     async def describe() -> dict[str, object]:
         return {
             "streams": parts.streams.describe(),
--- a/dewridge/frontend/bodies.py
+++ b/dewridge/frontend/bodies.py
@@ -18,13 +18,13 @@
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import FrontendSettings
 
-INT32 = 2**31 - 1
+MAX_INT32 = 2**31 - 1
 """Largest number that the messages between hosts carry."""
-TOKENS_LIMIT = 1_000_000
-NAME_LIMIT = 128
-REASON_LIMIT = 300
+MAX_REQUESTED_TOKENS = 1_000_000
+MAX_NAME_CHARS = 128
+MAX_REASON_CHARS = 300
 
-Count = Annotated[int, msgspec.Meta(ge=0, le=INT32)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_INT32)]
 T = TypeVar("T")
 
 
@@ -41,12 +41,12 @@
     """
 
     key: str
-    operation: Annotated[str, msgspec.Meta(min_length=1, max_length=NAME_LIMIT)]
+    operation: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
     input: msgspec.Raw
-    submission: Annotated[int, msgspec.Meta(ge=1, le=INT32)] = 1
+    submission: Annotated[int, msgspec.Meta(ge=1, le=MAX_INT32)] = 1
     deadline_seconds: Annotated[float, msgspec.Meta(gt=0)] | None = None
     deadline: Annotated[float, msgspec.Meta(gt=0)] | None = None
-    max_tokens: Annotated[int, msgspec.Meta(ge=0, le=TOKENS_LIMIT)] = 0
+    max_tokens: Annotated[int, msgspec.Meta(ge=0, le=MAX_REQUESTED_TOKENS)] = 0
     stream: bool = False
 
 
@@ -57,7 +57,7 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Failure(code, str(error)[:REASON_LIMIT])
+        return Failure(code, str(error)[:MAX_REASON_CHARS])
     except RecursionError:
         return Failure(code, "nested too deeply")
 
@@ -66,13 +66,13 @@
     """Read a whole number of a query; absent is 0."""
     if not text:
         return 0
-    if text.isascii() and text.isdigit() and len(text) <= 10 and int(text) <= INT32:
+    if text.isascii() and text.isdigit() and len(text) <= 10 and int(text) <= MAX_INT32:
         return int(text)
-    reason = f"`{name}` must be a whole number from 0 to {INT32}"
+    reason = f"`{name}` must be a whole number from 0 to {MAX_INT32}"
     return Failure(ResultCode.MALFORMED_REQUEST, reason)
 
 
-def parse_place(
+def parse_position(
     generation: str | None, offset: str | None
 ) -> tuple[Generation, int] | Failure:
     """Read the place in an answer from which a caller wants to follow it."""
--- a/dewridge/frontend/callers.py
+++ b/dewridge/frontend/callers.py
@@ -13,19 +13,19 @@
     RequestBody,
     decode_body,
     make_submission,
-    parse_place,
+    parse_position,
 )
 from dewridge.frontend.entry import make_entry_list
-from dewridge.frontend.events import make_end
+from dewridge.frontend.events import make_end_frame
 from dewridge.frontend.keys import parse_key
-from dewridge.frontend.model import FrontendParts
+from dewridge.frontend.model import FrontendComponents
 from dewridge.frontend.problems import answer_failure, answer_json
 from dewridge.frontend.streams import (
     EVENT_STREAM,
     Follower,
-    Place,
+    Position,
+    answer_complete,
     answer_stream,
-    answer_whole,
 )
 from dewridge.ids import ClientAccount, RequestKey, ServiceName
 from dewridge.requests.model import Accepted, RequestStatus, Submission
@@ -35,12 +35,12 @@
 """Seconds past the deadline that a whole answer is waited for, so that the final
 word on a missed deadline still arrives on the same connection."""
 
-SUBMIT_LIMIT = 30.0
+SUBMIT_TIMEOUT = 30.0
 """Seconds for accepting a submission; the steps in it have shorter timeouts."""
 RETRY_AFTER = 1.0
 
 
-def add_caller_routes(app: QuartTrio, parts: FrontendParts) -> None:
+def add_caller_routes(app: QuartTrio, parts: FrontendComponents) -> None:
     """Add the routes that client accounts use."""
 
     @app.get("/v1/entry-hosts")
@@ -78,12 +78,14 @@
         if wants_stream:
             return answer_stream(parts, follower)
         timeout = submission.deadline - time.time() + DEADLINE_GRACE
-        return await answer_whole(parts, follower, max(DEADLINE_GRACE, timeout))
+        return await answer_complete(parts, follower, max(DEADLINE_GRACE, timeout))
 
     @app.get("/v1/requests/<key>")
     async def follow_request(key: str) -> Response:
         found = _find_request(parts, key)
-        place = parse_place(request.args.get("generation"), request.args.get("offset"))
+        place = parse_position(
+            request.args.get("generation"), request.args.get("offset")
+        )
         if isinstance(found, Failure):
             return answer_failure(found)
         if isinstance(place, Failure):
@@ -101,7 +103,7 @@
         return answer_status(found[1], status)
 
 
-def find_account(parts: FrontendParts) -> ClientAccount | Failure:
+def find_account(parts: FrontendComponents) -> ClientAccount | Failure:
     """Return the account whose token the request carries."""
     account = parts.tokens.find_account(request.headers.get("Authorization"))
     if isinstance(account, Failure):
@@ -116,7 +118,7 @@
 
 
 async def _receive_submission(
-    parts: FrontendParts, name: ServiceName
+    parts: FrontendComponents, name: ServiceName
 ) -> tuple[Submission, bool] | Failure:
     account = find_account(parts)
     if isinstance(account, Failure):
@@ -131,10 +133,10 @@
 
 
 async def _answer_request(
-    parts: FrontendParts,
+    parts: FrontendComponents,
     account: ClientAccount,
     key: RequestKey,
-    place: Place,
+    place: Position,
 ) -> Response:
     status = await parts.requests.look_up(account, key)
     if isinstance(status, Failure):
@@ -147,10 +149,12 @@
     if _wants_stream():
         follower = Follower(parts, account, key, place)
         return answer_stream(parts, follower)
-    return await answer_whole(parts, Follower(parts, account, key), DEADLINE_GRACE)
+    return await answer_complete(parts, Follower(parts, account, key), DEADLINE_GRACE)
 
 
-async def _submit(parts: FrontendParts, submission: Submission) -> Accepted | Failure:
+async def _submit(
+    parts: FrontendComponents, submission: Submission
+) -> Accepted | Failure:
     started = trio.current_time()
     # The server cancels this handler when the caller drops its connection.
     # Halfway through acceptance that could leave copies that nobody owns, so
@@ -158,8 +162,8 @@
     accepted: Accepted | Failure = Failure(
         ResultCode.OUTCOME_UNKNOWN, "acceptance took too long", RETRY_AFTER
     )
-    scope = trio.CancelScope(shield=True, deadline=started + SUBMIT_LIMIT)
-    with parts.streams.hold(submission.account), scope:
+    scope = trio.CancelScope(shield=True, deadline=started + SUBMIT_TIMEOUT)
+    with parts.streams.track_stream(submission.account), scope:
         accepted = await parts.requests.submit(submission)
     parts.metrics.observe("frontend_submit_seconds", trio.current_time() - started)
     code = accepted.code if isinstance(accepted, Failure) else 1
@@ -168,7 +172,7 @@
 
 
 def _find_request(
-    parts: FrontendParts, key: str
+    parts: FrontendComponents, key: str
 ) -> tuple[ClientAccount, RequestKey] | Failure:
     account = find_account(parts)
     if isinstance(account, Failure):
@@ -201,6 +205,6 @@
         state=status.state.value,
         generation=status.generation,
         tokens=status.tokens,
-        end=make_end(status.ended) if status.ended else None,
+        end=make_end_frame(status.ended) if status.ended else None,
     )
     return answer_json(content, 200 if status.ended else 202)
--- a/dewridge/frontend/connections.py
+++ b/dewridge/frontend/connections.py
@@ -9,19 +9,19 @@
 from dewridge.metrics.registry import Metrics
 from dewridge.sentinels import Failure
 
-TURN_AWAY_TIMEOUT = 0.5
+REJECTION_TIMEOUT = 0.5
 """Seconds for telling a caller that there is no room; it costs a task meanwhile."""
-TURN_AWAY_LIMIT = 128
+MAX_CONCURRENT_REJECTIONS = 128
 """Callers told so at once; beyond it a flood's connections are closed unanswered."""
 RETRY_AFTER = 1
-INPUT_PAUSE = 0.005
+INPUT_POLL_INTERVAL = 0.005
 """Seconds between two looks whether input that has come was read; reading it takes a
 turn of the process, and it is looked for at a connection's end only."""
-LOOKS_PER_TIMEOUT = 4
+CHECKS_PER_TIMEOUT = 4
 """How often stalled writes are looked for; one lasts a quarter too long at most."""
 
 
-class BoundedStream:
+class TimedStream:
     """A connection whose writes must get on.
 
     A caller that stops reading, or that a hop has lost track of, raises no
@@ -63,12 +63,12 @@
         finally:
             self.is_reading = False
 
-    async def wait_read(self) -> None:
+    async def wait_input_delivered(self) -> None:
         """Wait until all that has come was given to its reader."""
         while True:
             if not self.is_reading and not has_input(self.socket):
                 return
-            await trio.sleep(INPUT_PAUSE)
+            await trio.sleep(INPUT_POLL_INTERVAL)
 
     async def send_eof(self) -> None:
         """Say that nothing more will be sent."""
@@ -78,12 +78,12 @@
         """Close the connection."""
         await self._stream.aclose()
 
-    def close_at_once(self) -> None:
+    def close_immediately(self) -> None:
         """Close the connection; whoever reads or writes it is told."""
         self._stream.socket.close()
 
 
-class ConnectionGate:
+class ConnectionLimiter:
     """Bounds the connections open at once.
 
     Made for a flood of connections. Each costs memory before its token is
@@ -97,13 +97,13 @@
     def __init__(self, limit: int, metrics: Metrics) -> None:
         self._limit = limit
         self._metrics = metrics
-        self._open: set[BoundedStream] = set()
-        self._idle: dict[BoundedStream, None] = {}  # the longest idle first
-        self._fresh: set[BoundedStream] = set()
+        self._open: set[TimedStream] = set()
+        self._idle: dict[TimedStream, None] = {}  # the longest idle first
+        self._fresh: set[TimedStream] = set()
         self._turning_away = 0
         self._refusal = _write_refusal()
 
-    def enter(self, stream: BoundedStream) -> bool:
+    def register(self, stream: TimedStream) -> bool:
         """Take in one more connection; False if there is no room."""
         if len(self._open) >= self._limit and not self._close_longest_idle():
             self._metrics.add("frontend_refused_connections")
@@ -114,14 +114,14 @@
         self._note_count()
         return True
 
-    def leave(self, stream: BoundedStream) -> None:
+    def unregister(self, stream: TimedStream) -> None:
         """Take out a connection."""
         self._open.discard(stream)
         self._fresh.discard(stream)
         self._idle.pop(stream, None)
         self._note_count()
 
-    def note_idle(self, stream: BoundedStream, idle: bool) -> None:
+    def record_idle(self, stream: TimedStream, idle: bool) -> None:
         """Record that a connection is without a request, or has one now."""
         self._idle.pop(stream, None)
         if idle and stream in self._open:
@@ -129,11 +129,11 @@
         if not idle:
             self._fresh.discard(stream)
 
-    def has_request(self, stream: BoundedStream) -> bool:
+    def has_active_request(self, stream: TimedStream) -> bool:
         """Whether a request of a connection has begun and is not answered."""
         return stream in self._open and stream not in self._idle
 
-    def count_fresh(self) -> int:
+    def count_unused(self) -> int:
         """Return how many connections have not had a request yet."""
         return len(self._fresh)
 
@@ -144,29 +144,29 @@
     async def close_stalled(self, timeout: float) -> None:
         """Close connections whose callers take nothing for so long; runs on."""
         while True:
-            await trio.sleep(timeout / LOOKS_PER_TIMEOUT)
+            await trio.sleep(timeout / CHECKS_PER_TIMEOUT)
             latest = trio.current_time() - timeout
             for stream in list(self._open):
                 if stream.write_started is not None and stream.write_started < latest:
                     self._metrics.add("frontend_stalled_connections")
-                    self.leave(stream)
-                    stream.close_at_once()
+                    self.unregister(stream)
+                    stream.close_immediately()
 
     def _close_longest_idle(self) -> bool:
         if not self._idle:
             return False
         stream = next(iter(self._idle))
-        self.leave(stream)
-        stream.close_at_once()
+        self.unregister(stream)
+        stream.close_immediately()
         self._metrics.add("frontend_evicted_connections")
         return True
 
     def _note_count(self) -> None:
         self._metrics.set_gauge("frontend_connections", len(self._open))
 
-    async def turn_away(self, stream: trio.SocketStream) -> None:
+    async def reject(self, stream: trio.SocketStream) -> None:
         """Tell a caller that there is no room, and close."""
-        if self._turning_away < TURN_AWAY_LIMIT:
+        if self._turning_away < MAX_CONCURRENT_REJECTIONS:
             self._turning_away += 1
             try:
                 await self._send_refusal(stream)
@@ -175,7 +175,7 @@
         await trio.aclose_forcefully(stream)
 
     async def _send_refusal(self, stream: trio.SocketStream) -> None:
-        with trio.move_on_after(TURN_AWAY_TIMEOUT):
+        with trio.move_on_after(REJECTION_TIMEOUT):
             try:
                 await stream.send_all(self._refusal)
                 await stream.send_eof()
--- a/dewridge/frontend/events.py
+++ b/dewridge/frontend/events.py
@@ -111,22 +111,22 @@
         case HeartbeatEvent():
             return "heartbeat", HeartbeatFrame()
         case EndedEvent():
-            return "end", make_end(event)
+            return "end", make_end_frame(event)
 
 
-def make_end(event: EndedEvent) -> EndFrame:
+def make_end_frame(event: EndedEvent) -> EndFrame:
     """Describe an end towards a caller."""
     return EndFrame(
         code=int(event.code),
         outcome=TABLE[event.code].outcome.value,
         reason=event.reason,
         retry_after=event.retry_after,
-        result=read_result(event.body),
+        result=embed_result(event.body),
         summary=event.summary if event.code is ResultCode.OK else None,
     )
 
 
-def read_result(body: str) -> msgspec.Raw | None:
+def embed_result(body: str) -> msgspec.Raw | None:
     """Return a plain service's answer for embedding, as a string if not JSON."""
     if not body:
         return None
--- a/dewridge/frontend/limits.py
+++ b/dewridge/frontend/limits.py
@@ -12,7 +12,7 @@
 """Seconds until a caller over its limit may come back; streams end all the time."""
 
 
-class StreamLimits:
+class StreamLimiter:
     """Counts the answers that each client account follows on this host.
 
     Made for an account that opens streams without end, by a fault or on
@@ -32,7 +32,7 @@
         return Failure(ResultCode.TOO_MANY_CONNECTIONS, reason, RETRY_AFTER)
 
     @contextmanager
-    def hold(self, account: ClientAccount) -> Iterator[None]:
+    def track_stream(self, account: ClientAccount) -> Iterator[None]:
         """Count a stream while the context is open."""
         self._open[account] += 1
         try:
--- a/dewridge/frontend/model.py
+++ b/dewridge/frontend/model.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from dewridge.configuration.model import Configuration, Profile, Service
-from dewridge.frontend.limits import StreamLimits
-from dewridge.frontend.tokens import TokenBook
+from dewridge.frontend.limits import StreamLimiter
+from dewridge.frontend.tokens import TokenAuthenticator
 from dewridge.ids import OperatorName, ProfileName, ServiceName
 from dewridge.membership.model import MembershipView
 from dewridge.metrics.registry import Metrics
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontendParts:
+class FrontendComponents:
     """The parts that the routes use."""
 
     settings: Settings
@@ -65,6 +65,6 @@
     usage: ReadUsage
     dumps: DumpBoard
     metrics: Metrics
-    tokens: TokenBook
-    streams: StreamLimits
+    tokens: TokenAuthenticator
+    streams: StreamLimiter
     is_leaving: Callable[[], bool]
--- a/dewridge/frontend/operators.py
+++ b/dewridge/frontend/operators.py
@@ -10,9 +10,9 @@
 
 from dewridge.codes import ResultCode
 from dewridge.configuration.model import Profile, Service
-from dewridge.frontend.bodies import NAME_LIMIT, decode_body, parse_count
+from dewridge.frontend.bodies import MAX_NAME_CHARS, decode_body, parse_count
 from dewridge.frontend.callers import read_body
-from dewridge.frontend.model import FrontendParts
+from dewridge.frontend.model import FrontendComponents
 from dewridge.frontend.problems import answer_failure, answer_json
 from dewridge.ids import OperatorName, ProfileName, ServiceName
 from dewridge.policy.registry import check_profile
@@ -28,7 +28,7 @@
 class MoveBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Names the profile that a service is to run under."""
 
-    profile: Annotated[str, msgspec.Meta(min_length=1, max_length=NAME_LIMIT)]
+    profile: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 
 
 class Published(msgspec.Struct, frozen=True):
@@ -52,14 +52,14 @@
     counters: dict[str, float]
 
 
-def add_operator_routes(app: QuartTrio, parts: FrontendParts) -> None:
+def add_operator_routes(app: QuartTrio, parts: FrontendComponents) -> None:
     """Add the routes that operators use."""
     add_profile_routes(app, parts)
     add_service_routes(app, parts)
     add_state_routes(app, parts)
 
 
-def add_profile_routes(app: QuartTrio, parts: FrontendParts) -> None:
+def add_profile_routes(app: QuartTrio, parts: FrontendComponents) -> None:
     """Add the routes for profiles."""
 
     @app.get("/v1/profiles")
@@ -104,7 +104,7 @@
         return answer_json(Report(name, dict(sorted(counters.items()))))
 
 
-def add_service_routes(app: QuartTrio, parts: FrontendParts) -> None:
+def add_service_routes(app: QuartTrio, parts: FrontendComponents) -> None:
     """Add the routes for services."""
 
     @app.get("/v1/services")
@@ -144,7 +144,7 @@
         return _answer_change(name, await move(service, profile, expected, operator))
 
 
-def add_state_routes(app: QuartTrio, parts: FrontendParts) -> None:
+def add_state_routes(app: QuartTrio, parts: FrontendComponents) -> None:
     """Add the routes that show what this process does."""
 
     @app.get("/v1/dump")
@@ -160,7 +160,7 @@
         return Response(expose(parts.metrics), content_type=CONTENT_TYPE)
 
 
-def _for_operators(parts: FrontendParts) -> Callable[[Handler], Handler]:
+def _for_operators(parts: FrontendComponents) -> Callable[[Handler], Handler]:
     def decorate(handler: Handler) -> Handler:
         @wraps(handler)
         async def check(**names: str) -> Response:
@@ -177,7 +177,7 @@
 
 
 def _unknown_profile(name: str) -> Failure:
-    return Failure(ResultCode.UNKNOWN_PROFILE, f"`{name[:NAME_LIMIT]}`")
+    return Failure(ResultCode.UNKNOWN_PROFILE, f"`{name[:MAX_NAME_CHARS]}`")
 
 
 async def _read_object(kind: type[T], name: str) -> T | Failure:
@@ -234,14 +234,16 @@
     return answer
 
 
-def _answer_one(parts: FrontendParts, object_name: str, value: Any) -> Response:
+def _answer_one(parts: FrontendComponents, object_name: str, value: Any) -> Response:
     revision = parts.configuration.current().versions.get(object_name, 0)
     answer = answer_json(Published(revision, value))
     answer.headers["ETag"] = f'"{revision}"'
     return answer
 
 
-def _answer_all(parts: FrontendParts, kind: str, objects: dict[str, Any]) -> Response:
+def _answer_all(
+    parts: FrontendComponents, kind: str, objects: dict[str, Any]
+) -> Response:
     versions = parts.configuration.current().versions
     published = {
         name: Published(versions.get(f"{kind}/{name}", 0), value)
--- a/dewridge/frontend/server.py
+++ b/dewridge/frontend/server.py
@@ -15,21 +15,21 @@
 from loguru import logger as log
 from quart_trio import QuartTrio
 
-from dewridge.frontend.connections import BoundedStream, ConnectionGate
+from dewridge.frontend.connections import ConnectionLimiter, TimedStream
 from dewridge.metrics.registry import Metrics
 from dewridge.settings.schema import FrontendSettings
 
-BACKLOG = 512
+ACCEPT_BACKLOG = 512
 """Connections that may wait to be accepted: a reclaim sends the callers of a
 whole failure domain to the other hosts within the same second."""
-HEAD_GRACE = 0.5
+HEAD_QUIET_TIME = 0.5
 """Seconds at a shutdown without the head of a first request on any connection, after
 which those without a request are closed."""
 
-HEAD_TICK = 0.05
+HEAD_POLL_INTERVAL = 0.05
 """Seconds between two looks for heads at a shutdown. A look that comes a tick late
 shows that the process stood still, and its callers on the same host likely did."""
-HEAD_TICKS = round(HEAD_GRACE / HEAD_TICK)
+MAX_QUIET_POLLS = round(HEAD_QUIET_TIME / HEAD_POLL_INTERVAL)
 
 
 async def serve(
@@ -59,7 +59,7 @@
         await lifespan.wait_for_startup()
         on_listening(_name_address(listener))
         context = WorkerContext(None)
-        gate = ConnectionGate(settings.connection_limit, metrics)
+        gate = ConnectionLimiter(settings.connection_limit, metrics)
         nursery.start_soon(gate.close_stalled, settings.write_timeout)
         handle = _make_handler(wrapped, settings, context, gate)
         await _serve_connections(handle, listener, shutdown, context, settings, gate)
@@ -91,8 +91,8 @@
         app: AppWrapper,
         config: Config,
         context: WorkerContext,
-        stream: BoundedStream,
-        gate: ConnectionGate,
+        stream: TimedStream,
+        gate: ConnectionLimiter,
     ) -> None:
         state = ConnectionState({})
         super().__init__(app, config, context, state, stream)  # type: ignore[arg-type]
@@ -110,7 +110,7 @@
         if not isinstance(event, Updated):
             await super().protocol_send(event)
             return
-        self._gate.note_idle(self._caller, event.idle)
+        self._gate.record_idle(self._caller, event.idle)
         with trio.CancelScope(shield=True):
             await super().protocol_send(event)
 
@@ -125,9 +125,9 @@
         """
         with trio.move_on_after(self.config.keep_alive_timeout):
             await self.context.terminated.wait()
-        with trio.move_on_after(HEAD_GRACE):
-            await self._caller.wait_read()
-        if not self._gate.has_request(self._caller):
+        with trio.move_on_after(HEAD_QUIET_TIME):
+            await self._caller.wait_input_delivered()
+        if not self._gate.has_active_request(self._caller):
             with trio.CancelScope(shield=True):
                 await self._initiate_server_close()
 
@@ -141,7 +141,7 @@
 async def _listen(settings: FrontendSettings) -> trio.SocketListener:
     try:
         listeners = await trio.open_tcp_listeners(
-            settings.port, host=settings.address, backlog=BACKLOG
+            settings.port, host=settings.address, backlog=ACCEPT_BACKLOG
         )
     except OSError as error:
         place = f"{settings.address}:{settings.port}"
@@ -155,40 +155,40 @@
     return f"[{host}]:{port}" if is_v6 else f"{host}:{port}"
 
 
-Handle = Callable[[trio.SocketStream], Awaitable[None]]
+ConnectionHandler = Callable[[trio.SocketStream], Awaitable[None]]
 
 
 def _make_handler(
     app: AppWrapper,
     settings: FrontendSettings,
     context: WorkerContext,
-    gate: ConnectionGate,
-) -> Handle:
+    gate: ConnectionLimiter,
+) -> ConnectionHandler:
     # The library's own loop accepts without a limit and lets a write wait for
     # ever on a caller that takes nothing; this one differs in these two.
     config = make_config(settings)
 
     async def handle(stream: trio.SocketStream) -> None:
-        bounded = BoundedStream(stream)
-        if not gate.enter(bounded):
-            await gate.turn_away(stream)
+        bounded = TimedStream(stream)
+        if not gate.register(bounded):
+            await gate.reject(stream)
             return
         try:
             connection = CallerConnection(app, config, context, bounded, gate)
             await connection.run()
         finally:
-            gate.leave(bounded)
+            gate.unregister(bounded)
 
     return handle
 
 
 async def _serve_connections(
-    handle: Handle,
+    handle: ConnectionHandler,
     listener: trio.SocketListener,
     shutdown: trio.Event,
     context: WorkerContext,
     settings: FrontendSettings,
-    gate: ConnectionGate,
+    gate: ConnectionLimiter,
 ) -> None:
     # Accepting closes its socket when it is cancelled; this one goes on listening.
     bound = listener.socket
@@ -204,7 +204,7 @@
             await _wait_for_heads(gate)
         log.info(
             "closing the connections without a request; {} of {} have had none",
-            gate.count_fresh(),
+            gate.count_unused(),
             gate.count_open(),
         )
         await context.terminated.set()
@@ -214,7 +214,7 @@
         log.warning("the drain's {:.1f} s are over; answers were cut off", drain)
 
 
-async def _wait_for_heads(gate: ConnectionGate) -> None:
+async def _wait_for_heads(gate: ConnectionLimiter) -> None:
     """Wait while first requests go on coming in.
 
     Made for a shutdown of a busy process. Its callers connected before, and their
@@ -222,15 +222,15 @@
     read in time looked to their callers like answers cut off. Time in which the
     process stood still does not count: nothing could be sent or read in it.
     """
-    fresh = gate.count_fresh()
-    ticks_left = HEAD_TICKS
+    fresh = gate.count_unused()
+    ticks_left = MAX_QUIET_POLLS
     while ticks_left:
-        due = trio.current_time() + HEAD_TICK
+        due = trio.current_time() + HEAD_POLL_INTERVAL
         await trio.sleep_until(due)
-        was_late = trio.current_time() > due + HEAD_TICK
-        before, fresh = fresh, gate.count_fresh()
+        was_late = trio.current_time() > due + HEAD_POLL_INTERVAL
+        before, fresh = fresh, gate.count_unused()
         if was_late or fresh != before:
-            ticks_left = HEAD_TICKS
+            ticks_left = MAX_QUIET_POLLS
         else:
             ticks_left -= 1
 
@@ -254,6 +254,6 @@
 
 
 async def _accept(
-    listener: trio.SocketListener, handle: Handle, connections: trio.Nursery
+    listener: trio.SocketListener, handle: ConnectionHandler, connections: trio.Nursery
 ) -> None:
     await trio.serve_listeners(handle, [listener], handler_nursery=connections)
--- a/dewridge/frontend/streams.py
+++ b/dewridge/frontend/streams.py
@@ -12,11 +12,11 @@
 
 from dewridge.codes import TABLE, ResultCode
 from dewridge.frontend.events import (
+    embed_result,
     encode_accepted,
     encode_events,
-    read_result,
 )
-from dewridge.frontend.model import FrontendParts
+from dewridge.frontend.model import FrontendComponents
 from dewridge.frontend.problems import answer_failure, answer_json
 from dewridge.ids import ClientAccount, Generation, RequestKey
 from dewridge.requests.model import (
@@ -32,13 +32,13 @@
 from dewridge.sentinels import Failure
 
 EVENT_STREAM = "text/event-stream"
-GATHER_LIMIT = 256
+MAX_BATCH_EVENTS = 256
 """Events put into one write; a follower far behind catches up in steps that
 leave room for the others' writes."""
 
-Place = tuple[Generation, int]
+Position = tuple[Generation, int]
 """A generation of an answer and the count of its tokens that the caller has."""
-FROM_START: Place = (Generation(0), 0)
+FROM_START: Position = (Generation(0), 0)
 
 Channel = trio.MemoryReceiveChannel[AnswerEvent]
 
@@ -52,10 +52,10 @@
 
     def __init__(
         self,
-        parts: FrontendParts,
+        parts: FrontendComponents,
         account: ClientAccount,
         key: RequestKey,
-        place: Place = FROM_START,
+        place: Position = FROM_START,
         *,
         accepted: Accepted | None = None,
     ) -> None:
@@ -67,7 +67,7 @@
 
     async def open(self, stack: AsyncExitStack) -> Channel:
         """Follow the answer until the stack closes, counted for the account."""
-        stack.enter_context(self._parts.streams.hold(self.account))
+        stack.enter_context(self._parts.streams.track_stream(self.account))
         stream = self._parts.requests.follow(self.account, self.key, *self._place)
         return await stack.enter_async_context(stream)
 
@@ -126,7 +126,7 @@
 
 def _take_ready(channel: Channel) -> list[AnswerEvent]:
     ready: list[AnswerEvent] = []
-    while len(ready) < GATHER_LIMIT:
+    while len(ready) < MAX_BATCH_EVENTS:
         try:
             ready.append(channel.receive_nowait())
         except (trio.WouldBlock, trio.EndOfChannel):
@@ -136,7 +136,7 @@
     return ready
 
 
-def answer_stream(parts: FrontendParts, follower: Follower) -> Response:
+def answer_stream(parts: FrontendComponents, follower: Follower) -> Response:
     """Answer with server-sent events."""
     body = EventStreamBody(follower, parts.settings.frontend.heartbeat)
     answer = Response(body, content_type=EVENT_STREAM)
@@ -147,7 +147,7 @@
     return answer
 
 
-class WholeAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
+class CompleteAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
     """A whole answer in one document.
 
     Attributes:
@@ -217,8 +217,8 @@
         return self.ended.code is not ResultCode.OK or bool(self.ended.body) or has_all
 
 
-async def answer_whole(
-    parts: FrontendParts, follower: Follower, timeout: float
+async def answer_complete(
+    parts: FrontendComponents, follower: Follower, timeout: float
 ) -> Response:
     """Wait for the whole answer and give it in one document."""
     gathered = _Gathered()
@@ -245,13 +245,13 @@
 def _answer_ended(key: RequestKey, gathered: _Gathered, ended: EndedEvent) -> Response:
     if ended.code is not ResultCode.OK:
         return answer_failure(Failure(ended.code, ended.reason, ended.retry_after))
-    content: Any = WholeAnswer(
+    content: Any = CompleteAnswer(
         key=key,
         code=int(ended.code),
         outcome=TABLE[ended.code].outcome.value,
         generation=gathered.generation,
         summary=ended.summary,
         text="".join(gathered.tokens) if not ended.body else None,
-        result=read_result(ended.body),
+        result=embed_result(ended.body),
     )
     return answer_json(content)
--- a/dewridge/frontend/tokens.py
+++ b/dewridge/frontend/tokens.py
@@ -10,13 +10,13 @@
 from dewridge.settings.schema import AccountSettings, OperatorSettings
 
 SCHEME = "bearer"
-TOKEN_LIMIT = 512
+MAX_TOKEN_CHARS = 512
 """Characters of a token; longer ones are refused before they are hashed."""
 
 Digests = list[tuple[bytes, str]]
 
 
-class TokenBook:
+class TokenAuthenticator:
     """Finds out whose token an Authorization header carries."""
 
     def __init__(
@@ -58,7 +58,7 @@
 def _digest_header(header: str | None) -> bytes | None:
     scheme, _, token = (header or "").partition(" ")
     token = token.strip()
-    if scheme.lower() != SCHEME or not 0 < len(token) <= TOKEN_LIMIT:
+    if scheme.lower() != SCHEME or not 0 < len(token) <= MAX_TOKEN_CHARS:
         return None
     return hashlib.sha256(token.encode()).digest()
 
--- a/dewridge/proofs/workload.py
+++ b/dewridge/proofs/workload.py
@@ -72,7 +72,7 @@
         deadline: float = 30.0,
         submissions: int = 0,
     ) -> None:
-        self._limits = replace(LIMITS, submissions=submissions)
+        self._limits = replace(LIMITS, max_submissions=submissions)
         self._deployment = deployment
         self._history = history
         self._random = Random(f"workload/{seed}")
@@ -177,7 +177,7 @@
 
 def _conclude(answer: Answer, key: str, due: float) -> Concluded:
     text = answer.text
-    if answer.is_whole and not text:
+    if answer.is_complete and not text:
         text = msgspec.json.encode(answer.result).decode()
     return Concluded(
         time.time(),
--- a/dewridge/testbed/demonstration.py
+++ b/dewridge/testbed/demonstration.py
@@ -102,7 +102,7 @@
             tell(f"entry list for {account}: {', '.join(shown)}")
         for step in _list_steps():
             answer = await client.request(step.call)
-            is_good = answer.is_whole and step.is_own(answer)
+            is_good = answer.is_complete and step.is_own(answer)
             good = good and is_good
             _tell_answer(step, answer, is_good, tell)
     return good
@@ -110,7 +110,7 @@
 
 def _tell_answer(step: Step, answer: Answer, is_good: bool, tell: Tell) -> None:
     tell(f"{step.title}: {'whole, its own' if is_good else 'NOT WHOLE'}")
-    if not answer.is_whole:
+    if not answer.is_complete:
         tell(f"  {answer.code.name}: {answer.reason}")
         return
     shown = answer.text or msgspec.json.encode(answer.result).decode()
--- a/dewridge/tests/client/client_tests.py
+++ b/dewridge/tests/client/client_tests.py
@@ -29,7 +29,7 @@
     silence_timeout=0.5,
     list_timeout=0.5,
     accept_timeout=0.8,
-    last_pause=0.2,
+    max_backoff=0.2,
     grace=0.3,
 )
 DONE = EndedEvent(ResultCode.OK, summary=AnswerSummary(tokens=2))
@@ -104,7 +104,7 @@
     # An importer asks for a certificate's status with a deadline of a few
     # seconds, and the first host on its list takes the call and hangs.
     requests = FakeRequests([tokens(0, "a", "b"), DONE])
-    limits = ClientLimits(least_patience=0.2)
+    limits = ClientLimits(min_host_timeout=0.2)
     async with (
         run_silent_host() as silent,
         run_frontend(requests) as alive,
@@ -128,7 +128,7 @@
 
         nursery.start_soon(make_room)
         answer = await call([frontend.address])
-    assert answer.is_whole
+    assert answer.is_complete
     assert [each.number for each in requests.submissions] == [1, 2]
 
 
--- a/dewridge/tests/frontend/fakes.py
+++ b/dewridge/tests/frontend/fakes.py
@@ -59,11 +59,11 @@
 OPERATOR = "operator-token"
 
 
-def new_key() -> str:
+def make_key() -> str:
     return str(uuid7())
 
 
-def digest(token: str) -> str:
+def hash_token(token: str) -> str:
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -77,10 +77,10 @@
         ),
         frontend=FrontendSettings(**{"port": 0, **frontend}),
         accounts=(
-            AccountSettings("auditor", digest(AUDITOR)),
-            AccountSettings("rival", digest(RIVAL)),
+            AccountSettings("auditor", hash_token(AUDITOR)),
+            AccountSettings("rival", hash_token(RIVAL)),
         ),
-        operators=(OperatorSettings("olga", digest(OPERATOR)),),
+        operators=(OperatorSettings("olga", hash_token(OPERATOR)),),
     )
 
 
@@ -293,7 +293,7 @@
 
 
 @dataclass
-class Running:
+class RunningFrontend:
     """A frontend that serves on a port of its own."""
 
     address: str
@@ -304,7 +304,7 @@
 @asynccontextmanager
 async def run_frontend(
     requests: FakeRequests, **frontend: Any
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningFrontend]:
     settings = make_settings(**frontend)
     membership = FakeMembership([make_member("host-1", "zona-a")])
     app = make_app(requests, settings, membership)
@@ -319,7 +319,7 @@
         nursery.start_soon(run)
         address = await receive.receive()
         membership.set_address(address)
-        yield Running(address, shutdown, ended)
+        yield RunningFrontend(address, shutdown, ended)
         shutdown.set()
         with trio.move_on_after(5):
             await ended.wait()
@@ -331,7 +331,7 @@
 
 
 def make_body(**changes: Any) -> dict[str, Any]:
-    body = {"key": new_key(), "operation": "draft_finding", "input": "Dossier"}
+    body = {"key": make_key(), "operation": "draft_finding", "input": "Dossier"}
     return {**body, **changes}
 
 
--- a/dewridge/tests/frontend/input_tests.py
+++ b/dewridge/tests/frontend/input_tests.py
@@ -17,7 +17,7 @@
     authorize,
     make_app,
     make_body,
-    new_key,
+    make_key,
 )
 
 FINDINGS = "/v1/services/findings/requests"
@@ -80,7 +80,7 @@
     from urllib.parse import quote, urlencode  # noqa: PLC0415
 
     query = urlencode({"generation": generation, "offset": offset})
-    for known in (quote(key, safe="") or "x", new_key()):
+    for known in (quote(key, safe="") or "x", make_key()):
         post(f"/v1/requests/{known}?{query}", b"", authorize(AUDITOR), "GET")
 
 
--- a/dewridge/tests/frontend/server_tests.py
+++ b/dewridge/tests/frontend/server_tests.py
@@ -11,7 +11,7 @@
 import trio.lowlevel
 
 from dewridge.codes import ResultCode
-from dewridge.frontend.server import HEAD_GRACE, serve
+from dewridge.frontend.server import HEAD_QUIET_TIME, serve
 from dewridge.ids import Generation
 from dewridge.requests.model import AnswerEvent, EndedEvent, TokensEvent
 from dewridge.tests.frontend.fakes import (
@@ -277,7 +277,7 @@
         for caller in callers:
             # Without a checkpoint, so that nothing is read before the standstill.
             caller.sendall(b"GET /none HTTP/1.1\r\nHost: a\r\n\r\n")
-        stand_still(2 * HEAD_GRACE)
+        stand_still(2 * HEAD_QUIET_TIME)
         for caller in callers:
             caller.settimeout(2)
             answer = await trio.to_thread.run_sync(caller.recv, 9)
