--- a/dewridge/client/__init__.py
+++ b/dewridge/client/__init__.py
@@ -1,1 +1,1 @@
-"""What a caller uses: the entry list, submissions, and answers that resume."""
+"""Client library: host selection, submission with retries and resumable answers."""
--- a/dewridge/client/addresses.py
+++ b/dewridge/client/addresses.py
@@ -1,4 +1,4 @@
-"""Which entry host a client uses next."""
+"""Selection of the entry host that a client uses next."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -8,63 +8,69 @@
 from dewridge.sentinels import Failure
 
 FetchList = Callable[[str], Awaitable[ListedHosts | Failure]]
-"""Asks one address for the entry list."""
+"""Fetches the entry list from one address."""
 AVOID_TIME = 5.0
-"""How long an address that failed is tried last. Longer than a restart, shorter
-than the time that an entry list is kept."""
+"""Seconds for which a failed address is ordered last. Longer than a host restart,
+shorter than the lifetime of an entry list."""
 
 MIN_REFRESH_INTERVAL = 1.0
-"""Least time between two reads of the list. When a host dies, each of its
-streams fails at the same moment; one read serves them all."""
+"""Minimum seconds between two fetches of the entry list. When a host crashes, all
+of its streams fail at the same moment; one fetch serves all of them."""
 
 
 class AddressBook:
-    """Addresses from the settings and from the entry list.
+    """Orders the addresses from the settings and from the entry list.
 
-    Without a balancer, each client keeps off hosts that are gone by itself: it
-    keeps a list for as long as the list says, and puts addresses that failed
-    at its end.
+    There is no load balancer, so each client avoids failed hosts by itself: it
+    caches the entry list for the list's time to live and orders addresses that
+    failed recently last.
     """
 
     def __init__(self, seeds: Sequence[str], fetch: FetchList) -> None:
         self._seeds = list(dict.fromkeys(seeds))
         self._listed: list[str] = []
         self._fetch = fetch
-        self._expires = float("-inf")
-        self._refreshed = float("-inf")
-        self._avoid: dict[str, float] = {}
+        self._expires_at = float("-inf")
+        self._refreshed_at = float("-inf")
+        self._avoid_until: dict[str, float] = {}
         self._lock = trio.Lock()
 
     async def list_addresses(self) -> list[str]:
-        """Return all addresses, the best first, with the list kept fresh."""
+        """Return all addresses in order of preference; refetches an expired list."""
         async with self._lock:
-            if trio.current_time() >= self._expires:
+            if trio.current_time() >= self._expires_at:
                 await self._refresh()
         return self._order()
 
     def prefer(self, addresses: Sequence[str]) -> None:
-        """Put addresses first, as a host that goes has told."""
+        """Order addresses first, for example those named by a departing host."""
         self._listed = list(dict.fromkeys([*addresses, *self._listed]))
         for address in addresses:
-            self._avoid.pop(address, None)
+            self._avoid_until.pop(address, None)
 
     def mark_failed(self, address: str) -> None:
-        """Try an address last for a while."""
-        self._avoid[address] = trio.current_time() + AVOID_TIME
-        self._expires = min(self._expires, self._refreshed + MIN_REFRESH_INTERVAL)
+        """Order an address last for `AVOID_TIME`."""
+        self._avoid_until[address] = trio.current_time() + AVOID_TIME
+        self._expires_at = min(
+            self._expires_at, self._refreshed_at + MIN_REFRESH_INTERVAL
+        )
 
     def _order(self) -> list[str]:
         now = trio.current_time()
         known = list(dict.fromkeys([*self._listed, *self._seeds]))
-        return sorted(known, key=lambda address: self._avoid.get(address, 0.0) > now)
+        return sorted(
+            known, key=lambda address: self._avoid_until.get(address, 0.0) > now
+        )
 
     async def _refresh(self) -> None:
         for address in self._order():
             listed = await self._fetch(address)
-            self._refreshed = trio.current_time()
+            self._refreshed_at = trio.current_time()
             if not isinstance(listed, Failure):
                 self._listed = [host.address for host in listed.hosts]
-                self._expires = self._refreshed + max(MIN_REFRESH_INTERVAL, listed.ttl)
+                self._expires_at = self._refreshed_at + max(
+                    MIN_REFRESH_INTERVAL, listed.ttl
+                )
                 return
-            self._avoid[address] = self._refreshed + AVOID_TIME
-        self._expires = self._refreshed + MIN_REFRESH_INTERVAL
+            self._avoid_until[address] = self._refreshed_at + AVOID_TIME
+        self._expires_at = self._refreshed_at + MIN_REFRESH_INTERVAL
--- a/dewridge/client/client.py
+++ b/dewridge/client/client.py
@@ -1,4 +1,4 @@
-"""A client that survives the loss of any entry host."""
+"""Client that completes calls although entry hosts fail."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -30,14 +30,21 @@
 from dewridge.sentinels import Failure
 
 MAX_CONNECTIONS = 1000
-"""Connections of one client; each answer that is followed holds one."""
+"""Connections of one client; each followed answer occupies one."""
 NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
-"""Errors after which the host has not seen the request."""
+"""Errors that guarantee that the host has not received the request."""
 
 
 @dataclass
-class _Run:
-    """One call under way."""
+class _CallState:
+    """State of one call in progress.
+
+    Attributes:
+        call: None to follow a request that was submitted before.
+        hosts: the address of each connection, in order.
+        failures: consecutive failures, from which the backoff follows.
+        host_index: position in the address list of the next host.
+    """
 
     call: Call | None
     key: RequestKey
@@ -46,11 +53,11 @@
     progress: Progress
     hosts: list[str] = field(default_factory=list)
     failures: int = 0
-    turn: int = 0
+    host_index: int = 0
 
 
 class Client:
-    """Sends calls to a deployment and brings back whole answers.
+    """Sends calls to a deployment and returns complete answers.
 
     Use it as an async context manager; it owns its connections.
     """
@@ -68,13 +75,13 @@
         self._stack = AsyncExitStack()
         self._http = httpx.AsyncClient(
             headers={"Authorization": f"Bearer {token}"},
-            # Waits for answers have deadlines of their own.
+            # Reads are bounded by separate timeouts.
             timeout=httpx.Timeout(None, connect=self._limits.connect_timeout),
             limits=httpx.Limits(max_connections=MAX_CONNECTIONS),
             trust_env=False,
             verify=False,  # hosts are reached by IP number, without TLS
         )
-        self._book = AddressBook(addresses, self._fetch_list)
+        self._addresses = AddressBook(addresses, self._fetch_entry_list)
 
     async def __aenter__(self) -> Self:
         await self._stack.enter_async_context(self._http)
@@ -90,110 +97,116 @@
 
     def prefer(self, addresses: Sequence[str]) -> None:
         """Use these addresses first, until they fail."""
-        self._book.prefer(addresses)
+        self._addresses.prefer(addresses)
 
     async def list_entry_hosts(self) -> ListedHosts | Failure:
-        """Return the entry list, from the first host that answers."""
-        return await self._try_hosts(self._fetch_list)
+        """Return the entry list of the first host that responds."""
+        return await self._try_hosts(self._fetch_entry_list)
 
     async def request(self, call: Call, on_event: OnEvent | None = None) -> Answer:
-        """Have a call done and return its whole answer, or why there is none.
+        """Execute a call and return its complete answer or the reason for its failure.
 
-        It sends the call again, under the same key, as long as that may help
-        and the deadline allows; the call does not run twice by it.
+        Retries under the same key until the deadline or a final error. Retries
+        do not execute the call twice.
         """
         key = RequestKey(call.key.lower() or str(uuid7()))
         progress = Progress(self._limits.max_submissions)
-        ends = trio.current_time() + call.deadline
-        run = _Run(call, key, ends, on_event, progress)
-        return await self._finish(run)
+        expires_at = trio.current_time() + call.deadline
+        state = _CallState(call, key, expires_at, on_event, progress)
+        return await self._run_to_end(state)
 
     async def follow(
         self, key: str, deadline: float, on_event: OnEvent | None = None
     ) -> Answer:
-        """Bring back the answer of a call that was sent before."""
-        ends = trio.current_time() + deadline
-        run = _Run(None, RequestKey(key.lower()), ends, on_event, Progress(1))
-        run.progress.submissions = 1
-        run.progress.accepted = True
-        return await self._finish(run)
-
-    async def _finish(self, run: _Run) -> Answer:
-        with trio.move_on_at(run.deadline + self._limits.grace):
-            while await self._take_turn(run):
+        """Return the answer of a call that was submitted before."""
+        expires_at = trio.current_time() + deadline
+        state = _CallState(
+            None, RequestKey(key.lower()), expires_at, on_event, Progress(1)
+        )
+        state.progress.submissions = 1
+        state.progress.accepted = True
+        return await self._run_to_end(state)
+
+    async def _run_to_end(self, state: _CallState) -> Answer:
+        with trio.move_on_at(state.deadline + self._limits.grace):
+            while await self._make_attempt(state):
                 pass
-        return self._make_answer(run)
+        return self._make_answer(state)
 
     async def look_up(self, key: str) -> Any | Failure:
-        """Return how far a request has come, as the host's document."""
-        return await self._try_hosts(lambda host: self._ask("GET", host, key))
+        """Return the status document of a request."""
+        return await self._try_hosts(lambda host: self._call_request("GET", host, key))
 
     async def cancel(self, key: str) -> Any | Failure:
-        """End a request as soon as may be; the host's document says how."""
-        return await self._try_hosts(lambda host: self._ask("DELETE", host, key))
+        """Cancel a request and return its status document."""
+        return await self._try_hosts(
+            lambda host: self._call_request("DELETE", host, key)
+        )
 
-    async def _take_turn(self, run: _Run) -> bool:
-        progress = run.progress
-        bound = self._limits.max_submissions
-        if not progress.accepted and 0 < bound <= progress.submissions:
+    async def _make_attempt(self, state: _CallState) -> bool:
+        progress = state.progress
+        max_submissions = self._limits.max_submissions
+        if not progress.accepted and 0 < max_submissions <= progress.submissions:
             return False
-        address = await self._choose_address(run)
+        address = await self._choose_address(state)
         if address is None:
-            run.failures += 1
-            return await self._pause(run)
+            state.failures += 1
+            return await self._pause(state)
         try:
-            step = await self._exchange(run, address)
+            step = await self._exchange(state, address)
         except NOT_SENT_ERRORS:
-            run.progress.undo_submission()
-            step = self._note_broken(run, address)
+            state.progress.undo_submission()
+            step = self._handle_host_failure(state, address)
         except (httpx.HTTPError, FrameError, trio.TooSlowError):
-            step = self._note_broken(run, address)
-        if step is Step.FINISH or (run.call is None and not run.progress.accepted):
+            step = self._handle_host_failure(state, address)
+        if step is Step.FINISH or (state.call is None and not state.progress.accepted):
             return False
-        return await self._pause(run)
+        return await self._pause(state)
 
-    def _note_broken(self, run: _Run, address: str) -> Step:
-        self._book.mark_failed(address)
-        run.failures += 1
+    def _handle_host_failure(self, state: _CallState, address: str) -> Step:
+        self._addresses.mark_failed(address)
+        state.failures += 1
         return Step.RECONNECT
 
-    async def _choose_address(self, run: _Run) -> str | None:
-        addresses = await self._book.list_addresses()
+    async def _choose_address(self, state: _CallState) -> str | None:
+        addresses = await self._addresses.list_addresses()
         if not addresses:
             return None
-        address = addresses[run.turn % len(addresses)]
-        run.hosts.append(address)
+        address = addresses[state.host_index % len(addresses)]
+        state.hosts.append(address)
         return address
 
-    async def _exchange(self, run: _Run, address: str) -> Step:
-        if run.call is None or run.progress.accepted:
-            request = self._build_follow(run, address)
+    async def _exchange(self, state: _CallState, address: str) -> Step:
+        if state.call is None or state.progress.accepted:
+            request = self._build_follow(state, address)
         else:
-            request = self._build_submit(run, run.call, address)
-        patience = self._find_patience(run, self._limits.accept_timeout)
-        with trio.fail_after(patience):
+            request = self._build_submit(state, state.call, address)
+        timeout = self._compute_timeout(state, self._limits.accept_timeout)
+        with trio.fail_after(timeout):
             response = await self._http.send(request, stream=True)
         async with AsyncExitStack() as stack:
             stack.push_async_callback(response.aclose)
             if response.status_code != httpx.codes.OK:
-                return await self._read_refusal(run, response)
-            return await self._read_stream(run, response)
+                return await self._read_rejection(state, response)
+            return await self._read_events(state, response)
 
-    def _find_patience(self, run: _Run, limit: float) -> float:
-        # A host that hangs must not use up the deadline of a short call. Going
-        # to another host too early costs little: the key joins what runs.
-        left = run.deadline - trio.current_time()
+    def _compute_timeout(self, state: _CallState, limit: float) -> float:
+        # A hanging host must not use up the deadline of a short call. Switching
+        # hosts too early costs little: the key attaches to the existing request.
+        left = state.deadline - trio.current_time()
         share = left * self._limits.host_time_share
         return min(limit, max(self._limits.min_host_timeout, share))
 
-    def _build_submit(self, run: _Run, call: Call, address: str) -> httpx.Request:
-        number = run.progress.begin_submission()
+    def _build_submit(
+        self, state: _CallState, call: Call, address: str
+    ) -> httpx.Request:
+        number = state.progress.begin_submission()
         body = {
-            "key": run.key,
+            "key": state.key,
             "submission": number,
             "operation": call.operation,
             "input": call.input,
-            "deadline_seconds": max(0.001, run.deadline - trio.current_time()),
+            "deadline_seconds": max(0.001, state.deadline - trio.current_time()),
             "max_tokens": call.max_tokens,
             "stream": True,
         }
@@ -204,87 +217,90 @@
             headers={"Content-Type": "application/json"},
         )
 
-    def _build_follow(self, run: _Run, address: str) -> httpx.Request:
-        progress = run.progress
+    def _build_follow(self, state: _CallState, address: str) -> httpx.Request:
+        progress = state.progress
         query = {
             "generation": str(progress.generation),
             "offset": str(len(progress.tokens)),
             "stream": "true",
         }
-        url = f"http://{address}/v1/requests/{run.key}"
+        url = f"http://{address}/v1/requests/{state.key}"
         return self._http.build_request("GET", url, params=query)
 
-    async def _read_refusal(self, run: _Run, response: httpx.Response) -> Step:
+    async def _read_rejection(
+        self, state: _CallState, response: httpx.Response
+    ) -> Step:
         content = await response.aread()
         header = response.headers.get("Retry-After")
-        refusal = decode_problem(content, response.status_code, header)
-        run.failures += 1
-        run.turn += 1
-        return run.progress.handle_rejection(refusal.failure, refusal.is_not_run)
+        rejection = decode_problem(content, response.status_code, header)
+        state.failures += 1
+        state.host_index += 1
+        return state.progress.handle_rejection(rejection.failure, rejection.is_not_run)
 
-    async def _read_stream(self, run: _Run, response: httpx.Response) -> Step:
+    async def _read_events(self, state: _CallState, response: httpx.Response) -> Step:
         async with aclosing(read_events(response.aiter_lines())) as items:
             while True:
-                # Heartbeats come while there is nothing new. A hop that has lost
-                # the connection raises no error; only their absence shows it.
+                # Hosts send heartbeats while there are no other events. A network
+                # hop that has lost the connection raises no error; only missing
+                # heartbeats reveal it.
                 with trio.fail_after(
-                    self._find_patience(run, self._limits.silence_timeout)
+                    self._compute_timeout(state, self._limits.silence_timeout)
                 ):
                     item = await anext(items, None)
-                step = self._take_item(run, item)
+                step = self._handle_item(state, item)
                 if step is not Step.CONTINUE:
                     return step
 
-    def _take_item(self, run: _Run, item: StreamItem | None) -> Step:
-        progress = run.progress
+    def _handle_item(self, state: _CallState, item: StreamItem | None) -> Step:
+        progress = state.progress
         if item is None:
-            run.failures += 1
+            state.failures += 1
             return Step.RECONNECT
         if isinstance(item, AcceptedEvent):
             progress.record_accepted(item.generation)
-            run.failures = 0
+            state.failures = 0
             return Step.CONTINUE
         if isinstance(item, MovedEvent):
-            self._book.prefer(item.addresses)
-            run.failures += 1
-            run.turn = 0
+            self._addresses.prefer(item.addresses)
+            state.failures += 1
+            state.host_index = 0
         before = progress.generation, len(progress.tokens)
         step = progress.handle_event(item)
         if isinstance(item, TokensEvent):
-            run.failures = 0
-            _report_tokens(run, *before)
-        elif run.on_event is not None:
-            run.on_event(item)
+            state.failures = 0
+            _report_tokens(state, *before)
+        elif state.on_event is not None:
+            state.on_event(item)
         return step
 
-    async def _pause(self, run: _Run) -> bool:
-        """Wait before the next turn; False if the deadline comes first."""
+    async def _pause(self, state: _CallState) -> bool:
+        """Wait before the next attempt; False if the deadline comes first."""
         limits = self._limits
         backoff = 0.0
-        if run.failures > 1:  # the first failure is met by another host at once
-            longest = limits.initial_backoff * 2.0 ** min(run.failures - 2, 10)
-            backoff = self._random.uniform(0.5, 1) * min(limits.max_backoff, longest)
-        # Callers that were refused together are told the same time; coming back
-        # together they would be refused together again.
-        wanted = run.progress.retry_after * self._random.uniform(1, 1.25)
-        run.progress.retry_after = 0.0
-        pause = max(backoff, wanted)
-        if trio.current_time() + pause >= run.deadline:
-            has_final_word = run.progress.ended is not None
-            if has_final_word or not run.progress.accepted:
+        if state.failures > 1:  # after one failure the next host is tried immediately
+            max_delay = limits.initial_backoff * 2.0 ** min(state.failures - 2, 10)
+            backoff = self._random.uniform(0.5, 1) * min(limits.max_backoff, max_delay)
+        # Jitter spreads callers that were rejected at the same time with the same
+        # delay; retrying together, they would all be rejected again.
+        requested_delay = state.progress.retry_after * self._random.uniform(1, 1.25)
+        state.progress.retry_after = 0.0
+        pause = max(backoff, requested_delay)
+        if trio.current_time() + pause >= state.deadline:
+            has_final_result = state.progress.ended is not None
+            if has_final_result or not state.progress.accepted:
                 return False
-            return await self._wait_out(run)
+            return await self._wait_for_outcome(state)
         await trio.sleep(pause)
         return True
 
-    async def _wait_out(self, run: _Run) -> bool:
-        # An accepted request gets its final word about its deadline; ask for it
-        # until the grace has passed.
+    async def _wait_for_outcome(self, state: _CallState) -> bool:
+        # An accepted request gets its final result at about its deadline, so it is
+        # queried until the grace period has passed.
         await trio.sleep(min(self._limits.max_backoff, self._limits.grace / 4))
         return True
 
-    def _make_answer(self, run: _Run) -> Answer:
-        progress = run.progress
+    def _make_answer(self, state: _CallState) -> Answer:
+        progress = state.progress
         failure, ended = progress.last_failure, progress.ended
         if failure is None:
             reason = "no entry host could be reached"
@@ -292,40 +308,40 @@
         if ended is None and (progress.is_outcome_uncertain or progress.accepted):
             reason = "no final answer came before the deadline"
             failure = Failure(ResultCode.OUTCOME_UNKNOWN, reason)
-        is_whole = ended is not None and ended.code is ResultCode.OK
+        is_complete = ended is not None and ended.code is ResultCode.OK
         return Answer(
-            key=run.key,
+            key=state.key,
             code=failure.code,
             reason=failure.reason,
             retry_after=failure.retry_after,
             text="".join(progress.tokens),
             tokens=tuple(progress.tokens),
-            result=decode_result(ended.body) if ended and is_whole else None,
+            result=decode_result(ended.body) if ended and is_complete else None,
             summary=ended.summary if ended else AnswerSummary(),
             submissions=progress.submissions,
-            connections=len(run.hosts),
+            connections=len(state.hosts),
             restarts=progress.restarts,
-            hosts=tuple(dict.fromkeys(run.hosts)),
+            hosts=tuple(dict.fromkeys(state.hosts)),
         )
 
     async def _try_hosts(
-        self, ask: Callable[[str], Awaitable[Any | Failure]]
+        self, call_host: Callable[[str], Awaitable[Any | Failure]]
     ) -> Any | Failure:
         result: Any = Failure(ResultCode.PEER_UNREACHABLE, "no address is known")
-        for address in await self._book.list_addresses():
-            result = await ask(address)
+        for address in await self._addresses.list_addresses():
+            result = await call_host(address)
             if not _is_unreachable(result):
                 return result
-            self._book.mark_failed(address)
+            self._addresses.mark_failed(address)
         return result
 
-    async def _ask(self, method: str, address: str, key: str) -> Any | Failure:
+    async def _call_request(self, method: str, address: str, key: str) -> Any | Failure:
         return await self._fetch(method, address, f"/v1/requests/{key}", Any)
 
-    async def _fetch_list(self, address: str) -> ListedHosts | Failure:
-        found = await self._fetch("GET", address, "/v1/entry-hosts", ListedHosts)
-        assert isinstance(found, ListedHosts | Failure)
-        return found
+    async def _fetch_entry_list(self, address: str) -> ListedHosts | Failure:
+        entry_list = await self._fetch("GET", address, "/v1/entry-hosts", ListedHosts)
+        assert isinstance(entry_list, ListedHosts | Failure)
+        return entry_list
 
     async def _fetch(
         self, method: str, address: str, path: str, kind: Any
@@ -352,11 +368,11 @@
     return isinstance(result, Failure) and result.code in codes
 
 
-def _report_tokens(run: _Run, generation: int, known: int) -> None:
-    """Tell the caller of the tokens that came since it knew `known` of them."""
-    progress = run.progress
+def _report_tokens(state: _CallState, generation: int, known: int) -> None:
+    """Pass the tokens received after the first `known` ones to the callback."""
+    progress = state.progress
     if progress.generation != generation:
         known = 0
     tokens = tuple(progress.tokens[known:])
-    if run.on_event is not None and tokens:
-        run.on_event(TokensEvent(Generation(progress.generation), known, tokens))
+    if state.on_event is not None and tokens:
+        state.on_event(TokensEvent(Generation(progress.generation), known, tokens))
--- a/dewridge/client/frames.py
+++ b/dewridge/client/frames.py
@@ -1,4 +1,4 @@
-"""Decoding of what a host sends: events, problems and the entry list."""
+"""Decoding of host responses: event streams, problem documents and entry lists."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
 from dataclasses import dataclass
@@ -20,12 +20,16 @@
 from dewridge.sentinels import Failure
 
 MAX_LINE_CHARS = 16_000_000
-"""Characters of one line; a host that sends more is taken for broken."""
+"""Maximum characters of one line; a longer one is a protocol error."""
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedEvent:
-    """The host has accepted the submission."""
+    """First event of a stream: the host has accepted the submission.
+
+    Attributes:
+        attached: whether the submission joined a request that already existed.
+    """
 
     generation: Generation
     attached: bool
@@ -35,11 +39,11 @@
 
 
 class FrameError(Exception):
-    """A host sent what no host of this protocol sends."""
+    """A host violated the stream protocol."""
 
 
 class _Frame(msgspec.Struct, frozen=True):
-    """All fields of all events."""
+    """Union of the fields of all events."""
 
     generation: int = 0
     offset: int = 0
@@ -69,7 +73,7 @@
 
 
 class ListedHosts(msgspec.Struct, frozen=True):
-    """The entry list with the seconds that it may be kept."""
+    """The entry list and the seconds for which it may be cached."""
 
     hosts: tuple[ListedHost, ...]
     ttl: float
@@ -84,7 +88,7 @@
     name = ""
     async for line in lines:
         if len(line) > MAX_LINE_CHARS:
-            raise FrameError("a line is too long")
+            raise FrameError("a line exceeds the maximum length")
         field, _, value = line.partition(":")
         if field == "event":
             name = value.strip()
@@ -99,11 +103,11 @@
         frame = msgspec.json.decode(data, type=_Frame)
     except (msgspec.DecodeError, RecursionError) as error:
         raise FrameError(str(error)) from error
-    make = _MAKERS.get(name)
-    return make(frame) if make else None  # None: an event of a newer release
+    build = _EVENT_BUILDERS.get(name)
+    return build(frame) if build else None  # ignores events of newer releases
 
 
-def _make_end(frame: _Frame) -> EndedEvent:
+def _build_end(frame: _Frame) -> EndedEvent:
     return EndedEvent(
         code=read_code(frame.code),
         reason=frame.reason,
@@ -113,18 +117,18 @@
     )
 
 
-_MAKERS: dict[str, Callable[[_Frame], StreamItem]] = {
+_EVENT_BUILDERS: dict[str, Callable[[_Frame], StreamItem]] = {
     "accepted": lambda f: AcceptedEvent(Generation(f.generation), f.attached),
     "tokens": lambda f: TokensEvent(Generation(f.generation), f.offset, f.tokens),
     "restart": lambda f: RestartEvent(Generation(f.generation)),
     "moved": lambda f: MovedEvent(f.addresses),
     "heartbeat": lambda f: HeartbeatEvent(),
-    "end": _make_end,
+    "end": _build_end,
 }
 
 
 def read_code(number: int) -> ResultCode:
-    """Return the code of a number; a newer release's unknown one is INTERNAL."""
+    """Return a number's result code; INTERNAL for one that only newer releases know."""
     try:
         return ResultCode(number)
     except ValueError:
@@ -133,11 +137,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """An error answer.
+    """A decoded error response.
 
     Attributes:
-        is_not_run: whether the host promises that the request was not run. It
-            may leave open what its code by itself would promise.
+        is_not_run: whether the host guarantees that the request was not run.
+            False if the host leaves this open, even for a code that usually
+            implies it.
     """
 
     failure: Failure
@@ -145,27 +150,27 @@
 
 
 def decode_problem(content: bytes, status: int, header: str | None) -> Rejection:
-    """Decode an error answer; anything else than a problem is INTERNAL."""
+    """Decode an error response; INTERNAL if it is not a problem document."""
     try:
         problem = msgspec.json.decode(content, type=_Problem)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         reason = f"the host answered {status} without a problem document"
-        failure = Failure(ResultCode.INTERNAL, reason, _read_seconds(header))
+        failure = Failure(ResultCode.INTERNAL, reason, _parse_retry_after(header))
         return Rejection(failure, False)
     seconds = problem.retry_after
     if seconds is None:
-        seconds = _read_seconds(header)
+        seconds = _parse_retry_after(header)
     reason = problem.detail or problem.title
     failure = Failure(read_code(problem.code), reason, seconds)
     return Rejection(failure, problem.outcome == Outcome.NOT_RUN.value)
 
 
-def _read_seconds(header: str | None) -> float | None:
+def _parse_retry_after(header: str | None) -> float | None:
     if header is None or not header.isascii() or not header.isdigit():
         return None
     return float(header[:9])
 
 
 def decode_result(body: str) -> Any:
-    """Decode a plain service's answer."""
+    """Decode the JSON answer of a plain service; None if it is empty."""
     return msgspec.json.decode(body) if body else None
--- a/dewridge/client/model.py
+++ b/dewridge/client/model.py
@@ -11,13 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What a caller wants done.
+    """One call of an operation.
 
     Attributes:
         input: text for a model, any JSON value for a plain service.
-        deadline: seconds from now by which the whole answer is wanted.
-        key: UUIDv7 that names the request; made anew if empty. Keep it and
-            use it again after a crash: the request does not run twice.
+        deadline: seconds from now by which the complete answer is needed.
+        max_tokens: limit on generated tokens; 0 sets none.
+        key: UUIDv7 that identifies the request; generated if empty. A caller
+            that stores it can retry after a crash without running the request
+            twice.
     """
 
     service: str
@@ -30,16 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The final word on a call.
+    """The final result of a call.
 
     Attributes:
-        code: OK if the answer is whole, otherwise why it is not.
+        code: OK if the answer is complete, otherwise the reason why not.
         text: a model's answer.
         result: a plain service's answer, decoded.
-        submissions: how often the call was sent.
-        connections: how many connections it took.
-        restarts: how often the answer began anew.
-        hosts: addresses in the order used.
+        submissions: how many times the call was submitted.
+        connections: how many connections were used.
+        restarts: how many times the answer restarted under a new generation.
+        hosts: the addresses used, in the order of their first use.
     """
 
     key: RequestKey
@@ -57,7 +59,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the whole answer came."""
+        """Whether the complete answer was received."""
         return self.code is ResultCode.OK
 
     @property
@@ -68,21 +70,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Timeouts and pauses of a client, in seconds.
+    """Timeouts, retry delays and limits of a client; times are in seconds.
 
     Attributes:
-        connect_timeout: to connect. Short, since another host is at hand.
-        silence_timeout: a stream on which not even a heartbeat comes for so
-            long is abandoned and resumed elsewhere. A few heartbeats long: a
-            hop that forgets a connection never closes it.
+        connect_timeout: for connecting. Short, since another host can be tried.
+        silence_timeout: a stream without any event, heartbeats included, for
+            this long is abandoned and resumed at another host. Spans a few
+            heartbeats. Needed because a network hop that loses track of a
+            connection never closes it.
         list_timeout: for the entry list and other short reads.
-        accept_timeout: from sending to the first answer.
-        host_time_share: part of the time left that one host may take of it.
-        min_host_timeout: but at least this long; more than a heartbeat.
-        initial_backoff: before the second try at hosts that failed; it doubles.
-        max_backoff: longest pause between tries.
-        grace: past the deadline, for the final word to arrive.
-        max_submissions: sendings of one key at most; 0 sets no bound.
+        accept_timeout: from sending a request to the head of the response.
+        host_time_share: fraction of the time left until the deadline that the
+            client waits for one host.
+        min_host_timeout: lower bound of that wait; longer than the heartbeat
+            interval.
+        initial_backoff: delay after the second consecutive failure; it doubles
+            with each further one.
+        max_backoff: upper bound of the delay between attempts.
+        grace: time past the deadline in which the final result may arrive.
+        max_submissions: maximum submissions of one key; 0 sets no limit.
     """
 
     connect_timeout: float = 1.0
@@ -98,4 +104,4 @@
 
 
 OnEvent = Callable[[AnswerEvent], None]
-"""Called with each event of an answer as it comes, duplicates left out."""
+"""Called with each event of an answer as it is received, without duplicates."""
--- a/dewridge/client/operators.py
+++ b/dewridge/client/operators.py
@@ -1,4 +1,4 @@
-"""A client for operators: reads and changes profiles and services."""
+"""Client for operators: reads and changes profiles and services."""
 
 from collections.abc import Sequence
 from contextlib import AsyncExitStack
@@ -14,14 +14,14 @@
 
 CONNECT_TIMEOUT = 1.0
 CALL_TIMEOUT = 15.0
-"""Seconds for one call: a change waits for the key-value service, which may be
-slow by seconds."""
+"""Seconds for one call. A change waits for the key-value service, which can take
+seconds to respond."""
 MUST_BE_NEW = 0
-"""Revision that says: this object must not exist yet."""
+"""Expected revision of an object that must not exist yet."""
 
 
 class OperatorClient:
-    """Asks the given entry hosts in turn; the first that answers counts."""
+    """Sends each call to the given entry hosts in order until one responds."""
 
     def __init__(self, addresses: Sequence[str], token: str) -> None:
         self._addresses = list(addresses)
@@ -46,35 +46,35 @@
         await self._stack.__aexit__(exc_type, exc_value, tb)
 
     async def read(self, path: str) -> Any | Failure:
-        """Read a document from the first host that answers."""
-        found: Any = Failure(ResultCode.PEER_UNREACHABLE, "no address was given")
+        """Read a document from the first host that responds."""
+        result: Any = Failure(ResultCode.PEER_UNREACHABLE, "no address was given")
         for address in self._addresses:
-            found = await self.read_at(address, path)
-            if not _is_unreachable(found):
+            result = await self.read_at(address, path)
+            if not _is_unreachable(result):
                 break
-        return found
+        return result
 
     async def read_at(self, address: str, path: str) -> Any | Failure:
         """Read a document from one host."""
         try:
-            answer = await self._http.get(f"http://{address}{path}")
+            response = await self._http.get(f"http://{address}{path}")
         except httpx.HTTPError as error:
             return _describe_unreachable(address, error)
-        return _decode(answer)
+        return _decode(response)
 
     async def change(
         self, method: str, path: str, expected: int, body: Any = None
     ) -> Any | Failure:
-        """Make a change from the revision expected, at the first host reached.
+        """Change an object at the expected revision, at the first reachable host.
 
-        A host that was reached and did not answer may have made the change, so
-        no other one is asked: its refusal of a revision that is no longer the
-        expected one would hide that the change took effect.
+        A host that was reached but did not respond may have applied the change,
+        so no other host is tried: it would report a revision conflict and hide
+        that the change took effect.
         """
         failure = Failure(ResultCode.PEER_UNREACHABLE, "no address was given")
         for address in self._addresses:
             try:
-                answer = await self._http.request(
+                response = await self._http.request(
                     method,
                     f"http://{address}{path}",
                     content=msgspec.json.encode(body) if body is not None else None,
@@ -86,7 +86,7 @@
                 reason = f"{address} did not answer ({type(error).__name__})"
                 return Failure(ResultCode.CHANGE_UNKNOWN, reason)
             else:
-                return _decode(answer)
+                return _decode(response)
         return failure
 
 
@@ -96,12 +96,12 @@
     return {"If-Match": f'"{expected}"'}
 
 
-def _decode(answer: httpx.Response) -> Any | Failure:
-    if not answer.is_success:
-        header = answer.headers.get("Retry-After")
-        return decode_problem(answer.content, answer.status_code, header).failure
+def _decode(response: httpx.Response) -> Any | Failure:
+    if not response.is_success:
+        header = response.headers.get("Retry-After")
+        return decode_problem(response.content, response.status_code, header).failure
     try:
-        return msgspec.json.decode(answer.content)
+        return msgspec.json.decode(response.content)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Failure(ResultCode.INTERNAL, f"the answer is malformed: {error}")
 
@@ -111,5 +111,5 @@
     return Failure(ResultCode.PEER_UNREACHABLE, reason)
 
 
-def _is_unreachable(found: Any) -> bool:
-    return isinstance(found, Failure) and found.code is ResultCode.PEER_UNREACHABLE
+def _is_unreachable(result: Any) -> bool:
+    return isinstance(result, Failure) and result.code is ResultCode.PEER_UNREACHABLE
--- a/dewridge/client/progress.py
+++ b/dewridge/client/progress.py
@@ -1,4 +1,4 @@
-"""How far one call has come; pure state, so that it is tested without sockets."""
+"""State of one call, kept free of I/O so that it can be tested without sockets."""
 
 from enum import Enum
 
@@ -26,45 +26,48 @@
         ResultCode.CANCELLED,
     }
 )
-"""Refusals that another try with the same input and deadline does not change."""
+"""Rejections that a retry with the same input and deadline cannot change."""
 
 STALE_HOST_REJECTIONS = frozenset(
     {ResultCode.UNKNOWN_SERVICE, ResultCode.UNKNOWN_OPERATION}
 )
-"""Refusals by a host that may not have heard of a new service yet."""
+"""Rejections by a host whose configuration may not contain a new service yet."""
 MAX_STALE_HOST_REJECTIONS = 3
-"""Hosts asked before such a refusal is believed; more would hide a wrong name."""
+"""Number of `STALE_HOST_REJECTIONS` after which a call fails; more retries would
+only delay the error for a wrong name."""
 
 
 UNKNOWNS_BEFORE_RESUBMIT = 2
-"""Times that an outcome is unknown before the key is sent again: what a holder that
-woke up delivers is there the second time."""
+"""Unknown outcomes after which the key is submitted again. The first one leads to
+another query, which finds an answer that a resumed holder has delivered meanwhile."""
 
 
 class Step(Enum):
-    """What a client does after an event."""
+    """What the client does after an event."""
 
     CONTINUE = "read_on"
     RECONNECT = "rejoin"
-    """Follow the answer on another connection."""
+    """Follow the answer on a new connection."""
     RESUBMIT = "resubmit"
-    """Send the call again, with the next submission number."""
+    """Submit the call again, with the next submission number."""
     FINISH = "finish"
 
 
 class Progress:
-    """The answer so far and what is known of the request's fate.
+    """The partial answer of a call and what is known about its request.
 
     Attributes:
-        accepted: whether a host has accepted it; then it is followed by key.
-        is_outcome_uncertain: whether a submission went out whose fate is not known.
+        accepted: whether a host has accepted the request; it is followed by its
+            key then.
+        is_outcome_uncertain: whether a submission was sent and it is not known
+            whether the request ran.
     """
 
     def __init__(self, max_submissions: int = 0) -> None:
-        """Begin a call.
+        """Start with an empty answer.
 
         Args:
-            max_submissions: sendings of its key at most; 0 sets no bound.
+            max_submissions: maximum submissions of the key; 0 sets no limit.
         """
         self.submissions = 0
         self.restarts = 0
@@ -75,65 +78,66 @@
         self.last_failure: Failure | None = None
         self.ended: EndedEvent | None = None
         self.retry_after = 0.0
-        self._doubt_before = False
-        self._lagging = 0
-        self._most_submissions = max_submissions
-        self._times_unknown = 0
+        self._was_uncertain_before = False
+        self._stale_host_rejections = 0
+        self._max_submissions = max_submissions
+        self._unknown_outcomes = 0
 
     def begin_submission(self) -> int:
-        """Number one more submission."""
+        """Start a submission and return its number."""
         self.submissions += 1
-        self._doubt_before = self.is_outcome_uncertain
+        self._was_uncertain_before = self.is_outcome_uncertain
         self.is_outcome_uncertain = True
         self.ended = None
         return self.submissions
 
     def undo_submission(self) -> None:
-        """Take back the last submission, which never left this client."""
+        """Undo the last submission, which was never sent."""
         if not self.accepted:
-            self.is_outcome_uncertain = self._doubt_before
+            self.is_outcome_uncertain = self._was_uncertain_before
             self.submissions -= 1
 
     def record_accepted(self, generation: int) -> None:
-        """Record that a host keeps the request now."""
+        """Record that a host has accepted the request."""
         self.accepted = True
-        self._begin(generation)
+        self._start_generation(generation)
 
     def handle_rejection(self, failure: Failure, is_not_run: bool) -> Step:
-        """Record an error answer and decide what follows."""
+        """Record an error response and return the next step."""
         self.last_failure = failure
         self.retry_after = failure.retry_after or 0.0
         if is_not_run and not self.accepted:
             self.is_outcome_uncertain = False
         if failure.code is ResultCode.UNKNOWN_REQUEST:
-            # Accepted once, known nowhere now: its copies are lost. The same
-            # key sent again joins it, runs it, or is told what became of it.
+            # The request may have been accepted and lost with all its replicas.
+            # Submitting the key again attaches to it, runs it or returns its
+            # outcome.
             self.accepted = False
             return Step.RESUBMIT
         if failure.code in STALE_HOST_REJECTIONS:
-            self._lagging += 1
+            self._stale_host_rejections += 1
         if (
             failure.code in FINAL_REJECTIONS
-            or self._lagging >= MAX_STALE_HOST_REJECTIONS
+            or self._stale_host_rejections >= MAX_STALE_HOST_REJECTIONS
         ):
             return Step.FINISH
         return Step.RECONNECT if self.accepted else Step.RESUBMIT
 
     def handle_event(self, event: AnswerEvent) -> Step:
-        """Take in an event and decide what follows."""
+        """Apply an event to the answer and return the next step."""
         match event:
             case TokensEvent():
-                return self._take_tokens(event)
+                return self._append_tokens(event)
             case RestartEvent():
-                self._begin(event.generation)
+                self._start_generation(event.generation)
                 return Step.CONTINUE
             case MovedEvent():
                 return Step.RECONNECT
             case EndedEvent():
-                return self._take_end(event)
+                return self._handle_end(event)
         return Step.CONTINUE
 
-    def _begin(self, generation: int) -> None:
+    def _start_generation(self, generation: int) -> None:
         if generation == self.generation:
             return
         if self.tokens:
@@ -141,23 +145,23 @@
         self.generation = generation
         self.tokens.clear()
 
-    def _take_tokens(self, event: TokensEvent) -> Step:
-        # A late copy of an earlier generation, or a gap, must not get into the
-        # answer: the first is dropped, the second is asked for again.
+    def _append_tokens(self, event: TokensEvent) -> Step:
+        # Late events of an earlier generation are dropped. After a gap, the client
+        # reconnects to receive the missing tokens.
         if event.generation < self.generation:
             return Step.CONTINUE
         if event.generation > self.generation:
-            self._begin(event.generation)
+            self._start_generation(event.generation)
         if event.offset > len(self.tokens):
             return Step.RECONNECT
         known = len(self.tokens) - event.offset
         self.tokens.extend(event.tokens[known:])
         return Step.CONTINUE
 
-    def _take_end(self, event: EndedEvent) -> Step:
-        is_short = event.summary.tokens > len(self.tokens) and not event.body
-        if event.code is ResultCode.OK and is_short:
-            return Step.RECONNECT  # the end overtook tokens
+    def _handle_end(self, event: EndedEvent) -> Step:
+        is_truncated = event.summary.tokens > len(self.tokens) and not event.body
+        if event.code is ResultCode.OK and is_truncated:
+            return Step.RECONNECT  # tokens are missing before the end
         self.ended = event
         failure = Failure(event.code, event.reason, event.retry_after)
         self.last_failure = failure
@@ -170,20 +174,20 @@
             return Step.FINISH if event.code in FINAL_REJECTIONS else Step.RESUBMIT
         if event.retry_after is None:
             return Step.FINISH
-        return self._come_back()
+        return self._resolve_unknown_outcome()
 
-    def _come_back(self) -> Step:
-        """Ask again for an outcome that is unknown, and then send the key again.
+    def _resolve_unknown_outcome(self) -> Step:
+        """Return how to resolve an unknown outcome: query it once, then resubmit.
 
-        Its holder may yet deliver, so the first time the answer is asked for. A call
-        that was never sent has nobody to deliver it: asked for again and again it
-        stayed unknown until its deadline, while the same key sent again joins what
-        runs, runs what never did, and never runs anything twice.
+        The request's holder may still deliver, so the first step is another query.
+        A request that was lost before it ran has no holder: queries alone left its
+        outcome unknown until the deadline. A resubmission attaches to a running
+        request, runs one that never ran, and never runs a request twice.
         """
-        self._times_unknown += 1
-        is_last = 0 < self._most_submissions <= self.submissions
-        if self._times_unknown < UNKNOWNS_BEFORE_RESUBMIT or is_last:
+        self._unknown_outcomes += 1
+        is_last = 0 < self._max_submissions <= self.submissions
+        if self._unknown_outcomes < UNKNOWNS_BEFORE_RESUBMIT or is_last:
             return Step.RECONNECT
-        self._times_unknown = 0
+        self._unknown_outcomes = 0
         self.accepted = False
         return Step.RESUBMIT
--- a/dewridge/tests/client/progress_tests.py
+++ b/dewridge/tests/client/progress_tests.py
@@ -1,4 +1,4 @@
-"""What a client makes of events and refusals, without sockets."""
+"""Tests of the state of a call under events and rejections, without sockets."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,40 +15,42 @@
 )
 from dewridge.sentinels import Failure
 
-WHOLE = {1: ["a", "b", "c", "d"], 2: ["w", "x", "y", "z"]}
+FULL_TOKENS = {1: ["a", "b", "c", "d"], 2: ["w", "x", "y", "z"]}
 
 
 def make_tokens(generation: int, offset: int, end: int) -> TokensEvent:
-    tokens = tuple(WHOLE[generation][offset:end])
+    tokens = tuple(FULL_TOKENS[generation][offset:end])
     return TokensEvent(Generation(generation), offset, tokens)
 
 
-places = st.tuples(st.integers(0, 3), st.integers(1, 4))
+token_ranges = st.tuples(st.integers(0, 3), st.integers(1, 4))
 events = st.one_of(
     st.builds(
-        lambda generation, place: make_tokens(generation, place[0], sum(place)),
+        lambda generation, token_range: make_tokens(
+            generation, token_range[0], sum(token_range)
+        ),
         st.sampled_from([1, 2]),
-        places,
+        token_ranges,
     ),
     st.builds(lambda: RestartEvent(Generation(2))),
 )
 
 
 @given(st.lists(events, max_size=20))
-def test_no_order_of_events_garbles_the_answer(arrived: list[AnswerEvent]) -> None:
-    # Events come late, twice, with gaps, or from a generation that was given
-    # up. What the client holds is always the beginning of one generation.
+def test_no_order_of_events_corrupts_the_answer(received: list[AnswerEvent]) -> None:
+    # Events arrive late, duplicated, with gaps or from an abandoned generation. The
+    # client's tokens must always be a prefix of a single generation.
     progress = Progress()
     progress.record_accepted(1)
-    for event in arrived:
+    for event in received:
         progress.handle_event(event)
-        whole = WHOLE[progress.generation]
-        assert progress.tokens == whole[: len(progress.tokens)]
+        full_tokens = FULL_TOKENS[progress.generation]
+        assert progress.tokens == full_tokens[: len(progress.tokens)]
 
 
-def test_an_end_that_overtook_tokens_is_not_the_end() -> None:
-    # The end of an answer arrives though a part of its tokens got lost on the
-    # way. Taken as it is the caller would hold a finding without its last lines.
+def test_end_with_missing_tokens_causes_a_reconnect() -> None:
+    # The end event arrives although tokens were lost on the way. If the client
+    # accepted it, the caller would get an answer without its last lines.
     progress = Progress()
     progress.record_accepted(1)
     progress.handle_event(make_tokens(1, 0, 2))
@@ -58,21 +60,21 @@
     assert progress.handle_event(end) is Step.FINISH
 
 
-def test_a_refusal_ends_the_doubt_about_earlier_submissions() -> None:
-    # The first submission's connection broke; nobody knows whether it was
-    # accepted. A later refusal holds for all submissions up to its own.
+def test_rejection_as_not_run_settles_earlier_submissions() -> None:
+    # The connection of the first submission broke, so it may have been accepted. A
+    # later rejection that reports "not run" covers all submissions up to its own.
     progress = Progress()
     progress.begin_submission()
     assert progress.is_outcome_uncertain
     progress.begin_submission()
-    refusal = Failure(ResultCode.QUEUE_FULL, retry_after=1.0)
-    assert progress.handle_rejection(refusal, True) is Step.RESUBMIT
+    rejection = Failure(ResultCode.QUEUE_FULL, retry_after=1.0)
+    assert progress.handle_rejection(rejection, True) is Step.RESUBMIT
     assert not progress.is_outcome_uncertain
 
 
-def test_a_refusal_for_want_of_room_leaves_the_doubt() -> None:
-    # A host without room asked nobody about the key. The request may be running
-    # at the host that the first submission reached.
+def test_rejection_at_the_connection_limit_leaves_the_outcome_uncertain() -> None:
+    # A host over its connection limit does not look up the key. The request may be
+    # running at the host that received the first submission.
     progress = Progress()
     progress.begin_submission()
     progress.begin_submission()
@@ -80,9 +82,9 @@
     assert progress.is_outcome_uncertain
 
 
-def test_an_unknown_outcome_is_asked_for_again() -> None:
-    # The host that held a call went silent. It may yet deliver; a client that
-    # gave up now, or sent a new key, might get two letters.
+def test_unknown_outcome_is_queried_again() -> None:
+    # The host that runs a request goes silent but may still deliver. A client that
+    # abandoned the call, or used a new key, could run the operation twice.
     progress = Progress()
     progress.record_accepted(1)
     end = EndedEvent(ResultCode.OUTCOME_UNKNOWN, retry_after=0.5)
@@ -92,10 +94,10 @@
     assert progress.handle_event(EndedEvent(ResultCode.OK)) is Step.FINISH
 
 
-def test_an_outcome_that_stays_unknown_is_sent_again() -> None:
-    # A letter was accepted and its host was reclaimed before it was sent. No host
-    # has it, so asking for it never helps: the caller heard "unknown" each two
-    # seconds until its deadline. Sent again under its key it is issued once.
+def test_repeated_unknown_outcome_causes_a_resubmission() -> None:
+    # A request was accepted and its host reclaimed before it ran. No host stores it,
+    # so queries returned "unknown" every two seconds until the deadline. Submitted
+    # again under its key, it runs once.
     progress = Progress()
     progress.begin_submission()
     progress.record_accepted(1)
@@ -107,9 +109,9 @@
     assert progress.is_outcome_uncertain
 
 
-def test_a_caller_that_sends_once_goes_on_asking() -> None:
-    # A caller may bound how often its key is sent. It must not stop at the second
-    # "unknown": a holder that was asleep may bring the answer after it.
+def test_single_submission_limit_keeps_querying() -> None:
+    # A caller may limit the submissions of its key. The client must not stop at the
+    # second unknown outcome: a suspended holder may deliver the answer later.
     progress = Progress(max_submissions=1)
     progress.begin_submission()
     progress.record_accepted(1)
