--- a/dewridge/frontend/__init__.py
+++ b/dewridge/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and operators."""
+"""HTTP interface for callers and operators."""
--- a/dewridge/frontend/app.py
+++ b/dewridge/frontend/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application towards callers and operators."""
+"""The HTTP application for callers and operators."""
 
 import traceback
 from collections.abc import Awaitable, Callable
@@ -38,8 +38,8 @@
     metrics: Metrics,
     is_leaving: Callable[[], bool],
 ) -> QuartTrio:
-    """Build the application; the parts given do the work."""
-    parts = FrontendComponents(
+    """Build the application on top of the given components."""
+    components = FrontendComponents(
         settings=settings,
         requests=requests,
         configuration=configuration,
@@ -54,17 +54,17 @@
     app = QuartTrio("dewridge")
     app.config["MAX_CONTENT_LENGTH"] = settings.frontend.body_limit
     app.config["BODY_TIMEOUT"] = settings.frontend.body_timeout
-    # Waiting for a whole answer ends by the request's deadline, not by a fixed
-    # time of the library.
+    # The wait for a complete answer is bounded by the request's deadline, so the
+    # library's fixed timeout is disabled.
     app.config["RESPONSE_TIMEOUT"] = None
-    add_caller_routes(app, parts)
-    add_operator_routes(app, parts)
-    _add_error_answers(app, metrics)
-    dumps.add("frontend", _make_describe(parts))
+    add_caller_routes(app, components)
+    add_operator_routes(app, components)
+    _add_error_handlers(app, metrics)
+    dumps.add("frontend", _make_dump_provider(components))
     return app
 
 
-def _add_error_answers(app: QuartTrio, metrics: Metrics) -> None:
+def _add_error_handlers(app: QuartTrio, metrics: Metrics) -> None:
     @app.errorhandler(HTTPException)
     async def answer_http_error(error: HTTPException) -> Response:
         status = error.code or 400
@@ -82,23 +82,23 @@
         return answer
 
     @app.errorhandler(Exception)
-    async def answer_fault(error: Exception) -> Response:
+    async def answer_internal_error(error: Exception) -> Response:
         metrics.add("frontend_faults")
-        # The message may quote a caller's input; place and type do not.
+        # The message may quote a caller's input, so only type and location are logged.
         frames = traceback.extract_tb(error.__traceback__)
-        place = f"{frames[-1].filename}:{frames[-1].lineno}" if frames else "?"
-        log.error("a handler failed: {} at {}", type(error).__name__, place)
+        location = f"{frames[-1].filename}:{frames[-1].lineno}" if frames else "?"
+        log.error("HTTP handler failed: {} at {}", type(error).__name__, location)
         return answer_failure(Failure(ResultCode.INTERNAL))
 
 
-def _make_describe(
-    parts: FrontendComponents,
+def _make_dump_provider(
+    components: FrontendComponents,
 ) -> Callable[[], Awaitable[dict[str, object]]]:
     async def describe() -> dict[str, object]:
         return {
-            "streams": parts.streams.describe(),
-            "leaving": parts.is_leaving(),
-            "accounts": [account.name for account in parts.settings.accounts],
+            "streams": components.streams.describe(),
+            "leaving": components.is_leaving(),
+            "accounts": [account.name for account in components.settings.accounts],
         }
 
     return describe
--- a/dewridge/frontend/bodies.py
+++ b/dewridge/frontend/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies and parameters of requests, checked."""
+"""Decoding and validation of request bodies and parameters."""
 
 import time
 from typing import Annotated, TypeVar
@@ -19,7 +19,7 @@
 from dewridge.settings.schema import FrontendSettings
 
 MAX_INT32 = 2**31 - 1
-"""Largest number that the messages between hosts carry."""
+"""Largest integer that messages between hosts can carry."""
 MAX_REQUESTED_TOKENS = 1_000_000
 MAX_NAME_CHARS = 128
 MAX_REASON_CHARS = 300
@@ -29,15 +29,15 @@
 
 
 class RequestBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a caller sends to have work done.
+    """Body with which a caller submits a request.
 
     Attributes:
-        key: UUIDv7 that names the request, the same in every repeat.
-        submission: counts the sendings of the key from 1.
+        key: UUIDv7 that identifies the request, the same in every retry.
+        submission: number of this submission of the key, starting at 1.
         input: text for a model, any JSON value for a plain service.
-        deadline_seconds: time from now by which the whole answer is wanted.
-        deadline: the same as seconds since 1970; one of both.
-        stream: answer with server-sent events in place of one JSON document.
+        deadline_seconds: time from now by which the complete answer is needed.
+        deadline: the same as seconds since 1970; excludes `deadline_seconds`.
+        stream: answer with server-sent events instead of one JSON document.
     """
 
     key: str
@@ -53,7 +53,7 @@
 def decode_body(
     body: bytes, kind: type[T], code: ResultCode = ResultCode.MALFORMED_REQUEST
 ) -> T | Failure:
-    """Decode a JSON body; a failure names the place, never the content."""
+    """Decode a JSON body; a failure names the location, never the content."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -63,7 +63,7 @@
 
 
 def parse_count(text: str | None, name: str) -> int | Failure:
-    """Read a whole number of a query; absent is 0."""
+    """Parse a non-negative integer of a query; 0 if it is absent."""
     if not text:
         return 0
     if text.isascii() and text.isdigit() and len(text) <= 10 and int(text) <= MAX_INT32:
@@ -75,14 +75,14 @@
 def parse_position(
     generation: str | None, offset: str | None
 ) -> tuple[Generation, int] | Failure:
-    """Read the place in an answer from which a caller wants to follow it."""
-    first = parse_count(generation, "generation")
-    if isinstance(first, Failure):
-        return first
-    second = parse_count(offset, "offset")
-    if isinstance(second, Failure):
-        return second
-    return Generation(first), second
+    """Parse the position in an answer from which a caller follows it."""
+    parsed_generation = parse_count(generation, "generation")
+    if isinstance(parsed_generation, Failure):
+        return parsed_generation
+    parsed_offset = parse_count(offset, "offset")
+    if isinstance(parsed_offset, Failure):
+        return parsed_offset
+    return Generation(parsed_generation), parsed_offset
 
 
 def make_submission(
@@ -92,19 +92,19 @@
     service: Service | None,
     settings: FrontendSettings,
 ) -> Submission | Failure:
-    """Check a decoded body and make a submission of it.
+    """Validate a decoded body and convert it to a submission.
 
-    A service that is not known here is left to the requests part to refuse:
-    this host's configuration may lag, and an earlier submission of the key may
-    be running elsewhere, which "not run" would deny.
+    An unknown service is not rejected here but by the `Requests` component: this
+    host's configuration may be stale, and an earlier submission of the key may be
+    running on another host, so "not run" could be wrong.
     """
     key = parse_key(body.key)
     if isinstance(key, Failure):
         return key
-    deadline = _find_deadline(body, settings, time.time())
+    deadline = _compute_deadline(body, settings, time.time())
     if isinstance(deadline, Failure):
         return deadline
-    text = _read_input(body.input, service)
+    text = _decode_input(body.input, service)
     if isinstance(text, Failure):
         return text
     return Submission(
@@ -119,7 +119,7 @@
     )
 
 
-def _find_deadline(
+def _compute_deadline(
     body: RequestBody, settings: FrontendSettings, now: float
 ) -> float | Failure:
     if body.deadline is not None and body.deadline_seconds is not None:
@@ -135,12 +135,12 @@
     return deadline
 
 
-def _read_input(raw: msgspec.Raw, service: Service | None) -> str | Failure:
+def _decode_input(raw: msgspec.Raw, service: Service | None) -> str | Failure:
     content = bytes(raw)
-    is_text = content.lstrip()[:1] == b'"'
+    is_string = content.lstrip()[:1] == b'"'
     if service is not None and service.kind == "plain":
         return _decode_text(content)
-    if is_text:
+    if is_string:
         return decode_body(content, str)
     if service is None:
         return _decode_text(content)
--- a/dewridge/frontend/entry.py
+++ b/dewridge/frontend/entry.py
@@ -1,4 +1,4 @@
-"""The entry list: which addresses a client account should use."""
+"""The entry list: the addresses that a client account should use."""
 
 import msgspec
 
@@ -15,7 +15,11 @@
 
 
 class EntryList(msgspec.Struct, frozen=True):
-    """Addresses in the order of preference, and how long to keep them."""
+    """Addresses in order of preference.
+
+    Attributes:
+        ttl: seconds for which a client may cache the list.
+    """
 
     hosts: tuple[EntryHost, ...]
     ttl: float
@@ -32,12 +36,14 @@
 ) -> EntryList:
     """Choose entry hosts for a caller, spread over failure domains.
 
-    Hosts that are leaving or silent are not in it. A host that is alone still
-    names itself, unless it leaves.
+    Departing and silent hosts are omitted. A single host lists itself unless it
+    is departing.
     """
     members = list(membership.members())
     if is_leaving:
         members = [member for member in members if member.host != membership.me.host]
     chosen = choose_entry_hosts(account, members, size, caller)
-    hosts = (EntryHost(each.frontend_address, each.failure_domain) for each in chosen)
+    hosts = (
+        EntryHost(entry.frontend_address, entry.failure_domain) for entry in chosen
+    )
     return EntryList(tuple(hosts), ttl)
--- a/dewridge/frontend/events.py
+++ b/dewridge/frontend/events.py
@@ -1,4 +1,4 @@
-"""Answers as server-sent events and as whole documents."""
+"""Encoding of answers as server-sent events."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -19,7 +19,11 @@
 
 
 class AcceptedFrame(msgspec.Struct, frozen=True):
-    """First event: the request is kept by more than one host."""
+    """First event: the request is accepted and stored by more than one host.
+
+    Attributes:
+        attached: whether the submission joined a request that already existed.
+    """
 
     key: str
     generation: int
@@ -27,7 +31,7 @@
 
 
 class TokensFrame(msgspec.Struct, frozen=True):
-    """Tokens from an offset of a generation on."""
+    """Tokens of a generation, starting at an offset."""
 
     generation: int
     offset: int
@@ -35,23 +39,23 @@
 
 
 class RestartFrame(msgspec.Struct, frozen=True):
-    """Earlier tokens are void; a new generation begins at offset 0."""
+    """Earlier tokens are invalid; a new generation starts at offset 0."""
 
     generation: int
 
 
 class MovedFrame(msgspec.Struct, frozen=True):
-    """Continue at one of these addresses."""
+    """The answer continues at one of these addresses."""
 
     addresses: Sequence[str]
 
 
 class HeartbeatFrame(msgspec.Struct, frozen=True):
-    """The connection is alive."""
+    """Sent while there are no other events, to show that the connection is alive."""
 
 
 class EndFrame(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The final word on a request."""
+    """The final result of a request."""
 
     code: int
     outcome: str
@@ -64,24 +68,26 @@
 def encode_accepted(key: str, accepted: Accepted) -> bytes:
     """Return the first event of a stream."""
     frame = AcceptedFrame(key, accepted.generation, accepted.attached)
-    return _encode("accepted", frame)
+    return _encode_event("accepted", frame)
 
 
 def encode_events(events: Sequence[AnswerEvent]) -> bytes:
-    """Return server-sent events, with neighbouring tokens in one."""
-    return b"".join(_encode(*_make_frame(event)) for event in merge_tokens(events))
+    """Return server-sent events, with contiguous tokens merged into one event."""
+    return b"".join(
+        _encode_event(*_make_frame(event)) for event in merge_tokens(events)
+    )
 
 
 def merge_tokens(events: Sequence[AnswerEvent]) -> list[AnswerEvent]:
-    """Join token events that follow each other without a gap.
+    """Merge contiguous token events.
 
-    A write costs a process about as much as ten tokens do, so what has
-    gathered while the last write went out is sent as one.
+    One write costs about as much processing as ten tokens, so tokens that arrived
+    during the previous write are sent together.
     """
     merged: list[AnswerEvent] = []
     for event in events:
         last = merged[-1] if merged else None
-        if _continues(last, event):
+        if _is_contiguous(last, event):
             assert isinstance(last, TokensEvent) and isinstance(event, TokensEvent)
             tokens = last.tokens + event.tokens
             merged[-1] = TokensEvent(last.generation, last.offset, tokens)
@@ -90,7 +96,7 @@
     return merged
 
 
-def _continues(last: AnswerEvent | None, event: AnswerEvent) -> bool:
+def _is_contiguous(last: AnswerEvent | None, event: AnswerEvent) -> bool:
     return (
         isinstance(last, TokensEvent)
         and isinstance(event, TokensEvent)
@@ -115,7 +121,7 @@
 
 
 def make_end_frame(event: EndedEvent) -> EndFrame:
-    """Describe an end towards a caller."""
+    """Return the frame that reports the end of an answer to a caller."""
     return EndFrame(
         code=int(event.code),
         outcome=TABLE[event.code].outcome.value,
@@ -127,7 +133,7 @@
 
 
 def embed_result(body: str) -> msgspec.Raw | None:
-    """Return a plain service's answer for embedding, as a string if not JSON."""
+    """Return a plain service's answer as raw JSON; other text becomes a JSON string."""
     if not body:
         return None
     raw = body.encode(errors="replace")
@@ -138,5 +144,5 @@
     return msgspec.Raw(raw)
 
 
-def _encode(name: str, frame: Any) -> bytes:
+def _encode_event(name: str, frame: Any) -> bytes:
     return b"event: %b\ndata: %b\n\n" % (name.encode(), msgspec.json.encode(frame))
--- a/dewridge/frontend/keys.py
+++ b/dewridge/frontend/keys.py
@@ -1,4 +1,4 @@
-"""Keys by which callers name their requests."""
+"""Validation of the keys by which callers identify their requests."""
 
 import re
 
@@ -13,7 +13,7 @@
 
 
 def parse_key(text: str) -> RequestKey | Failure:
-    """Check a key and return it in canonical form."""
+    """Validate a key and return it in canonical form."""
     key = text.lower()
     if not KEY_PATTERN.fullmatch(key):
         reason = "a key is a UUIDv7 such as 01890a5d-ac96-774b-bcce-b302099a8057"
--- a/dewridge/frontend/limits.py
+++ b/dewridge/frontend/limits.py
@@ -1,4 +1,4 @@
-"""Limits on what one client account may hold open on this host."""
+"""Limit on the open streams of one client account on this host."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -9,15 +9,15 @@
 from dewridge.sentinels import Failure
 
 RETRY_AFTER = 1.0
-"""Seconds until a caller over its limit may come back; streams end all the time."""
+"""Seconds after which a caller over its limit may retry; streams end frequently."""
 
 
 class StreamLimiter:
-    """Counts the answers that each client account follows on this host.
+    """Limits the answers that each client account follows on this host.
 
-    Made for an account that opens streams without end, by a fault or on
-    purpose. Without a limit of its own it would use up the host's memory and
-    its rivals would be refused; with it only the account itself is.
+    An account may open streams without bound, by a fault or on purpose. Without a
+    limit per account it would exhaust the host's memory and other accounts would be
+    rejected; with the limit only the account itself is.
     """
 
     def __init__(self, limit: int) -> None:
@@ -25,7 +25,7 @@
         self._open: Counter[ClientAccount] = Counter()
 
     def check(self, account: ClientAccount) -> Failure | None:
-        """Refuse one more stream for an account at its limit."""
+        """Return a failure if the account has reached its limit."""
         if self._open[account] < self._limit:
             return None
         reason = f"this account follows {self._limit} answers on this host already"
--- a/dewridge/frontend/model.py
+++ b/dewridge/frontend/model.py
@@ -1,4 +1,4 @@
-"""What the frontend needs of the other parts, and how it names callers."""
+"""Interfaces of the components that the frontend depends on."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -16,33 +16,33 @@
 from dewridge.supervision.dumps import DumpBoard
 
 ReadUsage = Callable[[ProfileName], Awaitable[dict[str, float]]]
-"""Reads what a profile cost and lost, summed over the entry hosts."""
+"""Returns usage counters of a profile, summed over the entry hosts."""
 
 
 class ConfigurationStore(Protocol):
-    """Profiles and services, as operators read and change them.
+    """Store of profiles and services that operators read and change.
 
-    `expected` is the object's revision that a change was made from, 0 if it
-    must be new.
+    `expected` is the object's revision on which a change is based; 0 if the object
+    must not exist yet.
     """
 
     def current(self) -> Configuration:
-        """Return the configuration in force on this host."""
+        """Return the configuration in effect on this host."""
 
     async def publish_profile(
         self, profile: Profile, expected: int | None, operator: OperatorName
     ) -> int | Failure:
-        """Accept a profile and return its new revision."""
+        """Create or change a profile and return its new revision."""
 
     async def publish_service(
         self, service: Service, expected: int | None, operator: OperatorName
     ) -> int | Failure:
-        """Accept a service and return its new revision."""
+        """Create or change a service and return its new revision."""
 
     async def retire_profile(
         self, name: ProfileName, expected: int | None, operator: OperatorName
     ) -> int | Failure:
-        """Retire a profile that no service runs under."""
+        """Retire a profile that no service uses."""
 
     async def move_service(
         self,
@@ -51,12 +51,12 @@
         expected: int | None,
         operator: OperatorName,
     ) -> int | Failure:
-        """Put a service under another profile."""
+        """Assign another profile to a service."""
 
 
 @dataclass(frozen=True, slots=True)
 class FrontendComponents:
-    """The parts that the routes use."""
+    """The components that the routes use."""
 
     settings: Settings
     requests: Requests
--- a/dewridge/frontend/operators.py
+++ b/dewridge/frontend/operators.py
@@ -26,57 +26,59 @@
 
 
 class MoveBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Names the profile that a service is to run under."""
+    """Body that assigns a profile to a service."""
 
     profile: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 
 
 class Published(msgspec.Struct, frozen=True):
-    """An object with the revision at which it was last changed."""
+    """An object and the revision of its last change."""
 
     revision: int
     value: Any
 
 
 class Changed(msgspec.Struct, frozen=True):
-    """An accepted change."""
+    """Response to an accepted change, with the object's new revision."""
 
     name: str
     revision: int
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What a profile cost and lost."""
+    """Usage counters of a profile."""
 
     profile: str
     counters: dict[str, float]
 
 
-def add_operator_routes(app: QuartTrio, parts: FrontendComponents) -> None:
+def add_operator_routes(app: QuartTrio, components: FrontendComponents) -> None:
     """Add the routes that operators use."""
-    add_profile_routes(app, parts)
-    add_service_routes(app, parts)
-    add_state_routes(app, parts)
+    add_profile_routes(app, components)
+    add_service_routes(app, components)
+    add_state_routes(app, components)
 
 
-def add_profile_routes(app: QuartTrio, parts: FrontendComponents) -> None:
+def add_profile_routes(app: QuartTrio, components: FrontendComponents) -> None:
     """Add the routes for profiles."""
 
     @app.get("/v1/profiles")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def list_profiles(operator: OperatorName) -> Response:
-        return _answer_all(parts, "profile", parts.configuration.current().profiles)
+        return _answer_objects(
+            components, "profile", components.configuration.current().profiles
+        )
 
     @app.get("/v1/profiles/<name>")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def show_profile(operator: OperatorName, name: str) -> Response:
-        profiles = parts.configuration.current().profiles
+        profiles = components.configuration.current().profiles
         if name not in profiles:
-            return answer_failure(_unknown_profile(name))
-        return _answer_one(parts, f"profile/{name}", profiles[name])
+            return answer_failure(_make_unknown_profile(name))
+        return _answer_object(components, f"profile/{name}", profiles[name])
 
     @app.put("/v1/profiles/<name>")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def publish_profile(operator: OperatorName, name: str) -> Response:
         profile = await _read_object(Profile, name)
         if isinstance(profile, Failure):
@@ -86,52 +88,54 @@
             reason = "; ".join(problems)
             return answer_failure(Failure(ResultCode.MALFORMED_PROFILE, reason))
         return await _change(
-            name, parts.configuration.publish_profile, profile, operator
+            name, components.configuration.publish_profile, profile, operator
         )
 
     @app.delete("/v1/profiles/<name>")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def retire_profile(operator: OperatorName, name: str) -> Response:
-        retire = parts.configuration.retire_profile
+        retire = components.configuration.retire_profile
         return await _change(name, retire, ProfileName(name), operator)
 
     @app.get("/v1/profiles/<name>/report")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def report_profile(operator: OperatorName, name: str) -> Response:
-        if name not in parts.configuration.current().profiles:
-            return answer_failure(_unknown_profile(name))
-        counters = await parts.usage(ProfileName(name))
+        if name not in components.configuration.current().profiles:
+            return answer_failure(_make_unknown_profile(name))
+        counters = await components.usage(ProfileName(name))
         return answer_json(Report(name, dict(sorted(counters.items()))))
 
 
-def add_service_routes(app: QuartTrio, parts: FrontendComponents) -> None:
+def add_service_routes(app: QuartTrio, components: FrontendComponents) -> None:
     """Add the routes for services."""
 
     @app.get("/v1/services")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def list_services(operator: OperatorName) -> Response:
-        return _answer_all(parts, "service", parts.configuration.current().services)
+        return _answer_objects(
+            components, "service", components.configuration.current().services
+        )
 
     @app.get("/v1/services/<name>")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def show_service(operator: OperatorName, name: str) -> Response:
-        services = parts.configuration.current().services
+        services = components.configuration.current().services
         if name not in services:
             return answer_failure(Failure(ResultCode.UNKNOWN_SERVICE, f"`{name}`"))
-        return _answer_one(parts, f"service/{name}", services[name])
+        return _answer_object(components, f"service/{name}", services[name])
 
     @app.put("/v1/services/<name>")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def publish_service(operator: OperatorName, name: str) -> Response:
         service = await _read_object(Service, name)
         if isinstance(service, Failure):
             return answer_failure(service)
         return await _change(
-            name, parts.configuration.publish_service, service, operator
+            name, components.configuration.publish_service, service, operator
         )
 
     @app.put("/v1/services/<name>/profile")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def move_service(operator: OperatorName, name: str) -> Response:
         body = decode_body(await read_body(), MoveBody)
         if isinstance(body, Failure):
@@ -140,49 +144,49 @@
         if isinstance(expected, Failure):
             return answer_failure(expected)
         service, profile = ServiceName(name), ProfileName(body.profile)
-        move = parts.configuration.move_service
+        move = components.configuration.move_service
         return _answer_change(name, await move(service, profile, expected, operator))
 
 
-def add_state_routes(app: QuartTrio, parts: FrontendComponents) -> None:
-    """Add the routes that show what this process does."""
+def add_state_routes(app: QuartTrio, components: FrontendComponents) -> None:
+    """Add the routes that show the state of this process."""
 
     @app.get("/v1/dump")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def dump_state(operator: OperatorName) -> Response:
-        return answer_json(await parts.dumps.collect())
+        return answer_json(await components.dumps.collect())
 
     @app.get("/metrics")
-    @_for_operators(parts)
+    @_require_operator(components)
     async def show_metrics(operator: OperatorName) -> Response:
         from dewridge.metrics.exposition import CONTENT_TYPE, expose  # noqa: PLC0415
 
-        return Response(expose(parts.metrics), content_type=CONTENT_TYPE)
+        return Response(expose(components.metrics), content_type=CONTENT_TYPE)
 
 
-def _for_operators(parts: FrontendComponents) -> Callable[[Handler], Handler]:
+def _require_operator(components: FrontendComponents) -> Callable[[Handler], Handler]:
     def decorate(handler: Handler) -> Handler:
         @wraps(handler)
-        async def check(**names: str) -> Response:
+        async def authenticate(**path_arguments: str) -> Response:
             header = request.headers.get("Authorization")
-            operator = parts.tokens.find_operator(header)
+            operator = components.tokens.find_operator(header)
             if isinstance(operator, Failure):
-                parts.metrics.add("frontend_refused_tokens", side="operator")
+                components.metrics.add("frontend_refused_tokens", side="operator")
                 return answer_failure(operator)
-            return await handler(operator, **names)
+            return await handler(operator, **path_arguments)
 
-        return check
+        return authenticate
 
     return decorate
 
 
-def _unknown_profile(name: str) -> Failure:
+def _make_unknown_profile(name: str) -> Failure:
     return Failure(ResultCode.UNKNOWN_PROFILE, f"`{name[:MAX_NAME_CHARS]}`")
 
 
-async def _read_object(kind: type[T], name: str) -> T | Failure:
+async def _read_object(object_type: type[T], name: str) -> T | Failure:
     code = ResultCode.MALFORMED_PROFILE
-    decoded = decode_body(await read_body(), kind, code)
+    decoded = decode_body(await read_body(), object_type, code)
     if isinstance(decoded, Failure):
         return decoded
     if getattr(decoded, "name", name) != name:
@@ -191,25 +195,25 @@
 
 
 def _read_precondition() -> int | Failure:
-    # Without the revision that a change was made from, the later of two
-    # operators would undo the earlier one's change and neither would hear of it.
-    match, none_match = request.headers.get("If-Match"), _read_none_match()
-    if match is None and none_match is None:
+    # Without the revision on which a change is based, the later of two operators
+    # would overwrite the earlier one's change, and neither would notice.
+    if_match, if_none_match = request.headers.get("If-Match"), _read_if_none_match()
+    if if_match is None and if_none_match is None:
         reason = (
             "name the revision that you read (If-Match), or say that it must be new "
             "(If-None-Match: *)"
         )
         return Failure(ResultCode.PRECONDITION_REQUIRED, reason)
-    if match is None and none_match == "*":
+    if if_match is None and if_none_match == "*":
         return MUST_BE_NEW
-    revision = parse_count((match or "").strip().strip('"') or None, "If-Match")
-    if none_match is not None or isinstance(revision, Failure) or not revision:
+    revision = parse_count((if_match or "").strip().strip('"') or None, "If-Match")
+    if if_none_match is not None or isinstance(revision, Failure) or not revision:
         reason = 'give If-Match: "REVISION" or If-None-Match: *, and only one'
         return Failure(ResultCode.MALFORMED_REQUEST, reason)
     return revision
 
 
-def _read_none_match() -> str | None:
+def _read_if_none_match() -> str | None:
     header = request.headers.get("If-None-Match")
     return None if header is None else header.strip()
 
@@ -229,24 +233,26 @@
 def _answer_change(name: str, result: int | Failure) -> Response:
     if isinstance(result, Failure):
         return answer_failure(result)
-    answer = answer_json(Changed(name, result))
-    answer.headers["ETag"] = f'"{result}"'
-    return answer
+    response = answer_json(Changed(name, result))
+    response.headers["ETag"] = f'"{result}"'
+    return response
 
 
-def _answer_one(parts: FrontendComponents, object_name: str, value: Any) -> Response:
-    revision = parts.configuration.current().versions.get(object_name, 0)
-    answer = answer_json(Published(revision, value))
-    answer.headers["ETag"] = f'"{revision}"'
-    return answer
+def _answer_object(
+    components: FrontendComponents, object_name: str, value: Any
+) -> Response:
+    revision = components.configuration.current().versions.get(object_name, 0)
+    response = answer_json(Published(revision, value))
+    response.headers["ETag"] = f'"{revision}"'
+    return response
 
 
-def _answer_all(
-    parts: FrontendComponents, kind: str, objects: dict[str, Any]
+def _answer_objects(
+    components: FrontendComponents, object_type: str, objects: dict[str, Any]
 ) -> Response:
-    versions = parts.configuration.current().versions
+    versions = components.configuration.current().versions
     published = {
-        name: Published(versions.get(f"{kind}/{name}", 0), value)
+        name: Published(versions.get(f"{object_type}/{name}", 0), value)
         for name, value in sorted(objects.items())
     }
     return answer_json(published)
--- a/dewridge/frontend/problems.py
+++ b/dewridge/frontend/problems.py
@@ -1,4 +1,4 @@
-"""Failures as problem details (RFC 9457)."""
+"""Conversion of failures to problem details (RFC 9457)."""
 
 import math
 from typing import Any
@@ -14,14 +14,14 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The body of an error.
+    """The body of an error response.
 
     Attributes:
-        type: names the result code.
-        code: the numbered result code.
-        outcome: whether the request was not run, or may have run.
-        retry_after: seconds until it makes sense to come back.
-        advice: what the receiver should do.
+        type: URN of the result code.
+        code: number of the result code.
+        outcome: what is known about whether the request ran.
+        advice: what the caller should do.
+        retry_after: seconds after which a retry makes sense.
     """
 
     type: str
@@ -37,7 +37,7 @@
 def make_problem(
     failure: Failure, *, status: int | None = None, outcome: Outcome | None = None
 ) -> Problem:
-    """Describe a failure, with the table's words unless others are given."""
+    """Describe a failure; status and outcome default to those of its result code."""
     entry = TABLE[failure.code]
     return Problem(
         type=f"urn:dewridge:code:{int(failure.code)}",
@@ -54,17 +54,17 @@
 def answer_failure(
     failure: Failure, *, status: int | None = None, outcome: Outcome | None = None
 ) -> Response:
-    """Return the HTTP answer for a failure."""
+    """Return the HTTP response for a failure."""
     problem = make_problem(failure, status=status, outcome=outcome)
-    answer = answer_json(problem, problem.status)
-    answer.content_type = PROBLEM_TYPE
+    response = answer_json(problem, problem.status)
+    response.content_type = PROBLEM_TYPE
     if problem.retry_after is not None:
-        answer.headers["Retry-After"] = str(max(0, math.ceil(problem.retry_after)))
+        response.headers["Retry-After"] = str(max(0, math.ceil(problem.retry_after)))
     if failure.code is ResultCode.UNAUTHENTICATED:
-        answer.headers["WWW-Authenticate"] = "Bearer"
-    return answer
+        response.headers["WWW-Authenticate"] = "Bearer"
+    return response
 
 
 def answer_json(content: Any, status: int = 200) -> Response:
-    """Return an HTTP answer with JSON content."""
+    """Return an HTTP response with JSON content."""
     return Response(msgspec.json.encode(content), status, content_type=JSON_TYPE)
--- a/dewridge/frontend/server.py
+++ b/dewridge/frontend/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: connections with limits, and a shutdown that cuts off nothing."""
+"""The HTTP server, with connection limits and a graceful shutdown."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -20,16 +20,18 @@
 from dewridge.settings.schema import FrontendSettings
 
 ACCEPT_BACKLOG = 512
-"""Connections that may wait to be accepted: a reclaim sends the callers of a
-whole failure domain to the other hosts within the same second."""
+"""Connections that may wait to be accepted. When a failure domain is reclaimed, all
+of its callers connect to the remaining hosts within the same second."""
 HEAD_QUIET_TIME = 0.5
-"""Seconds at a shutdown without the head of a first request on any connection, after
-which those without a request are closed."""
+"""Seconds during a shutdown without a first request head on any connection, after
+which connections without a request are closed."""
 
 HEAD_POLL_INTERVAL = 0.05
-"""Seconds between two looks for heads at a shutdown. A look that comes a tick late
-shows that the process stood still, and its callers on the same host likely did."""
+"""Seconds between two polls for request heads during a shutdown. A poll that is late
+by another interval shows that the process was stalled, and likely also its callers on
+the same host."""
 MAX_QUIET_POLLS = round(HEAD_QUIET_TIME / HEAD_POLL_INTERVAL)
+"""Consecutive polls without a new head after which the wait for heads ends."""
 
 
 async def serve(
@@ -39,14 +41,14 @@
     on_listening: Callable[[str], None],
     metrics: Metrics | None = None,
 ) -> None:
-    """Serve until `shutdown` is set and every answer in flight has ended.
+    """Serve until `shutdown` is set and all answers in flight are complete.
 
     Args:
         app: the application.
         settings: limits and the address to listen on.
-        shutdown: set it to refuse new connections and let answers end.
+        shutdown: when set, new connections are refused and running answers complete.
         on_listening: called with the address once connections are accepted.
-        metrics: counts connections, and those refused or cut off.
+        metrics: counts open, refused and closed connections.
     """
     metrics = metrics or Metrics()
     config = make_config(settings)
@@ -57,18 +59,18 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(lifespan.handle_lifespan)
         await lifespan.wait_for_startup()
-        on_listening(_name_address(listener))
+        on_listening(_format_address(listener))
         context = WorkerContext(None)
-        gate = ConnectionLimiter(settings.connection_limit, metrics)
-        nursery.start_soon(gate.close_stalled, settings.write_timeout)
-        handle = _make_handler(wrapped, settings, context, gate)
-        await _serve_connections(handle, listener, shutdown, context, settings, gate)
+        limiter = ConnectionLimiter(settings.connection_limit, metrics)
+        nursery.start_soon(limiter.close_stalled, settings.write_timeout)
+        handle = _make_handler(wrapped, settings, context, limiter)
+        await _serve_connections(handle, listener, shutdown, context, settings, limiter)
         await lifespan.wait_for_shutdown()
         nursery.cancel_scope.cancel()
 
 
 def make_config(settings: FrontendSettings) -> Config:
-    """Return the library's configuration for our limits."""
+    """Return the HTTP library's configuration with the limits of the settings."""
     config = Config()
     config.errorlog = None
     config.accesslog = None
@@ -76,15 +78,15 @@
     config.keep_alive_timeout = settings.keep_alive
     config.h11_max_incomplete_size = settings.header_limit
     config.h2_max_header_list_size = settings.header_limit
-    # A host is left by a shutdown, not by a count of requests: the default of
-    # a thousand requests a connection would make busy callers reconnect.
+    # The default of a thousand requests per connection would force busy callers to
+    # reconnect; connections should end only at a shutdown.
     config.keep_alive_max_requests = 1_000_000
     config.include_server_header = False
     return config
 
 
 class CallerConnection(TCPServer):
-    """One connection of a caller."""
+    """One caller connection."""
 
     def __init__(
         self,
@@ -92,48 +94,50 @@
         config: Config,
         context: WorkerContext,
         stream: TimedStream,
-        gate: ConnectionLimiter,
+        limiter: ConnectionLimiter,
     ) -> None:
         state = ConnectionState({})
         super().__init__(app, config, context, state, stream)  # type: ignore[arg-type]
-        self._gate = gate
-        self._caller = stream
+        self._limiter = limiter
+        self._timed_stream = stream
 
     async def protocol_send(self, event: Event) -> None:
-        """Send an event, and let nothing cut off the note that a caller is idle.
+        """Send an event; idle updates are shielded from cancellation.
 
-        The library notes it from within the request's task, which is cancelled
-        as soon as its answer is complete. The note was lost half way; then idle
-        connections had no timeout, and a shutdown waited for each of them until
-        its limit.
+        The library sends the idle update from the request's task, which is
+        cancelled as soon as the answer is complete. Without the shield updates
+        were lost: idle connections had no timeout, and a shutdown waited for each
+        of them until its own time limit.
         """
         if not isinstance(event, Updated):
             await super().protocol_send(event)
             return
-        self._gate.record_idle(self._caller, event.idle)
+        self._limiter.record_idle(self._timed_stream, event.idle)
         with trio.CancelScope(shield=True):
             await super().protocol_send(event)
 
     async def _idle_timeout(self) -> None:
-        """Close the connection once it was idle for too long, or at a shutdown.
-
-        The library closes it even if a request has begun at that very moment: the
-        request is known before this timer is stopped, and a timer that has run out
-        can't be. A process that stood still reads the heads of all its callers and
-        shuts down in one turn; 123 of 131 callers were cut off so. Nothing runs
-        between the last look for input and the close.
+        """Close the connection after the idle timeout or at a shutdown.
+
+        The library closes it even if a request starts at that moment, because a
+        request is registered before this timer is stopped and an expired timer
+        cannot be stopped. A stalled process reads the request heads of all its
+        callers and shuts down in one iteration of the event loop; 123 of 131
+        callers lost their connection this way. So the connection is checked for
+        input and for a request first; no other task runs between the last check
+        and the close.
         """
         with trio.move_on_after(self.config.keep_alive_timeout):
             await self.context.terminated.wait()
         with trio.move_on_after(HEAD_QUIET_TIME):
-            await self._caller.wait_input_delivered()
-        if not self._gate.has_active_request(self._caller):
+            await self._timed_stream.wait_input_delivered()
+        if not self._limiter.has_active_request(self._timed_stream):
             with trio.CancelScope(shield=True):
                 await self._initiate_server_close()
 
     async def _read_data(self) -> None:
-        # The library keeps a connection that its caller has closed until its
-        # idle time is over; a flood of short ones would fill the limit so.
+        # The library keeps a connection that its caller has closed until the idle
+        # timeout; a flood of short connections would exhaust the limit.
         await super()._read_data()
         await self.idle_task.stop()
 
@@ -144,12 +148,12 @@
             settings.port, host=settings.address, backlog=ACCEPT_BACKLOG
         )
     except OSError as error:
-        place = f"{settings.address}:{settings.port}"
-        raise OSError(error.errno, f"{place}: {error.strerror}") from error
+        address = f"{settings.address}:{settings.port}"
+        raise OSError(error.errno, f"{address}: {error.strerror}") from error
     return listeners[0]
 
 
-def _name_address(listener: trio.SocketListener) -> str:
+def _format_address(listener: trio.SocketListener) -> str:
     host, port = listener.socket.getsockname()[:2]
     is_v6 = listener.socket.family == socket.AF_INET6
     return f"[{host}]:{port}" if is_v6 else f"{host}:{port}"
@@ -162,22 +166,22 @@
     app: AppWrapper,
     settings: FrontendSettings,
     context: WorkerContext,
-    gate: ConnectionLimiter,
+    limiter: ConnectionLimiter,
 ) -> ConnectionHandler:
-    # The library's own loop accepts without a limit and lets a write wait for
-    # ever on a caller that takes nothing; this one differs in these two.
+    # Replaces the library's accept loop, which has no connection limit and lets a
+    # write to a caller that stops reading wait forever.
     config = make_config(settings)
 
     async def handle(stream: trio.SocketStream) -> None:
-        bounded = TimedStream(stream)
-        if not gate.register(bounded):
-            await gate.reject(stream)
+        timed_stream = TimedStream(stream)
+        if not limiter.register(timed_stream):
+            await limiter.reject(stream)
             return
         try:
-            connection = CallerConnection(app, config, context, bounded, gate)
+            connection = CallerConnection(app, config, context, timed_stream, limiter)
             await connection.run()
         finally:
-            gate.unregister(bounded)
+            limiter.unregister(timed_stream)
 
     return handle
 
@@ -188,72 +192,76 @@
     shutdown: trio.Event,
     context: WorkerContext,
     settings: FrontendSettings,
-    gate: ConnectionLimiter,
+    limiter: ConnectionLimiter,
 ) -> None:
-    # Accepting closes its socket when it is cancelled; this one goes on listening.
-    bound = listener.socket
-    spare = socket.fromfd(bound.fileno(), bound.family, socket.SOCK_STREAM)
+    # Cancelling the accept loop closes its socket; the duplicate keeps listening, so
+    # that pending connections can still be accepted.
+    listening_socket = listener.socket
+    duplicate = socket.fromfd(
+        listening_socket.fileno(), listening_socket.family, socket.SOCK_STREAM
+    )
     async with trio.open_nursery() as connections:
         async with trio.open_nursery() as accepting:
-            accepting.start_soon(_accept, listener, handle, connections)
+            accepting.start_soon(_accept_connections, listener, handle, connections)
             await shutdown.wait()
             accepting.cancel_scope.cancel()
-        for stream in _take_waiting(spare):
+        for stream in _accept_pending(duplicate):
             connections.start_soon(handle, stream)
         with trio.move_on_after(settings.drain_seconds):
-            await _wait_for_heads(gate)
+            await _wait_for_heads(limiter)
         log.info(
             "closing the connections without a request; {} of {} have had none",
-            gate.count_unused(),
-            gate.count_open(),
+            limiter.count_unused(),
+            limiter.count_open(),
         )
         await context.terminated.set()
         drain = settings.drain_seconds
         connections.cancel_scope.deadline = trio.current_time() + drain
     if connections.cancel_scope.cancelled_caught:
-        log.warning("the drain's {:.1f} s are over; answers were cut off", drain)
+        log.warning(
+            "drain period of {:.1f} s exceeded; answers were interrupted", drain
+        )
 
 
-async def _wait_for_heads(gate: ConnectionLimiter) -> None:
-    """Wait while first requests go on coming in.
+async def _wait_for_heads(limiter: ConnectionLimiter) -> None:
+    """Wait until no first request has arrived for `HEAD_QUIET_TIME`.
 
-    Made for a shutdown of a busy process. Its callers connected before, and their
-    heads are read one after the other; closed after a fixed time, those that were not
-    read in time looked to their callers like answers cut off. Time in which the
-    process stood still does not count: nothing could be sent or read in it.
+    A busy process that shuts down reads the request heads of connected callers one
+    after the other. When connections were closed after a fixed time instead, callers
+    whose heads were not read yet saw interrupted answers. Time in which the process
+    was stalled does not count: nothing could be sent or read in it.
     """
-    fresh = gate.count_unused()
-    ticks_left = MAX_QUIET_POLLS
-    while ticks_left:
+    unused = limiter.count_unused()
+    polls_left = MAX_QUIET_POLLS
+    while polls_left:
         due = trio.current_time() + HEAD_POLL_INTERVAL
         await trio.sleep_until(due)
         was_late = trio.current_time() > due + HEAD_POLL_INTERVAL
-        before, fresh = fresh, gate.count_unused()
-        if was_late or fresh != before:
-            ticks_left = MAX_QUIET_POLLS
+        previous, unused = unused, limiter.count_unused()
+        if was_late or unused != previous:
+            polls_left = MAX_QUIET_POLLS
         else:
-            ticks_left -= 1
+            polls_left -= 1
 
 
-def _take_waiting(listening: socket.socket) -> list[trio.SocketStream]:
-    """Stop listening and return the connections not accepted until now.
+def _accept_pending(listening_socket: socket.socket) -> list[trio.SocketStream]:
+    """Accept all pending connections and stop listening.
 
-    The kernel completes connections before the process accepts them, and
-    resets those that wait when listening ends; to their callers that looks
-    like an answer cut off. Nothing runs between the last one taken and the
-    close.
+    The kernel completes connections before the process accepts them and resets
+    the pending ones when the socket is closed, which callers see as interrupted
+    answers. No other task runs between the last accept and the close.
     """
-    waiting = []
-    with listening:
-        listening.setblocking(False)
+    pending = []
+    with listening_socket:
+        listening_socket.setblocking(False)
         with suppress(BlockingIOError):
             while True:
-                connection, _ = listening.accept()
-                waiting.append(trio.socket.from_stdlib_socket(connection))
-    return [trio.SocketStream(each) for each in waiting]
+                connection, _ = listening_socket.accept()
+                pending.append(trio.socket.from_stdlib_socket(connection))
+    return [trio.SocketStream(accepted) for accepted in pending]
 
 
-async def _accept(
+async def _accept_connections(
     listener: trio.SocketListener, handle: ConnectionHandler, connections: trio.Nursery
 ) -> None:
     await trio.serve_listeners(handle, [listener], handler_nursery=connections)
--- a/dewridge/frontend/streams.py
+++ b/dewridge/frontend/streams.py
@@ -1,4 +1,4 @@
-"""Bodies of answers: streams of events, and waits for the whole."""
+"""Response bodies: event streams and complete answers."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack
@@ -33,50 +33,53 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_BATCH_EVENTS = 256
-"""Events put into one write; a follower far behind catches up in steps that
-leave room for the others' writes."""
+"""Maximum events in one write, so that a follower that is far behind does not delay
+the writes of others while it catches up."""
 
 Position = tuple[Generation, int]
-"""A generation of an answer and the count of its tokens that the caller has."""
+"""A generation of an answer and the number of its tokens that the caller has."""
 FROM_START: Position = (Generation(0), 0)
 
 Channel = trio.MemoryReceiveChannel[AnswerEvent]
 
 
 class Follower:
-    """An answer that a caller follows from a place on.
+    """Follows an answer on behalf of a caller, starting at a position.
 
     Attributes:
-        accepted: told first, if the caller has just submitted the request.
+        accepted: sent as the first event; None unless the caller has just
+            submitted the request.
     """
 
     def __init__(
         self,
-        parts: FrontendComponents,
+        components: FrontendComponents,
         account: ClientAccount,
         key: RequestKey,
-        place: Position = FROM_START,
+        position: Position = FROM_START,
         *,
         accepted: Accepted | None = None,
     ) -> None:
-        self._parts = parts
+        self._components = components
         self.account = account
         self.key = key
         self.accepted = accepted
-        self._place = place
+        self._position = position
 
     async def open(self, stack: AsyncExitStack) -> Channel:
-        """Follow the answer until the stack closes, counted for the account."""
-        stack.enter_context(self._parts.streams.track_stream(self.account))
-        stream = self._parts.requests.follow(self.account, self.key, *self._place)
+        """Open the event channel and count the stream until the stack closes."""
+        stack.enter_context(self._components.streams.track_stream(self.account))
+        stream = self._components.requests.follow(
+            self.account, self.key, *self._position
+        )
         return await stack.enter_async_context(stream)
 
 
 class EventStreamBody(ResponseBody):
-    """The body of a stream of events.
+    """Response body that streams server-sent events.
 
-    A class of its own and no generator: the server closes it in the task that
-    opened it, so the follower ends as soon as its caller is gone.
+    A context manager instead of a generator, so that the server closes it in the
+    task that opened it and the follower ends as soon as the caller disconnects.
     """
 
     def __init__(self, follower: Follower, heartbeat: float) -> None:
@@ -86,7 +89,7 @@
 
     async def __aenter__(self) -> AsyncIterator[bytes]:
         self._channel = await self._follower.open(self._stack)
-        return self._list_chunks()
+        return self._iterate_chunks()
 
     async def __aexit__(
         self,
@@ -96,7 +99,7 @@
     ) -> None:
         await self._stack.__aexit__(exc_type, exc_value, tb)
 
-    async def _list_chunks(self) -> AsyncIterator[bytes]:
+    async def _iterate_chunks(self) -> AsyncIterator[bytes]:
         if self._follower.accepted is not None:
             yield encode_accepted(self._follower.key, self._follower.accepted)
         while True:
@@ -108,23 +111,25 @@
                 return
 
     async def _receive(self) -> list[AnswerEvent]:
-        # A hop that has lost track of the connection closes nothing; the caller
-        # notices only that heartbeats stay away, and resumes elsewhere.
+        # A network hop that loses track of a connection does not close it. The
+        # caller detects this by missing heartbeats and resumes at another host.
         event: AnswerEvent = HeartbeatEvent()
         with trio.move_on_after(self._heartbeat):
             try:
                 event = await self._channel.receive()
             except trio.EndOfChannel:
                 return []
-        return [event, *_take_ready(self._channel)] if not is_last(event) else [event]
+        return (
+            [event, *_receive_ready(self._channel)] if not is_last(event) else [event]
+        )
 
 
 def is_last(event: AnswerEvent) -> bool:
-    """Whether nothing follows an event on its stream."""
+    """Whether an event is the last one of its stream."""
     return isinstance(event, EndedEvent | MovedEvent)
 
 
-def _take_ready(channel: Channel) -> list[AnswerEvent]:
+def _receive_ready(channel: Channel) -> list[AnswerEvent]:
     ready: list[AnswerEvent] = []
     while len(ready) < MAX_BATCH_EVENTS:
         try:
@@ -136,19 +141,18 @@
     return ready
 
 
-def answer_stream(parts: FrontendComponents, follower: Follower) -> Response:
+def answer_stream(components: FrontendComponents, follower: Follower) -> Response:
     """Answer with server-sent events."""
-    body = EventStreamBody(follower, parts.settings.frontend.heartbeat)
+    body = EventStreamBody(follower, components.settings.frontend.heartbeat)
     answer = Response(body, content_type=EVENT_STREAM)
-    # The library ends an answer after a minute unless told not to, which would
-    # cut off long drafts.
+    # The library's default timeout of one minute would interrupt long answers.
     answer.timeout = None
     answer.headers["Cache-Control"] = "no-store"
     return answer
 
 
 class CompleteAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A whole answer in one document.
+    """A complete answer in one document.
 
     Attributes:
         text: a model's answer.
@@ -165,10 +169,10 @@
 
 
 class UnfinishedAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The request goes on; follow it by its key.
+    """Reports that the request continues and is to be followed by its key.
 
     Attributes:
-        addresses: where to follow it, if this host goes.
+        addresses: hosts at which to follow it if this host is departing.
     """
 
     key: str
@@ -177,8 +181,8 @@
     addresses: tuple[str, ...] = ()
 
 
-class _Gathered:
-    """What has come of an answer so far."""
+class _AnswerCollector:
+    """Collects the events of an answer."""
 
     def __init__(self) -> None:
         self.generation = 0
@@ -186,11 +190,11 @@
         self.addresses: tuple[str, ...] = ()
         self.ended: EndedEvent | None = None
 
-    def take(self, event: AnswerEvent) -> bool:
-        """Add an event; True if it was the last."""
+    def add(self, event: AnswerEvent) -> bool:
+        """Add an event and return whether it is the last one."""
         match event:
             case TokensEvent():
-                self._take_tokens(event)
+                self._append_tokens(event)
             case RestartEvent():
                 self.generation = event.generation
                 self.tokens.clear()
@@ -200,37 +204,41 @@
                 self.ended = event
         return is_last(event)
 
-    def _take_tokens(self, event: TokensEvent) -> None:
+    def _append_tokens(self, event: TokensEvent) -> None:
         if event.generation != self.generation:
             self.generation = event.generation
             self.tokens.clear()
         known = len(self.tokens) - event.offset
-        if known >= 0:  # below 0 tokens are missing, and `is_whole` will say so
+        if known >= 0:  # negative if tokens are missing; `is_complete` is False then
             self.tokens.extend(event.tokens[known:])
 
     @property
-    def is_whole(self) -> bool:
-        """Whether every token that the end counts has come."""
+    def is_complete(self) -> bool:
+        """Whether all tokens that the end event counts were received."""
         if self.ended is None:
             return False
-        has_all = len(self.tokens) >= self.ended.summary.tokens
-        return self.ended.code is not ResultCode.OK or bool(self.ended.body) or has_all
+        has_all_tokens = len(self.tokens) >= self.ended.summary.tokens
+        return (
+            self.ended.code is not ResultCode.OK
+            or bool(self.ended.body)
+            or has_all_tokens
+        )
 
 
 async def answer_complete(
-    parts: FrontendComponents, follower: Follower, timeout: float
+    components: FrontendComponents, follower: Follower, timeout: float
 ) -> Response:
-    """Wait for the whole answer and give it in one document."""
-    gathered = _Gathered()
+    """Wait for the complete answer and return it in one document."""
+    collector = _AnswerCollector()
     async with AsyncExitStack() as stack:
         channel = await follower.open(stack)
         with trio.move_on_after(timeout):
             async for event in channel:
-                if gathered.take(event):
+                if collector.add(event):
                     break
-    if gathered.ended is None or not gathered.is_whole:
-        return _answer_unfinished(follower.key, gathered.addresses)
-    return _answer_ended(follower.key, gathered, gathered.ended)
+    if collector.ended is None or not collector.is_complete:
+        return _answer_unfinished(follower.key, collector.addresses)
+    return _answer_ended(follower.key, collector, collector.ended)
 
 
 def _answer_unfinished(key: RequestKey, addresses: tuple[str, ...]) -> Response:
@@ -242,16 +250,18 @@
     return answer
 
 
-def _answer_ended(key: RequestKey, gathered: _Gathered, ended: EndedEvent) -> Response:
+def _answer_ended(
+    key: RequestKey, collector: _AnswerCollector, ended: EndedEvent
+) -> Response:
     if ended.code is not ResultCode.OK:
         return answer_failure(Failure(ended.code, ended.reason, ended.retry_after))
     content: Any = CompleteAnswer(
         key=key,
         code=int(ended.code),
         outcome=TABLE[ended.code].outcome.value,
-        generation=gathered.generation,
+        generation=collector.generation,
         summary=ended.summary,
-        text="".join(gathered.tokens) if not ended.body else None,
+        text="".join(collector.tokens) if not ended.body else None,
         result=embed_result(ended.body),
     )
     return answer_json(content)
--- a/dewridge/frontend/tokens.py
+++ b/dewridge/frontend/tokens.py
@@ -1,4 +1,4 @@
-"""Tokens of client accounts and operators."""
+"""Authentication of client accounts and operators by bearer tokens."""
 
 import hashlib
 import hmac
@@ -11,13 +11,13 @@
 
 SCHEME = "bearer"
 MAX_TOKEN_CHARS = 512
-"""Characters of a token; longer ones are refused before they are hashed."""
+"""Maximum characters of a token; longer ones are rejected before hashing."""
 
 Digests = list[tuple[bytes, str]]
 
 
 class TokenAuthenticator:
-    """Finds out whose token an Authorization header carries."""
+    """Finds the client account or operator that an Authorization header identifies."""
 
     def __init__(
         self,
@@ -30,21 +30,23 @@
     def find_account(self, header: str | None) -> ClientAccount | Failure:
         """Return the client account of a token."""
         digest = _digest_header(header)
-        account = _find(self._accounts, digest)
+        account = _find_identity(self._accounts, digest)
         if account is not None:
             return ClientAccount(account)
-        return self._refuse(digest, self._operators, "a client account's")
+        return self._make_rejection(digest, self._operators, "a client account's")
 
     def find_operator(self, header: str | None) -> OperatorName | Failure:
         """Return the operator of a token."""
         digest = _digest_header(header)
-        operator = _find(self._operators, digest)
+        operator = _find_identity(self._operators, digest)
         if operator is not None:
             return OperatorName(operator)
-        return self._refuse(digest, self._accounts, "an operator's")
+        return self._make_rejection(digest, self._accounts, "an operator's")
 
-    def _refuse(self, digest: bytes | None, others: Digests, needed: str) -> Failure:
-        if _find(others, digest) is not None:
+    def _make_rejection(
+        self, digest: bytes | None, other_digests: Digests, needed: str
+    ) -> Failure:
+        if _find_identity(other_digests, digest) is not None:
             return Failure(ResultCode.FORBIDDEN, f"this needs {needed} token")
         return Failure(ResultCode.UNAUTHENTICATED, f"this needs {needed} token")
 
@@ -52,7 +54,9 @@
 def _list_digests(
     identities: Iterable[AccountSettings] | Iterable[OperatorSettings],
 ) -> Digests:
-    return [(bytes.fromhex(each.token_sha256), each.name) for each in identities]
+    return [
+        (bytes.fromhex(identity.token_sha256), identity.name) for identity in identities
+    ]
 
 
 def _digest_header(header: str | None) -> bytes | None:
@@ -63,9 +67,9 @@
     return hashlib.sha256(token.encode()).digest()
 
 
-def _find(digests: Digests, wanted: bytes | None) -> str | None:
-    # Every digest is compared, each in constant time: how long a refusal took
-    # must not say how near a guess came or whose token it resembles.
+def _find_identity(digests: Digests, wanted: bytes | None) -> str | None:
+    # Compares all digests, each in constant time, so that the response time does
+    # not reveal how close a guess is or whose token it resembles.
     if wanted is None:
         return None
     found = None
--- a/dewridge/tests/frontend/callers_tests.py
+++ b/dewridge/tests/frontend/callers_tests.py
@@ -1,4 +1,4 @@
-"""Routes for callers, through the application without sockets."""
+"""Tests of the routes for callers, through the application without sockets."""
 
 from typing import Any
 
@@ -31,7 +31,7 @@
 DONE = EndedEvent(ResultCode.OK, summary=AnswerSummary(tokens=2, cost=0.1))
 
 
-def two_tokens(generation: int) -> TokensEvent:
+def make_two_tokens(generation: int) -> TokensEvent:
     return TokensEvent(Generation(generation), 0, (f"g{generation}", " end"))
 
 
@@ -40,12 +40,12 @@
     return await client.post(FINDINGS, json=body, headers=authorize(token))
 
 
-async def test_a_whole_answer_is_of_the_last_generation_only() -> None:
-    # A backend server is lost after a token; the answer begins anew. A caller
-    # that waits for the whole must not get parts of both.
+async def test_complete_answer_contains_only_the_last_generation() -> None:
+    # A backend server crashes after some tokens and the answer restarts. A caller
+    # that waits for the complete answer must not get tokens of both generations.
 
     script: list[AnswerEvent | float]
-    script = [two_tokens(1), RestartEvent(Generation(2)), two_tokens(2), DONE]
+    script = [make_two_tokens(1), RestartEvent(Generation(2)), make_two_tokens(2), DONE]
     answer = await send(FakeRequests(script), make_body())
     document = await answer.get_json()
     assert answer.status_code == 200
@@ -53,7 +53,7 @@
     assert document["summary"]["cost"] == 0.1
 
 
-async def test_a_refusal_says_not_run_and_when_to_come_back() -> None:
+async def test_rejection_reports_not_run_and_retry_delay() -> None:
     refusal = Failure(ResultCode.QUEUE_FULL, "full", 1.2)
     answer = await send(FakeRequests(refusal=refusal), make_body())
     problem = await answer.get_json()
@@ -64,18 +64,18 @@
     assert problem["retry_after"] == 1.2
 
 
-async def test_a_stream_names_its_events() -> None:
-    requests = FakeRequests([two_tokens(1), DONE])
+async def test_stream_contains_named_events() -> None:
+    requests = FakeRequests([make_two_tokens(1), DONE])
     answer = await send(requests, make_body(stream=True))
     text = await answer.get_data(as_text=True)
     names = [line[7:] for line in text.splitlines() if line.startswith("event: ")]
     assert names == ["accepted", "tokens", "end"]
 
 
-async def test_an_account_learns_nothing_of_anothers_request() -> None:
-    # A rival guesses or has seen a key. It must not tell a key that another
-    # account uses from one that nobody uses, nor cancel or follow the request.
-    requests = FakeRequests([two_tokens(1), DONE])
+async def test_account_cannot_detect_requests_of_another_account() -> None:
+    # Another account knows or guesses a key. It must not be able to distinguish a
+    # used key from an unused one, nor to cancel or follow the request.
+    requests = FakeRequests([make_two_tokens(1), DONE])
     body = make_body()
     client = make_app(requests).test_client()
     await client.post(FINDINGS, json=body, headers=authorize(AUDITOR))
@@ -87,11 +87,13 @@
             answers.append((answer.status_code, await answer.get_data()))
         assert answers[0] == answers[1]
         assert answers[0][0] == 404
-    own = await client.get(f"/v1/requests/{body['key']}", headers=authorize(AUDITOR))
-    assert (await own.get_json())["text"] == "g1 end"
+    response = await client.get(
+        f"/v1/requests/{body['key']}", headers=authorize(AUDITOR)
+    )
+    assert (await response.get_json())["text"] == "g1 end"
 
 
-async def test_tokens_are_needed_and_kept_apart() -> None:
+async def test_account_and_operator_tokens_are_required_and_distinguished() -> None:
     client = make_app(FakeRequests()).test_client()
     cases = [
         ({}, 401),
@@ -108,9 +110,9 @@
         assert answer.status_code == 403
 
 
-async def test_the_entry_list_leaves_out_hosts_that_leave() -> None:
-    # A host is being reclaimed. Callers that still connect to it would be moved
-    # or cut off a moment later.
+async def test_entry_list_omits_departing_hosts() -> None:
+    # Callers that connect to a host that is being reclaimed would be moved or
+    # interrupted a moment later.
     members = [
         make_member("host-1", "zona-a"),
         make_member("host-2", "zona-a"),
@@ -118,21 +120,23 @@
         make_member("host-4", "mixco", MemberState.LEAVING),
         make_member("host-5", "mixco", MemberState.SUSPECT),
     ]
-    listed = []
+    addresses = []
     for is_leaving in (False, True):
         membership = FakeMembership(members)
         app = make_app(FakeRequests(), None, membership, is_leaving=is_leaving)
         answer = await app.test_client().get(
             "/v1/entry-hosts", headers=authorize(AUDITOR)
         )
-        listed.append([each["address"] for each in (await answer.get_json())["hosts"]])
-    one, two, three = (each.frontend_address for each in members[:3])
-    assert sorted(listed[0]) == sorted([one, two, three])
-    assert three in listed[0][:2]  # the second address is in another domain
-    assert sorted(listed[1]) == sorted([two, three])
+        addresses.append(
+            [each["address"] for each in (await answer.get_json())["hosts"]]
+        )
+    first, second, third = (each.frontend_address for each in members[:3])
+    assert sorted(addresses[0]) == sorted([first, second, third])
+    assert third in addresses[0][:2]  # the second address is in another failure domain
+    assert sorted(addresses[1]) == sorted([second, third])
 
 
-async def test_a_plain_service_gets_json_and_answers_json() -> None:
+async def test_plain_service_receives_and_returns_json() -> None:
     requests = FakeRequests([EndedEvent(ResultCode.OK, body='{"valid":true}')])
     client = make_app(requests).test_client()
     answer = await client.post(
@@ -141,5 +145,5 @@
         headers=authorize(AUDITOR),
     )
     assert (await answer.get_json())["result"] == {"valid": True}
-    sent = msgspec.json.decode(requests.submissions[0].input)
-    assert sent == {"certificate": "GT-1"}
+    submitted_input = msgspec.json.decode(requests.submissions[0].input)
+    assert submitted_input == {"certificate": "GT-1"}
--- a/dewridge/tests/frontend/fakes.py
+++ b/dewridge/tests/frontend/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces that the frontend uses."""
+"""Fakes of the interfaces that the frontend uses, and a frontend to test against."""
 
 import hashlib
 import zlib
@@ -120,7 +120,7 @@
 
 @dataclass
 class FakeRequests:
-    """Answers each request by a script of events and pauses."""
+    """Answers each request with a script of events and of pauses in seconds."""
 
     script: Sequence[AnswerEvent | float] = field(default_factory=list)
     refusal: Failure | None = None
@@ -146,25 +146,25 @@
         self.open_streams += 1
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._play, send, tuple(self.script))
+                nursery.start_soon(self._send_script, send, tuple(self.script))
                 yield receive
                 nursery.cancel_scope.cancel()
         finally:
             self.open_streams -= 1
 
-    async def _play(
+    async def _send_script(
         self,
         send: trio.MemorySendChannel[AnswerEvent],
         script: Sequence[AnswerEvent | float],
     ) -> None:
         async with send:
-            for step in script:
-                if isinstance(step, float):
-                    await trio.sleep(step)
+            for item in script:
+                if isinstance(item, float):
+                    await trio.sleep(item)
                 else:
-                    await send.send(step)
+                    await send.send(item)
 
-    def _find(self, account: ClientAccount, key: RequestKey) -> bool:
+    def _is_known(self, account: ClientAccount, key: RequestKey) -> bool:
         return any(
             each.account == account and each.key == key for each in self.submissions
         )
@@ -172,10 +172,10 @@
     async def look_up(
         self, account: ClientAccount, key: RequestKey
     ) -> RequestStatus | Failure:
-        if not self._find(account, key):
+        if not self._is_known(account, key):
             return Failure(ResultCode.UNKNOWN_REQUEST)
-        last = self.script[-1] if self.script else None
-        ended = last if isinstance(last, EndedEvent) else None
+        last_item = self.script[-1] if self.script else None
+        ended = last_item if isinstance(last_item, EndedEvent) else None
         return RequestStatus(
             make_request_id(account, key),
             RequestState.DONE if ended else RequestState.RUNNING,
@@ -191,7 +191,7 @@
 
 
 class FakeConfiguration:
-    """Profiles and services in memory, with their revisions."""
+    """Stores profiles and services with their revisions in memory."""
 
     def __init__(self) -> None:
         operation = OperationName("draft_finding")
@@ -294,7 +294,7 @@
 
 @dataclass
 class RunningFrontend:
-    """A frontend that serves on a port of its own."""
+    """A frontend that serves on its own port."""
 
     address: str
     shutdown: trio.Event
@@ -340,4 +340,4 @@
         if condition():
             return
         await trio.sleep(0.01)
-    raise AssertionError("it did not come about in time")
+    raise AssertionError("the condition was not met in time")
--- a/dewridge/tests/frontend/idle_tests.py
+++ b/dewridge/tests/frontend/idle_tests.py
@@ -1,4 +1,4 @@
-"""Connections that callers keep open between their requests."""
+"""Tests of connections that callers keep open between requests."""
 
 import httpx
 import trio
@@ -6,10 +6,10 @@
 from dewridge.tests.frontend.fakes import AUDITOR, FakeRequests, authorize, run_frontend
 
 
-async def test_a_shutdown_does_not_wait_for_idle_callers() -> None:
-    # A caller keeps its connection after an answer, as every HTTP client does.
-    # The host's graceful shutdown then took its whole limit of 30 s, and a host
-    # with 2 s of notice was taken away before it had closed.
+async def test_shutdown_does_not_wait_for_idle_callers() -> None:
+    # A caller keeps its connection open after an answer, as HTTP clients do. The
+    # graceful shutdown then took its full limit of 30 s, so a host with a reclaim
+    # notice of 2 s was terminated before the shutdown completed.
     async with (
         run_frontend(FakeRequests([])) as frontend,
         httpx.AsyncClient(headers=authorize(AUDITOR)) as client,
@@ -21,9 +21,9 @@
             await frontend.ended.wait()
 
 
-async def test_an_idle_connection_has_an_end() -> None:
-    # Callers that never come back leave their connections open; in the end no
-    # caller finds room.
+async def test_idle_connection_is_closed_after_the_keep_alive_time() -> None:
+    # Callers that never return leave their connections open until the connection
+    # limit is exhausted.
     async with (
         run_frontend(FakeRequests([]), keep_alive=0.1) as frontend,
         httpx.AsyncClient(headers=authorize(AUDITOR)) as client,
--- a/dewridge/tests/frontend/input_tests.py
+++ b/dewridge/tests/frontend/input_tests.py
@@ -1,4 +1,4 @@
-"""Bad input of every kind gets a clear error and breaks nothing."""
+"""Tests that invalid input gets a clear error and causes no internal error."""
 
 from typing import Any
 
@@ -24,9 +24,9 @@
 
 values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=9),
-    lambda inner: (
-        st.lists(inner, max_size=3)
-        | st.dictionaries(st.text(max_size=9), inner, max_size=3)
+    lambda children: (
+        st.lists(children, max_size=3)
+        | st.dictionaries(st.text(max_size=9), children, max_size=3)
     ),
     max_leaves=6,
 )
@@ -42,13 +42,17 @@
 )
 
 
-def post(path: str, body: bytes, given_headers: dict[str, str], verb: str) -> Any:
-    """Send a request and check that its answer is one that callers can read."""
+def send_and_check(
+    path: str, body: bytes, given_headers: dict[str, str], method: str
+) -> Any:
+    """Send a request and check that it returns no 5xx status or malformed error."""
     requests = FakeRequests([EndedEvent(ResultCode.OK)])
 
     async def call() -> tuple[int, Any]:
         client: Any = make_app(requests).test_client()
-        answer = await client.open(path, method=verb, data=body, headers=given_headers)
+        answer = await client.open(
+            path, method=method, data=body, headers=given_headers
+        )
         return answer.status_code, await answer.get_json(force=True)
 
     status, document = trio.run(call)
@@ -61,32 +65,38 @@
 
 @given(raw_bodies)
 @settings(max_examples=60, deadline=None)
-def test_no_body_of_a_request_breaks_it(body: bytes) -> None:
-    status, _, requests = post(FINDINGS, body, authorize(AUDITOR), "POST")
+def test_request_bodies_cause_no_internal_error(body: bytes) -> None:
+    status, _, requests = send_and_check(FINDINGS, body, authorize(AUDITOR), "POST")
     assert (status == 200) == bool(requests.submissions)
 
 
 @given(raw_bodies, headers)
 @settings(max_examples=60, deadline=None)
-def test_no_change_by_an_operator_breaks_it(body: bytes, more: dict[str, str]) -> None:
-    given_headers = {**authorize(OPERATOR), **more}
+def test_operator_changes_cause_no_internal_error(
+    body: bytes, extra_headers: dict[str, str]
+) -> None:
+    given_headers = {**authorize(OPERATOR), **extra_headers}
     for path in ("/v1/profiles/cheap", "/v1/services/findings/profile"):
-        post(path, body, given_headers, "PUT")
+        send_and_check(path, body, given_headers, "PUT")
 
 
 @given(st.text(max_size=40), st.text(max_size=12), st.text(max_size=12))
 @settings(max_examples=60, deadline=None)
-def test_no_key_or_place_breaks_it(key: str, generation: str, offset: str) -> None:
+def test_keys_and_positions_cause_no_internal_error(
+    key: str, generation: str, offset: str
+) -> None:
     from urllib.parse import quote, urlencode  # noqa: PLC0415
 
     query = urlencode({"generation": generation, "offset": offset})
-    for known in (quote(key, safe="") or "x", make_key()):
-        post(f"/v1/requests/{known}?{query}", b"", authorize(AUDITOR), "GET")
+    for tried_key in (quote(key, safe="") or "x", make_key()):
+        send_and_check(
+            f"/v1/requests/{tried_key}?{query}", b"", authorize(AUDITOR), "GET"
+        )
 
 
-async def test_what_a_caller_sends_is_not_told_to_others() -> None:
-    # A handler fails with an error that quotes the caller's input. Neither the
-    # answer nor the logs, which others read, may repeat it.
+async def test_caller_input_does_not_appear_in_errors_or_logs() -> None:
+    # A handler raises an error that quotes the caller's input. Neither the response
+    # nor the logs, which other people read, may contain it.
     class Broken(FakeRequests):
         async def submit(self, submission: Any) -> Any:
             raise ValueError(f"can't handle {submission.input}")
@@ -104,7 +114,7 @@
     assert "secret" not in text and AUDITOR not in text
 
 
-async def test_a_body_over_the_limit_is_refused() -> None:
+async def test_body_over_the_limit_is_rejected() -> None:
     requests = FakeRequests()
     client = make_app(requests).test_client()
     answer = await client.post(
--- a/dewridge/tests/frontend/operators_tests.py
+++ b/dewridge/tests/frontend/operators_tests.py
@@ -1,4 +1,4 @@
-"""Routes for operators."""
+"""Tests of the routes for operators."""
 
 from typing import Any
 
@@ -23,9 +23,9 @@
     return profile
 
 
-async def test_the_loser_of_a_race_gets_a_conflict() -> None:
-    # Two operators read the same revision and both change the profile. The
-    # second must hear of it, or it would undo the first one's change unseen.
+async def test_concurrent_change_is_rejected_as_a_conflict() -> None:
+    # Two operators read the same revision and both change the profile. The second
+    # change must be rejected, or it would silently overwrite the first one.
     client = make_app(FakeRequests()).test_client()
     read = await client.get(CHEAP, headers=authorize(OPERATOR))
     headers = {**authorize(OPERATOR), "If-Match": read.headers["ETag"]}
@@ -37,7 +37,7 @@
     assert (await second.get_json())["code"] == 500
 
 
-async def test_a_change_must_name_its_revision() -> None:
+async def test_change_requires_a_revision() -> None:
     client = make_app(FakeRequests()).test_client()
     body = encode_profile("cheap")
     cases: list[tuple[dict[str, str], int]] = [
@@ -54,7 +54,7 @@
         assert answer.status_code == status, headers
 
 
-async def test_an_unknown_policy_gets_the_nearest_name() -> None:
+async def test_unknown_policy_error_suggests_the_nearest_name() -> None:
     client = make_app(FakeRequests()).test_client()
     answer = await client.put(
         "/v1/profiles/new",
@@ -65,7 +65,7 @@
     assert "cost_aware" in (await answer.get_json())["detail"]
 
 
-async def test_reports_dumps_and_metrics_are_read_back() -> None:
+async def test_reports_dumps_and_metrics_are_served() -> None:
     client = make_app(FakeRequests()).test_client()
     headers = authorize(OPERATOR)
     report = await client.get(f"{CHEAP}/report", headers=headers)
--- a/dewridge/tests/frontend/server_tests.py
+++ b/dewridge/tests/frontend/server_tests.py
@@ -1,4 +1,4 @@
-"""The server over real connections: long streams, shutdown, floods."""
+"""Tests of the server over real connections: long streams, shutdowns and floods."""
 
 import socket
 import time
@@ -37,7 +37,7 @@
 
 
 def make_client() -> httpx.AsyncClient:
-    # No keep-alive: each stream has a connection of its own.
+    # Without keep-alive, so that each stream uses its own connection.
     limits = httpx.Limits(max_keepalive_connections=0)
     return httpx.AsyncClient(timeout=10, verify=False, limits=limits)
 
@@ -60,10 +60,10 @@
     return [line[7:] for line in lines if line.startswith("event: ")]
 
 
-async def test_a_stream_outlives_every_limit_on_connections() -> None:
-    # A long draft streams for longer than any timeout of the server or of its
-    # libraries. Each of them, left alone, would cut the draft off midway. Here
-    # the limits are a fraction of the stream's length.
+async def test_stream_outlasts_every_connection_timeout() -> None:
+    # A long answer streams for longer than the timeouts of the server and its
+    # libraries, none of which may interrupt it. Here the limits are a fraction of
+    # the stream's duration.
     limits = {"keep_alive": 0.1, "body_timeout": 0.1, "write_timeout": 0.1}
     requests = FakeRequests([0.7, *make_script(3, 0.4)])
     async with run_frontend(requests, heartbeat=0.1, **limits) as frontend:
@@ -74,16 +74,16 @@
     assert names.count("heartbeat") >= 5
 
 
-async def test_a_shutdown_cuts_off_no_answer() -> None:
-    # The host is told to stop while answers stream. Every caller still gets
-    # its end, and new connections are refused at once so that callers go on to
-    # another host.
+async def test_shutdown_interrupts_no_answer() -> None:
+    # The host shuts down while answers stream. Every caller must still receive its
+    # complete answer, and new connections must be refused immediately so that
+    # callers use another host.
     requests = FakeRequests(make_script(5, 0.1))
-    found: list[list[str]] = []
+    outcomes: list[list[str]] = []
     async with run_frontend(requests) as frontend:
 
         async def read() -> None:
-            found.append(await read_stream(frontend.address))
+            outcomes.append(await read_stream(frontend.address))
 
         async with trio.open_nursery() as nursery:
             for _ in range(5):
@@ -100,12 +100,12 @@
                 pass
         with trio.fail_after(2):
             await frontend.ended.wait()
-    assert [names[-1] for names in found] == ["end"] * 5
+    assert [names[-1] for names in outcomes] == ["end"] * 5
 
 
-async def test_a_caller_that_goes_away_ends_only_its_follower() -> None:
-    # A caller's connection breaks. The request itself must go on, and what
-    # followed it on this host must not stay behind.
+async def test_disconnected_caller_ends_only_its_follower() -> None:
+    # A caller's connection breaks. The request must continue, and the follower on
+    # this host must be released.
     requests = FakeRequests(make_script(100, 0.05))
     async with run_frontend(requests) as frontend:
         with trio.move_on_after(0.3):
@@ -114,9 +114,9 @@
     assert len(requests.submissions) == 1
 
 
-async def test_a_reader_that_stops_is_cut_off() -> None:
-    # A caller stops reading, or a hop has lost track of the connection. Its
-    # answer must not stay in memory for good; the caller may resume.
+async def test_stalled_reader_is_disconnected() -> None:
+    # A caller stops reading, or a network hop has lost track of the connection. The
+    # answer's buffers must be released; the caller can resume.
     tokens = tuple("x" * 100 for _ in range(500))
     events = [TokensEvent(Generation(1), 500 * n, tokens) for n in range(1000)]
     requests = FakeRequests(events)
@@ -137,9 +137,9 @@
             await wait_until(lambda: requests.open_streams == 0)
 
 
-async def test_a_body_that_never_comes_is_given_up() -> None:
-    # A caller, by a fault or on purpose, sends a head and then a byte now and
-    # then. Each such connection would hold a handler for good.
+async def test_incomplete_body_times_out() -> None:
+    # A caller, by a fault or on purpose, sends a request head and then only single
+    # bytes of the body. Each such connection would occupy a handler forever.
     async with run_frontend(FakeRequests(), body_timeout=0.2) as frontend:
         host, port = frontend.address.split(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
@@ -151,8 +151,8 @@
     assert answer.startswith(b"HTTP/1.1 408")
 
 
-async def test_a_head_that_never_ends_is_given_up() -> None:
-    # The same with the head; no handler has it yet, so only the server can act.
+async def test_incomplete_head_times_out() -> None:
+    # An incomplete request head has no handler yet, so the server must close it.
     async with run_frontend(FakeRequests(), keep_alive=0.2) as frontend:
         host, port = frontend.address.split(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
@@ -162,9 +162,9 @@
                     pass
 
 
-async def test_connections_over_the_limit_are_told_to_come_back() -> None:
-    # More callers at work than the host may serve. It must stay up for the
-    # answers in flight, and the ones turned away must hear why.
+async def test_connections_over_the_limit_are_rejected_with_a_retry_time() -> None:
+    # More callers are active than the host may serve. The answers in flight must
+    # continue, and rejected callers must receive the reason and a retry time.
     requests = FakeRequests([30.0])
     async with (
         run_frontend(requests, connection_limit=8) as frontend,
@@ -175,30 +175,30 @@
         for _ in range(8):
             nursery.start_soon(read_stream, frontend.address)
         await wait_until(lambda: requests.open_streams == 8)
-        refused = await client.get(url, headers=authorize(AUDITOR))
+        rejected = await client.get(url, headers=authorize(AUDITOR))
         assert requests.open_streams == 8
         nursery.cancel_scope.cancel()
-    assert (refused.status_code, refused.json()["outcome"]) == (429, "unknown")
-    assert refused.headers["Retry-After"] == "1"
+    assert (rejected.status_code, rejected.json()["outcome"]) == (429, "unknown")
+    assert rejected.headers["Retry-After"] == "1"
 
 
-async def test_connections_that_are_only_held_make_room() -> None:
-    # A flood of connections that send nothing, or keep a host's attention after
-    # one answer. Callers with work would find no room until their time is over.
+async def test_idle_connections_are_evicted_at_the_limit() -> None:
+    # A flood of connections that send nothing, or stay open after one answer, must
+    # not exclude callers with requests until the idle timeout.
     requests = FakeRequests([EndedEvent(ResultCode.OK)])
     async with run_frontend(requests, connection_limit=8) as frontend:
         host, port = frontend.address.split(":")
-        held = [await trio.open_tcp_stream(host, int(port)) for _ in range(20)]
+        idle_streams = [await trio.open_tcp_stream(host, int(port)) for _ in range(20)]
         for _ in range(3):
             with trio.fail_after(2):
                 assert await read_stream(frontend.address) == ["accepted", "end"]
-        for stream in held:
+        for stream in idle_streams:
             await stream.aclose()
 
 
-async def test_an_account_at_its_limit_does_not_shut_out_another() -> None:
-    # One account opens streams without end. Its rival, on the same host, must
-    # not notice.
+async def test_account_at_its_limit_does_not_exclude_another() -> None:
+    # One account opens streams without bound. Another account on the same host must
+    # not be affected.
     requests = FakeRequests([30.0])
     async with (
         run_frontend(requests, account_stream_limit=2) as frontend,
@@ -214,36 +214,36 @@
     assert len(requests.submissions) == 3
 
 
-async def test_callers_that_connect_during_a_shutdown_are_served_or_refused() -> None:
-    # Callers connect at the very moment at which the host stops listening. A
-    # connection that the kernel took and the process dropped looks to its
-    # caller like an answer cut off.
-    found: Counter[str] = Counter()
+async def test_callers_connecting_during_a_shutdown_are_served_or_refused() -> None:
+    # Callers connect at the moment at which the host stops listening. A connection
+    # that the kernel accepted and the process dropped looks to its caller like an
+    # interrupted answer.
+    outcomes: Counter[str] = Counter()
     requests = FakeRequests([EndedEvent(ResultCode.OK)])
     async with run_frontend(requests) as frontend, make_client() as client:
 
         async def call() -> None:
             try:
                 names = await read_stream(frontend.address, AUDITOR, client)
-                found[names[-1]] += 1
+                outcomes[names[-1]] += 1
             except httpx.TransportError as error:
-                found[type(error).__name__] += 1
+                outcomes[type(error).__name__] += 1
 
         async with trio.open_nursery() as nursery:
-            for place in range(200):
+            for number in range(200):
                 nursery.start_soon(call)
-                if place == 100:
+                if number == 100:
                     frontend.shutdown.set()
-                if place % 10 == 0:
+                if number % 10 == 0:
                     await trio.lowlevel.checkpoint()
-    assert set(found) <= {"end", "ConnectError"}, found
-    assert found["end"] and found["ConnectError"]
+    assert set(outcomes) <= {"end", "ConnectError"}, outcomes
+    assert outcomes["end"] and outcomes["ConnectError"]
 
 
-async def test_heads_that_are_read_one_after_the_other_are_all_answered() -> None:
-    # Callers connected before a shutdown, and a busy process reads their heads
-    # one by one. Closed half a second after it, the later ones look to their
-    # callers like answers cut off.
+async def test_heads_read_one_by_one_during_a_shutdown_are_answered() -> None:
+    # Callers connected before a shutdown, and a busy process reads their request
+    # heads one by one. If connections were closed a fixed half second after the
+    # shutdown, later callers would see interrupted answers.
     async with run_frontend(FakeRequests([])) as frontend:
         host, _, port = frontend.address.rpartition(":")
         streams = [await trio.open_tcp_stream(host, int(port)) for _ in range(4)]
@@ -257,14 +257,13 @@
             await stream.aclose()
 
 
-async def test_heads_that_came_while_the_process_stood_still_are_answered() -> None:
-    # A process that shuts down stands still for longer than it waits for heads, as one
-    # that is paused or gets no processor. Then it reads all heads that came meanwhile
-    # in one turn, and its wait is over in the same turn. Each request counted as begun
-    # before the timer that closes idle connections was stopped, and that timer closed
-    # them: callers see connections that end without a word. The log showed it: of 131
-    # connections none was without a request when the idle ones were closed, and 123
-    # callers were cut off.
+async def test_heads_received_during_a_process_stall_are_answered() -> None:
+    # A process that shuts down is stalled (paused or without CPU time) for longer than
+    # its wait for request heads. Then it reads all heads and ends the wait in the same
+    # iteration of the event loop. The requests were registered before the timer that
+    # closes idle connections was stopped, so the timer closed their connections
+    # without a response. This happened to 123 of 131 callers, although the log showed
+    # no connection without a request.
     async with run_frontend(FakeRequests([])) as frontend, AsyncExitStack() as stack:
         host, _, port = frontend.address.rpartition(":")
         callers = [
@@ -275,57 +274,57 @@
         frontend.shutdown.set()
         await trio.sleep(0.1)
         for caller in callers:
-            # Without a checkpoint, so that nothing is read before the standstill.
+            # No checkpoint here, so that the server reads nothing before the stall.
             caller.sendall(b"GET /none HTTP/1.1\r\nHost: a\r\n\r\n")
-        stand_still(2 * HEAD_QUIET_TIME)
+        block_process(2 * HEAD_QUIET_TIME)
         for caller in callers:
             caller.settimeout(2)
             answer = await trio.to_thread.run_sync(caller.recv, 9)
             assert answer.startswith(b"HTTP/1.1 ")
 
 
-async def test_callers_of_a_process_that_runs_by_turns_are_answered() -> None:
-    # Callers and the process that shuts down share a processor with much else, so
-    # each turn of its loop takes a part of a second. In half a second hardly any
-    # head is read, though all are on their way; the callers whose heads come later
-    # find their connections closed without a word.
-    found: Counter[str] = Counter()
+async def test_callers_of_a_repeatedly_stalled_process_are_answered() -> None:
+    # Callers and the process that shuts down share a busy CPU, so each iteration of
+    # the event loop takes a fraction of a second. Within half a second hardly any
+    # request head is read, although all are in transit; the later callers had their
+    # connections closed without a response.
+    outcomes: Counter[str] = Counter()
     requests = FakeRequests([EndedEvent(ResultCode.OK)])
     async with run_frontend(requests) as frontend, make_client() as client:
 
         async def call() -> None:
             try:
                 names = await read_stream(frontend.address, AUDITOR, client)
-                found[names[-1]] += 1
+                outcomes[names[-1]] += 1
             except httpx.TransportError as error:
-                found[type(error).__name__] += 1
+                outcomes[type(error).__name__] += 1
 
-        async def take_turns() -> None:
+        async def stall_repeatedly() -> None:
             while True:
-                stand_still(0.3)
+                block_process(0.3)
                 for _ in range(3):
                     await trio.lowlevel.checkpoint()
 
-        async with trio.open_nursery() as turns:
+        async with trio.open_nursery() as stalls:
             async with trio.open_nursery() as nursery:
                 for _ in range(10):
                     nursery.start_soon(call)
                 await trio.sleep(0.01)
-                turns.start_soon(take_turns)
+                stalls.start_soon(stall_repeatedly)
                 frontend.shutdown.set()
-            turns.cancel_scope.cancel()
-    assert set(found) <= {"end", "ConnectError"}, found
-    assert found["end"]
+            stalls.cancel_scope.cancel()
+    assert set(outcomes) <= {"end", "ConnectError"}, outcomes
+    assert outcomes["end"]
 
 
-def stand_still(seconds: float) -> None:
-    """Let the whole process stand still, as one that is paused does."""
+def block_process(seconds: float) -> None:
+    """Block the whole process, as when it is paused."""
     time.sleep(seconds)
 
 
-async def test_a_port_that_is_taken_is_named() -> None:
-    # Two hosts on one machine got the same port. The operator must see at once
-    # which address it is, in place of a group of exceptions.
+async def test_error_for_a_used_port_names_the_address() -> None:
+    # Two hosts on one machine have the same port. The error must name the address
+    # instead of being an exception group.
     async with run_frontend(FakeRequests([])) as frontend:
         port = int(frontend.address.split(":")[1])
         settings = make_settings(port=port)
--- a/dewridge/tests/frontend/wire_tests.py
+++ b/dewridge/tests/frontend/wire_tests.py
@@ -1,4 +1,4 @@
-"""Bytes that no HTTP client would send, over real connections."""
+"""Tests with malformed or unexpected bytes over real connections."""
 
 import re
 
@@ -39,9 +39,9 @@
 
 
 @pytest.mark.parametrize("name", list(GARBAGE))
-async def test_garbage_ends_its_own_connection_only(name: str) -> None:
-    # A scanner, a broken client or another protocol connects to the port. It
-    # gets an error or a closed connection, and callers beside it notice nothing.
+async def test_malformed_bytes_affect_only_their_own_connection(name: str) -> None:
+    # A scanner, a faulty client or another protocol connects to the port. It must
+    # get an error or a closed connection, and other callers must not be affected.
     requests = FakeRequests([])
     limits = {"keep_alive": 0.3, "body_timeout": 0.3}
     async with run_frontend(requests, **limits) as frontend:
@@ -64,18 +64,18 @@
         assert answer.status_code == 200
 
 
-async def test_requests_in_one_write_are_answered_one_by_one() -> None:
-    # A caller sends its next request before it has the first one's answer.
+async def test_pipelined_requests_are_answered_in_order() -> None:
+    # A caller pipelines requests: it sends the next one before the first answer.
     body = make_body(operation="draft_finding")
-    sent = httpx.Request(
+    content = httpx.Request(
         "POST", "http://a/v1/services/findings/requests", json=body
     ).content
-    one = POST + b"Content-Length: %d\r\n\r\n" % len(sent) + sent
-    listing = b"GET /v1/entry-hosts HTTP/1.1\r\nHost: a\r\n" + TOKEN + b"\r\n"
+    post_request = POST + b"Content-Length: %d\r\n\r\n" % len(content) + content
+    list_request = b"GET /v1/entry-hosts HTTP/1.1\r\nHost: a\r\n" + TOKEN + b"\r\n"
     async with run_frontend(FakeRequests([]), keep_alive=0.3) as frontend:
         host, port = frontend.address.split(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
-            await stream.send_all(one + listing)
+            await stream.send_all(post_request + list_request)
             received = b""
             with trio.fail_after(10):
                 while chunk := await stream.receive_some(65536):
