--- a/dewridge/client/addresses.py
+++ b/dewridge/client/addresses.py
@@ -7,7 +7,7 @@
 from dewridge.client.frames import ListedHosts
 from dewridge.sentinels import Failure
 
-FetchList = Callable[[str], Awaitable[ListedHosts | Failure]]
+EntryListFetcher = Callable[[str], Awaitable[ListedHosts | Failure]]
 """Fetches the entry list from one address."""
 AVOID_TIME = 5.0
 """Seconds for which a failed address is ordered last. Longer than a host restart,
@@ -26,7 +26,7 @@
     failed recently last.
     """
 
-    def __init__(self, seeds: Sequence[str], fetch: FetchList) -> None:
+    def __init__(self, seeds: Sequence[str], fetch: EntryListFetcher) -> None:
         self._seeds = list(dict.fromkeys(seeds))
         self._listed: list[str] = []
         self._fetch = fetch
--- a/dewridge/client/client.py
+++ b/dewridge/client/client.py
@@ -41,6 +41,7 @@
 
     Attributes:
         call: None to follow a request that was submitted before.
+        deadline: on trio's clock.
         hosts: the address of each connection, in order.
         failures: consecutive failures, from which the backoff follows.
         host_index: position in the address list of the next host.
@@ -344,7 +345,7 @@
         return entry_list
 
     async def _fetch(
-        self, method: str, address: str, path: str, kind: Any
+        self, method: str, address: str, path: str, response_type: Any
     ) -> Any | Failure:
         try:
             response = await self._http.request(
@@ -358,7 +359,7 @@
             content, status = response.content, response.status_code
             return decode_problem(content, status, header).failure
         try:
-            return msgspec.json.decode(response.content, type=kind)
+            return msgspec.json.decode(response.content, type=response_type)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return Failure(ResultCode.INTERNAL, f"{address}: {error}")
 
--- a/dewridge/client/progress.py
+++ b/dewridge/client/progress.py
@@ -46,11 +46,13 @@
     """What the client does after an event."""
 
     CONTINUE = "read_on"
+    """Read the next event of the stream."""
     RECONNECT = "rejoin"
     """Follow the answer on a new connection."""
     RESUBMIT = "resubmit"
     """Submit the call again, with the next submission number."""
     FINISH = "finish"
+    """Stop: the call has its final result."""
 
 
 class Progress:
--- a/dewridge/frontend/app.py
+++ b/dewridge/frontend/app.py
@@ -75,11 +75,13 @@
             failure = Failure(ResultCode.MALFORMED_REQUEST, reason)
             return answer_failure(failure, status=status)
         failure = Failure(ResultCode.MALFORMED_REQUEST, error.name)
-        answer = answer_failure(failure, status=status, outcome=Outcome.NOT_APPLICABLE)
+        response = answer_failure(
+            failure, status=status, outcome=Outcome.NOT_APPLICABLE
+        )
         for name, value in error.get_headers():
             if name == "Allow":
-                answer.headers[name] = value
-        return answer
+                response.headers[name] = value
+        return response
 
     @app.errorhandler(Exception)
     async def answer_internal_error(error: Exception) -> Response:
--- a/dewridge/frontend/bodies.py
+++ b/dewridge/frontend/bodies.py
@@ -51,11 +51,11 @@
 
 
 def decode_body(
-    body: bytes, kind: type[T], code: ResultCode = ResultCode.MALFORMED_REQUEST
+    body: bytes, body_type: type[T], code: ResultCode = ResultCode.MALFORMED_REQUEST
 ) -> T | Failure:
     """Decode a JSON body; a failure names the location, never the content."""
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Failure(code, str(error)[:MAX_REASON_CHARS])
     except RecursionError:
--- a/dewridge/frontend/callers.py
+++ b/dewridge/frontend/callers.py
@@ -83,25 +83,25 @@
 
     @app.get("/v1/requests/<key>")
     async def follow_request(key: str) -> Response:
-        identity = _identify_request(components, key)
+        account_and_key = _identify_request(components, key)
         position = parse_position(
             request.args.get("generation"), request.args.get("offset")
         )
-        if isinstance(identity, Failure):
-            return answer_failure(identity)
+        if isinstance(account_and_key, Failure):
+            return answer_failure(account_and_key)
         if isinstance(position, Failure):
             return answer_failure(position)
-        return await _answer_request(components, *identity, position)
+        return await _answer_request(components, *account_and_key, position)
 
     @app.delete("/v1/requests/<key>")
     async def cancel_request(key: str) -> Response:
-        identity = _identify_request(components, key)
-        if isinstance(identity, Failure):
-            return answer_failure(identity)
-        status = await components.requests.cancel(*identity)
+        account_and_key = _identify_request(components, key)
+        if isinstance(account_and_key, Failure):
+            return answer_failure(account_and_key)
+        status = await components.requests.cancel(*account_and_key)
         if isinstance(status, Failure):
             return answer_failure(status)
-        return answer_status(identity[1], status)
+        return answer_status(account_and_key[1], status)
 
 
 def find_account(components: FrontendComponents) -> ClientAccount | Failure:
--- a/dewridge/frontend/connections.py
+++ b/dewridge/frontend/connections.py
@@ -88,7 +88,7 @@
     """Limits the number of open connections.
 
     Each connection uses memory before its token is known, so an unlimited flood
-    would crash the process and all answers in flight with it. At the limit, the
+    would crash the process and interrupt all answers in flight. At the limit, the
     connection that has been idle the longest is closed for a new one: callers with
     keep-alive connections reconnect without loss, and connections without requests
     cannot exclude active ones. If all are active, a new connection is rejected with
--- a/dewridge/frontend/model.py
+++ b/dewridge/frontend/model.py
@@ -16,7 +16,7 @@
 from dewridge.supervision.dumps import DumpBoard
 
 ReadUsage = Callable[[ProfileName], Awaitable[dict[str, float]]]
-"""Returns usage counters of a profile, summed over the entry hosts."""
+"""Returns the cost and loss counters of a profile, summed over the entry hosts."""
 
 
 class ConfigurationStore(Protocol):
--- a/dewridge/frontend/operators.py
+++ b/dewridge/frontend/operators.py
@@ -46,7 +46,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Usage counters of a profile."""
+    """Counters of the costs and losses of a profile."""
 
     profile: str
     counters: dict[str, float]
--- a/dewridge/frontend/server.py
+++ b/dewridge/frontend/server.py
@@ -23,8 +23,8 @@
 """Connections that may wait to be accepted. When a failure domain is reclaimed, all
 of its callers connect to the remaining hosts within the same second."""
 HEAD_QUIET_TIME = 0.5
-"""Seconds during a shutdown without a first request head on any connection, after
-which connections without a request are closed."""
+"""Seconds during a shutdown in which no connection has received its first request head
+(request line and headers), after which connections without a request are closed."""
 
 HEAD_POLL_INTERVAL = 0.05
 """Seconds between two polls for request heads during a shutdown. A poll that is late
@@ -119,13 +119,13 @@
     async def _idle_timeout(self) -> None:
         """Close the connection after the idle timeout or at a shutdown.
 
-        The library closes it even if a request starts at that moment, because a
-        request is registered before this timer is stopped and an expired timer
-        cannot be stopped. A stalled process reads the request heads of all its
-        callers and shuts down in one iteration of the event loop; 123 of 131
-        callers lost their connection this way. So the connection is checked for
-        input and for a request first; no other task runs between the last check
-        and the close.
+        The library's own method closes it even if a request starts at that moment,
+        because a request is registered before this timer is stopped and an expired
+        timer cannot be stopped. A stalled process reads the request heads of all
+        its callers and shuts down in one iteration of the event loop; 123 of 131
+        callers lost their connection this way. So this method first waits until
+        input is delivered and checks for a request; no other task runs between the
+        last check for input and the close.
         """
         with trio.move_on_after(self.config.keep_alive_timeout):
             await self.context.terminated.wait()
--- a/dewridge/frontend/streams.py
+++ b/dewridge/frontend/streams.py
@@ -144,11 +144,11 @@
 def answer_stream(components: FrontendComponents, follower: Follower) -> Response:
     """Answer with server-sent events."""
     body = EventStreamBody(follower, components.settings.frontend.heartbeat)
-    answer = Response(body, content_type=EVENT_STREAM)
+    response = Response(body, content_type=EVENT_STREAM)
     # The library's default timeout of one minute would interrupt long answers.
-    answer.timeout = None
-    answer.headers["Cache-Control"] = "no-store"
-    return answer
+    response.timeout = None
+    response.headers["Cache-Control"] = "no-store"
+    return response
 
 
 class CompleteAnswer(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -245,9 +245,9 @@
     code = ResultCode.ACCEPTED
     entry = TABLE[code]
     content = UnfinishedAnswer(key, int(code), entry.outcome.value, addresses)
-    answer = answer_json(content, entry.http_status)
-    answer.headers["Location"] = f"/v1/requests/{key}"
-    return answer
+    response = answer_json(content, entry.http_status)
+    response.headers["Location"] = f"/v1/requests/{key}"
+    return response
 
 
 def _answer_ended(
--- a/dewridge/frontend/tokens.py
+++ b/dewridge/frontend/tokens.py
@@ -44,11 +44,11 @@
         return self._make_rejection(digest, self._accounts, "an operator's")
 
     def _make_rejection(
-        self, digest: bytes | None, other_digests: Digests, needed: str
+        self, digest: bytes | None, other_digests: Digests, required: str
     ) -> Failure:
         if _find_identity(other_digests, digest) is not None:
-            return Failure(ResultCode.FORBIDDEN, f"this needs {needed} token")
-        return Failure(ResultCode.UNAUTHENTICATED, f"this needs {needed} token")
+            return Failure(ResultCode.FORBIDDEN, f"this needs {required} token")
+        return Failure(ResultCode.UNAUTHENTICATED, f"this needs {required} token")
 
 
 def _list_digests(
@@ -72,8 +72,8 @@
     # not reveal how close a guess is or whose token it resembles.
     if wanted is None:
         return None
-    found = None
+    matching_name = None
     for digest, name in digests:
         if hmac.compare_digest(digest, wanted):
-            found = name
-    return found
+            matching_name = name
+    return matching_name
--- a/dewridge/tests/client/client_tests.py
+++ b/dewridge/tests/client/client_tests.py
@@ -119,12 +119,12 @@
 
 async def test_rejected_call_is_retried_after_the_given_delay() -> None:
     requests = FakeRequests([tokens(0, "a", "b"), DONE])
-    requests.refusal = Failure(ResultCode.QUEUE_FULL, "full", 0.3)
+    requests.rejection = Failure(ResultCode.QUEUE_FULL, "full", 0.3)
     async with run_frontend(requests) as frontend, trio.open_nursery() as nursery:
 
         async def accept_again() -> None:
             await trio.sleep(0.2)
-            requests.refusal = None
+            requests.rejection = None
 
         nursery.start_soon(accept_again)
         answer = await call([frontend.address])
@@ -134,7 +134,7 @@
 
 async def test_rejection_past_the_deadline_is_returned_immediately() -> None:
     requests = FakeRequests()
-    requests.refusal = Failure(ResultCode.QUEUE_FULL, "full", 60.0)
+    requests.rejection = Failure(ResultCode.QUEUE_FULL, "full", 60.0)
     async with run_frontend(requests) as frontend:
         with trio.fail_after(2):
             answer = await call([frontend.address], deadline=10)
--- a/dewridge/tests/commands/commands_tests.py
+++ b/dewridge/tests/commands/commands_tests.py
@@ -106,9 +106,9 @@
 
         assert await call("nobody") == ExitStatus.REFUSED
         assert await call(AUDITOR, "127.0.0.1:1") == ExitStatus.UNREACHABLE
-        requests.refusal = Failure(ResultCode.QUEUE_FULL, "full", 9.0)
+        requests.rejection = Failure(ResultCode.QUEUE_FULL, "full", 9.0)
         assert await call(AUDITOR) == ExitStatus.NOT_RUN
-        requests.refusal = None
+        requests.rejection = None
         requests.script = [EndedEvent(ResultCode.OUTCOME_UNKNOWN)]
         assert await call(AUDITOR) == ExitStatus.UNKNOWN
         requests.script = [EndedEvent(ResultCode.ATTEMPTS_EXHAUSTED)]
--- a/dewridge/tests/frontend/callers_tests.py
+++ b/dewridge/tests/frontend/callers_tests.py
@@ -54,8 +54,8 @@
 
 
 async def test_rejection_reports_not_run_and_retry_delay() -> None:
-    refusal = Failure(ResultCode.QUEUE_FULL, "full", 1.2)
-    answer = await send(FakeRequests(refusal=refusal), make_body())
+    rejection = Failure(ResultCode.QUEUE_FULL, "full", 1.2)
+    answer = await send(FakeRequests(rejection=rejection), make_body())
     problem = await answer.get_json()
     assert answer.status_code == 503
     assert answer.headers["Retry-After"] == "2"
@@ -128,9 +128,9 @@
             "/v1/entry-hosts", headers=authorize(AUDITOR)
         )
         addresses.append(
-            [each["address"] for each in (await answer.get_json())["hosts"]]
+            [host["address"] for host in (await answer.get_json())["hosts"]]
         )
-    first, second, third = (each.frontend_address for each in members[:3])
+    first, second, third = (member.frontend_address for member in members[:3])
     assert sorted(addresses[0]) == sorted([first, second, third])
     assert third in addresses[0][:2]  # the second address is in another failure domain
     assert sorted(addresses[1]) == sorted([second, third])
--- a/dewridge/tests/frontend/fakes.py
+++ b/dewridge/tests/frontend/fakes.py
@@ -109,7 +109,7 @@
         return self._members
 
     def find(self, host: HostId) -> Member | None:
-        return next((each for each in self._members if each.host == host), None)
+        return next((member for member in self._members if member.host == host), None)
 
     def subscribe(self, listener: Any) -> None:
         pass
@@ -123,14 +123,14 @@
     """Answers each request with a script of events and of pauses in seconds."""
 
     script: Sequence[AnswerEvent | float] = field(default_factory=list)
-    refusal: Failure | None = None
+    rejection: Failure | None = None
     submissions: list[Submission] = field(default_factory=list)
     open_streams: int = 0
 
     async def submit(self, submission: Submission) -> Accepted | Failure:
         self.submissions.append(submission)
-        if self.refusal is not None:
-            return self.refusal
+        if self.rejection is not None:
+            return self.rejection
         request = make_request_id(submission.account, submission.key)
         return Accepted(request, Generation(1))
 
@@ -166,7 +166,8 @@
 
     def _is_known(self, account: ClientAccount, key: RequestKey) -> bool:
         return any(
-            each.account == account and each.key == key for each in self.submissions
+            submission.account == account and submission.key == key
+            for submission in self.submissions
         )
 
     async def look_up(
--- a/dewridge/tests/frontend/input_tests.py
+++ b/dewridge/tests/frontend/input_tests.py
@@ -97,13 +97,13 @@
 async def test_caller_input_does_not_appear_in_errors_or_logs() -> None:
     # A handler raises an error that quotes the caller's input. Neither the response
     # nor the logs, which other people read, may contain it.
-    class Broken(FakeRequests):
+    class FailingRequests(FakeRequests):
         async def submit(self, submission: Any) -> Any:
             raise ValueError(f"can't handle {submission.input}")
 
     lines: list[str] = []
     sink = log.add(lines.append, level=0, diagnose=False)
-    client = make_app(Broken()).test_client()
+    client = make_app(FailingRequests()).test_client()
     answer = await client.post(
         FINDINGS, json=make_body(input="the plant's secret"), headers=authorize(AUDITOR)
     )
--- a/dewridge/tests/frontend/wire_tests.py
+++ b/dewridge/tests/frontend/wire_tests.py
@@ -16,7 +16,7 @@
 
 TOKEN = f"Authorization: Bearer {AUDITOR}\r\n".encode()
 POST = b"POST /v1/services/findings/requests HTTP/1.1\r\nHost: a\r\n" + TOKEN
-GARBAGE = {
+UNEXPECTED_INPUTS = {
     "binary": bytes(range(256)) * 8,
     "tls": b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + b"\x00" * 300,
     "http2": b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\x00" * 64,
@@ -38,7 +38,7 @@
 }
 
 
-@pytest.mark.parametrize("name", list(GARBAGE))
+@pytest.mark.parametrize("name", list(UNEXPECTED_INPUTS))
 async def test_malformed_bytes_affect_only_their_own_connection(name: str) -> None:
     # A scanner, a faulty client or another protocol connects to the port. It must
     # get an error or a closed connection, and other callers must not be affected.
@@ -50,7 +50,7 @@
         async with await trio.open_tcp_stream(host, int(port)) as stream:
             with trio.fail_after(5):
                 try:
-                    await stream.send_all(GARBAGE[name])
+                    await stream.send_all(UNEXPECTED_INPUTS[name])
                     while chunk := await stream.receive_some(65536):
                         received += chunk
                 except trio.BrokenResourceError:
