--- a/dewridge/client/addresses.py
+++ b/dewridge/client/addresses.py
@@ -36,7 +36,7 @@
         self._lock = trio.Lock()
 
     async def list_addresses(self) -> list[str]:
-        """Return all addresses in order of preference; refetches an expired list."""
+        """Return all addresses in order of preference; refetch an expired list."""
         async with self._lock:
             if trio.current_time() >= self._expires_at:
                 await self._refresh()
--- a/dewridge/frontend/server.py
+++ b/dewridge/frontend/server.py
@@ -105,7 +105,7 @@
         """Send an event; idle updates are shielded from cancellation.
 
         The library sends the idle update from the request's task, which is
-        cancelled as soon as the answer is complete. Without the shield updates
+        cancelled as soon as the answer is complete. Without the shield, updates
         were lost: idle connections had no timeout, and a shutdown waited for each
         of them until its own time limit.
         """
--- a/dewridge/frontend/streams.py
+++ b/dewridge/frontend/streams.py
@@ -33,8 +33,8 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_BATCH_EVENTS = 256
-"""Maximum events in one write, so that a follower that is far behind does not delay
-the writes of others while it catches up."""
+"""Maximum events in one write. Bounded so that a follower that is far behind does not
+delay the writes of others while it catches up."""
 
 Position = tuple[Generation, int]
 """A generation of an answer and the number of its tokens that the caller has."""
