--- a/dewridge/tests/frontend/fakes.py
+++ b/dewridge/tests/frontend/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces that the frontend uses."""
+"""Fakes of the interfaces that the frontend uses, and a frontend to test against."""
 
 import hashlib
 import zlib
@@ -59,11 +59,11 @@
 OPERATOR = "operator-token"
 
 
-def new_key() -> str:
+def make_key() -> str:
     return str(uuid7())
 
 
-def digest(token: str) -> str:
+def hash_token(token: str) -> str:
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -77,10 +77,10 @@
         ),
         frontend=FrontendSettings(**{"port": 0, **frontend}),
         accounts=(
-            AccountSettings("auditor", digest(AUDITOR)),
-            AccountSettings("rival", digest(RIVAL)),
+            AccountSettings("auditor", hash_token(AUDITOR)),
+            AccountSettings("rival", hash_token(RIVAL)),
         ),
-        operators=(OperatorSettings("olga", digest(OPERATOR)),),
+        operators=(OperatorSettings("olga", hash_token(OPERATOR)),),
     )
 
 
@@ -109,7 +109,7 @@
         return self._members
 
     def find(self, host: HostId) -> Member | None:
-        return next((each for each in self._members if each.host == host), None)
+        return next((member for member in self._members if member.host == host), None)
 
     def subscribe(self, listener: Any) -> None:
         pass
@@ -120,17 +120,17 @@
 
 @dataclass
 class FakeRequests:
-    """Answers each request by a script of events and pauses."""
+    """Answers each request with a script of events and of pauses in seconds."""
 
     script: Sequence[AnswerEvent | float] = field(default_factory=list)
-    refusal: Failure | None = None
+    rejection: Failure | None = None
     submissions: list[Submission] = field(default_factory=list)
     open_streams: int = 0
 
     async def submit(self, submission: Submission) -> Accepted | Failure:
         self.submissions.append(submission)
-        if self.refusal is not None:
-            return self.refusal
+        if self.rejection is not None:
+            return self.rejection
         request = make_request_id(submission.account, submission.key)
         return Accepted(request, Generation(1))
 
@@ -146,36 +146,37 @@
         self.open_streams += 1
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._play, send, tuple(self.script))
+                nursery.start_soon(self._send_script, send, tuple(self.script))
                 yield receive
                 nursery.cancel_scope.cancel()
         finally:
             self.open_streams -= 1
 
-    async def _play(
+    async def _send_script(
         self,
         send: trio.MemorySendChannel[AnswerEvent],
         script: Sequence[AnswerEvent | float],
     ) -> None:
         async with send:
-            for step in script:
-                if isinstance(step, float):
-                    await trio.sleep(step)
+            for item in script:
+                if isinstance(item, float):
+                    await trio.sleep(item)
                 else:
-                    await send.send(step)
+                    await send.send(item)
 
-    def _find(self, account: ClientAccount, key: RequestKey) -> bool:
+    def _is_known(self, account: ClientAccount, key: RequestKey) -> bool:
         return any(
-            each.account == account and each.key == key for each in self.submissions
+            submission.account == account and submission.key == key
+            for submission in self.submissions
         )
 
     async def look_up(
         self, account: ClientAccount, key: RequestKey
     ) -> RequestStatus | Failure:
-        if not self._find(account, key):
+        if not self._is_known(account, key):
             return Failure(ResultCode.UNKNOWN_REQUEST)
-        last = self.script[-1] if self.script else None
-        ended = last if isinstance(last, EndedEvent) else None
+        last_item = self.script[-1] if self.script else None
+        ended = last_item if isinstance(last_item, EndedEvent) else None
         return RequestStatus(
             make_request_id(account, key),
             RequestState.DONE if ended else RequestState.RUNNING,
@@ -191,7 +192,7 @@
 
 
 class FakeConfiguration:
-    """Profiles and services in memory, with their revisions."""
+    """Stores profiles and services with their revisions in memory."""
 
     def __init__(self) -> None:
         operation = OperationName("draft_finding")
@@ -293,8 +294,8 @@
 
 
 @dataclass
-class Running:
-    """A frontend that serves on a port of its own."""
+class RunningFrontend:
+    """A frontend that serves on its own port."""
 
     address: str
     shutdown: trio.Event
@@ -304,7 +305,7 @@
 @asynccontextmanager
 async def run_frontend(
     requests: FakeRequests, **frontend: Any
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningFrontend]:
     settings = make_settings(**frontend)
     membership = FakeMembership([make_member("host-1", "zona-a")])
     app = make_app(requests, settings, membership)
@@ -319,7 +320,7 @@
         nursery.start_soon(run)
         address = await receive.receive()
         membership.set_address(address)
-        yield Running(address, shutdown, ended)
+        yield RunningFrontend(address, shutdown, ended)
         shutdown.set()
         with trio.move_on_after(5):
             await ended.wait()
@@ -331,7 +332,7 @@
 
 
 def make_body(**changes: Any) -> dict[str, Any]:
-    body = {"key": new_key(), "operation": "draft_finding", "input": "Dossier"}
+    body = {"key": make_key(), "operation": "draft_finding", "input": "Dossier"}
     return {**body, **changes}
 
 
@@ -340,4 +341,4 @@
         if condition():
             return
         await trio.sleep(0.01)
-    raise AssertionError("it did not come about in time")
+    raise AssertionError("the condition was not met in time")
