--- a/dewridge/commands/demo.py
+++ b/dewridge/commands/demo.py
@@ -12,14 +12,14 @@
     """
     import trio  # noqa: PLC0415
 
-    from dewridge.testbed.demonstration import demonstrate  # noqa: PLC0415
+    from dewridge.testbed.demonstration import run_demonstration  # noqa: PLC0415
     from dewridge.testbed.processes import StartError  # noqa: PLC0415
 
     def tell(line: str) -> None:
         typer.echo(line)
 
     try:
-        good = trio.run(demonstrate, tell)
+        good = trio.run(run_demonstration, tell)
     except* StartError as group:
         typer.echo(f"error: {group.exceptions[0]}", err=True)
         good = False
--- a/dewridge/load/measure.py
+++ b/dewridge/load/measure.py
@@ -19,7 +19,7 @@
     EntryHost,
     open_deployment,
 )
-from dewridge.testbed.places import PLACES
+from dewridge.testbed.places import DEPLOYMENT_SPECS
 
 SETTLE_SECONDS = 1.0
 
@@ -44,7 +44,7 @@
     place: str, options: DeploymentOptions, load: LoadOptions, rates: list[float]
 ) -> list[Step]:
     """Start a deployment and make the same calls both ways at each rate."""
-    async with open_deployment(PLACES[place], options, tell) as deployment:
+    async with open_deployment(DEPLOYMENT_SPECS[place], options, tell) as deployment:
         steps = []
         for rate in rates:
             tell(f"{rate:g} calls a second")
@@ -78,8 +78,8 @@
     """Return the addresses of the backend servers by service."""
     found: dict[str, list[str]] = {}
     for backend in deployment.backends:
-        addresses = backend.process.ready["servers"].values()
-        found.setdefault(backend.plan.service, []).extend(addresses)
+        addresses = backend.process.announcement["servers"].values()
+        found.setdefault(backend.pool.service, []).extend(addresses)
     return found
 
 
@@ -135,7 +135,7 @@
 ) -> None:
     """Call servers directly and through one entry host, and compare."""
     counts: dict[str, tuple[int, ...]] = {
-        plan.service: (1, 1, 1, 1) for plan in PLACES[place].plans
+        plan.service: (1, 1, 1, 1) for plan in DEPLOYMENT_SPECS[place].server_pools
     }
     options = DeploymentOptions(
         hosts=hosts, counts=counts, step=step, capacity=capacity
--- a/dewridge/load/targets.py
+++ b/dewridge/load/targets.py
@@ -13,7 +13,7 @@
 from dewridge.fleet.events import LineBuffer
 from dewridge.load.mixes import Call, CallKind
 from dewridge.load.samples import ANSWERED, Sample
-from dewridge.standins.tokens import check_answer
+from dewridge.standins.tokens import is_expected_answer
 
 SILENCE_SECONDS = 15.0
 STATUS_OK = 200
@@ -139,7 +139,7 @@
                 answer.take(decoder.decode(line[5:]))
         if answer.arrived > before:
             sample.token_times.append((time.monotonic(), answer.arrived - before))
-    whole = check_answer(call.input, call.tokens, answer.tokens)
+    whole = is_expected_answer(call.input, call.tokens, answer.tokens)
     return (
         "wrong_answer" if answer.outcome == ANSWERED and not whole else answer.outcome
     )
--- a/dewridge/proofs/checks.py
+++ b/dewridge/proofs/checks.py
@@ -20,7 +20,7 @@
     Observed,
     Submitted,
 )
-from dewridge.standins.misbehaviour import CRASH_MARK
+from dewridge.standins.misbehaviour import CRASH_PREFIX
 from dewridge.standins.tokens import digest_prompt, make_answer
 
 E = TypeVar("E", bound=Event)
@@ -317,7 +317,7 @@
     contents = {
         event.key: (event.account, event.operation, event.prompt)
         for event in _pick(history, Submitted)
-        if event.prompt.startswith(CRASH_MARK)
+        if event.prompt.startswith(CRASH_PREFIX)
     }
     runs = defaultdict(list)
     for event in _pick(history, Executed):
--- a/dewridge/proofs/copies.py
+++ b/dewridge/proofs/copies.py
@@ -93,7 +93,7 @@
 
     @property
     def _account(self) -> str:
-        return self._deployment.place.accounts[0]
+        return self._deployment.spec.accounts[0]
 
     @property
     def _headers(self) -> dict[str, str]:
--- a/dewridge/proofs/crashing.py
+++ b/dewridge/proofs/crashing.py
@@ -8,10 +8,10 @@
 from dewridge.client.client import Client
 from dewridge.proofs.history import History
 from dewridge.proofs.workload import DRAFT, LIMITS, record_call
-from dewridge.standins.misbehaviour import CRASH_MARK
+from dewridge.standins.misbehaviour import CRASH_PREFIX
 from dewridge.testbed.deployment import Deployment
 
-PROMPT = f"{CRASH_MARK}dossier with a page that no engine reads"
+PROMPT = f"{CRASH_PREFIX}dossier with a page that no engine reads"
 TOKENS = 60
 DEADLINE = 10.0
 
--- a/dewridge/proofs/operators.py
+++ b/dewridge/proofs/operators.py
@@ -33,7 +33,7 @@
         self._random = Random(f"operators/{seed}")
         self._path = f"/v1/profiles/{profile}"
         self._name = f"profile/{profile}"
-        self._base = next(p for p in deployment.place.profiles if p["name"] == profile)
+        self._base = next(p for p in deployment.spec.profiles if p["name"] == profile)
         self._numbers = count(1)
         self._stop = trio.Event()
 
--- a/dewridge/proofs/runs.py
+++ b/dewridge/proofs/runs.py
@@ -67,7 +67,7 @@
     with trio.fail_after(RUN_LIMIT):
         async with open_deployment(SELLO_VERDE, scenario.options) as deployment:
             await _carry_out(scenario, seed, deployment, history)
-            _record_log(history, await deployment.read_logs())
+            _record_log(history, await deployment.read_execution_logs())
             calls = await deployment.read_platform_calls()
     if folder is not None:
         history.write(folder / f"{scenario.name}-{seed}.jsonl")
--- a/dewridge/proofs/scenarios.py
+++ b/dewridge/proofs/scenarios.py
@@ -91,7 +91,7 @@
                 gone_at = await self.deployment.announce_reclaim(server, notice)
             self.history.add(Leaving(time.time(), server, gone_at))
             await self.inject("reclaim of a backend server", server)
-        await self.deployment.order(f"{backend.control}/control/leaving", leaving)
+        await self.deployment.post_order(f"{backend.control}/control/leaving", leaving)
         self.reclaimed.add(backend.control)
         await trio.sleep(notice)
 
@@ -209,7 +209,7 @@
 
 async def reclaim_servers(run: Run) -> None:
     """Reclaim the backend servers of one failure domain."""
-    domain = run.random.choice(run.deployment.place.failure_domains)
+    domain = run.random.choice(run.deployment.spec.failure_domains)
     async with trio.open_nursery() as nursery:
         for backend in run.choose_backends(domain):
             nursery.start_soon(run.reclaim_backend, backend)
@@ -222,12 +222,12 @@
 
 async def reclaim_failure_domain(run: Run) -> None:
     """Reclaim a failure domain with all that is in it."""
-    await run.reclaim_domain(run.random.choice(run.deployment.place.failure_domains))
+    await run.reclaim_domain(run.random.choice(run.deployment.spec.failure_domains))
 
 
 async def reclaim_two_domains(run: Run) -> None:
     """Reclaim a second failure domain while the first is still going."""
-    first, second = run.random.sample(run.deployment.place.failure_domains, 2)
+    first, second = run.random.sample(run.deployment.spec.failure_domains, 2)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(run.reclaim_domain, first)
         await trio.sleep(1.0)
@@ -236,7 +236,9 @@
 
 async def lag_host_list(run: Run) -> None:
     """Let the host list lag by a minute while servers leave."""
-    await run.deployment.order(f"{run.deployment.control}/control/lag", {"seconds": 60})
+    await run.deployment.post_order(
+        f"{run.deployment.control}/control/lag", {"seconds": 60}
+    )
     await reclaim_servers(run)
 
 
@@ -252,7 +254,7 @@
 async def leave_by_own_word(run: Run) -> None:
     """Let servers leave that only say so themselves; the cloud is down."""
     await run.deployment.set_platform_fault("cloud", "down")
-    domain = run.random.choice(run.deployment.place.failure_domains)
+    domain = run.random.choice(run.deployment.spec.failure_domains)
     async with trio.open_nursery() as nursery:
         for backend in run.choose_backends(domain):
             nursery.start_soon(
@@ -274,9 +276,9 @@
     """Freeze an entry host for longer than every lease, then wake it."""
     host = run.choose_host()
     await run.inject("freeze of an entry host", host.name)
-    host.process.freeze()
+    host.process.suspend()
     await trio.sleep(LEASE_LONG)
-    host.process.thaw()
+    host.process.resume()
 
 
 async def stop_gracefully(run: Run) -> None:
@@ -287,7 +289,7 @@
         await run.inject("graceful shutdown", host.name)
         host.process.terminate()
     for host in chosen:
-        await host.process.wait_ended()
+        await host.process.wait_for_exit()
 
 
 async def restart_in_turn(run: Run) -> None:
@@ -295,9 +297,9 @@
     for host in list(run.deployment.hosts):
         await run.inject("graceful shutdown", host.name)
         replacement = await run.deployment.start_host(host.failure_domain)
-        await run.deployment.wait_joined(replacement)
+        await run.deployment.wait_until_joined(replacement)
         host.process.terminate()
-        await host.process.wait_ended()
+        await host.process.wait_for_exit()
 
 
 async def lose_key_value(run: Run) -> None:
@@ -330,14 +332,14 @@
     """Return a strike that spoils the answers of one failure domain's servers."""
 
     async def strike(run: Run) -> None:
-        domain = run.random.choice(run.deployment.place.failure_domains)
+        domain = run.random.choice(run.deployment.spec.failure_domains)
         for backend in run.choose_backends(domain):
             await run.inject(f"answers {mode}", backend.servers[0])
             order = {"mode": mode, "seconds": 0.3}
-            await run.deployment.order(f"{backend.control}/control/fault", order)
+            await run.deployment.post_order(f"{backend.control}/control/fault", order)
         await trio.sleep(6.0)
         for backend in run.choose_backends(domain):
-            await run.deployment.order(
+            await run.deployment.post_order(
                 f"{backend.control}/control/fault", {"mode": "none"}
             )
 
@@ -354,7 +356,7 @@
     """Let engines end when they begin to run a marked request."""
     order = {"mode": "crash", "seconds": CRASH_RESTART}
     for backend in run.deployment.backends:
-        await run.deployment.order(f"{backend.control}/control/fault", order)
+        await run.deployment.post_order(f"{backend.control}/control/fault", order)
     await run.inject("requests that end servers", "engines")
     await trio.sleep(CRASH_SECONDS)
 
--- a/dewridge/standins/backend.py
+++ b/dewridge/standins/backend.py
@@ -13,11 +13,11 @@
 from dewridge.standins.engine import Engine, EngineOptions, Execution
 from dewridge.standins.enginehttp import build_engine_app
 from dewridge.standins.hostlist import HostRecord
-from dewridge.standins.misbehaviour import CRASH_DELAY, Misbehaviour, Mode
+from dewridge.standins.misbehaviour import CRASH_DELAY, Misbehaviour, MisbehaviourMode
 from dewridge.standins.plain import PlainOptions, PlainService, build_plain_app
 from dewridge.standins.serving import Listener, make_app, read_body, reply
 
-REGISTER_PAUSE = 0.2
+REGISTER_RETRY_INTERVAL = 0.2
 REGISTER_TIMEOUT = 2.0
 
 
@@ -55,7 +55,7 @@
     """One backend server with its listener and its misbehaviour."""
 
     worker: Engine | PlainService
-    wrong: Misbehaviour
+    misbehaviour: Misbehaviour
     listener: Listener
 
 
@@ -131,27 +131,27 @@
             for index, backend in enumerate(self._backends)
         ]
 
-    def find(self, server: str) -> list[Backend]:
+    def find_backends(self, server: str) -> list[Backend]:
         """Return the server of a name, or all for an empty one."""
         return [b for b in self._backends if server in ("", b.worker.name)]
 
-    def misbehave(self, order: Misbehaviour) -> bool:
+    def set_misbehaviour(self, order: Misbehaviour) -> bool:
         """Put a misbehaviour in force; False if there is no such server."""
-        found = self.find(order.server)
+        found = self.find_backends(order.server)
         for backend in found:
             for name in ("mode", "factor", "seconds", "events"):
-                setattr(backend.wrong, name, getattr(order, name))
-            slow = order.mode is Mode.SLOW
+                setattr(backend.misbehaviour, name, getattr(order, name))
+            slow = order.mode is MisbehaviourMode.SLOW
             backend.worker.slowdown = order.factor if slow else 1.0
-            if order.mode is Mode.DOWN:
+            if order.mode is MisbehaviourMode.DOWN:
                 self._stop(backend)
             else:
                 backend.listener.bring_up()
         return bool(found)
 
-    def leave(self, order: LeavingOrder) -> bool:
+    def set_leaving(self, order: LeavingOrder) -> bool:
         """Put servers into or out of their leaving state."""
-        found = self.find(order.server)
+        found = self.find_backends(order.server)
         for backend in found:
             backend.worker.leaving = order.leaving
             if math.isfinite(order.dies_in) and self._nursery is not None:
@@ -169,7 +169,7 @@
     async def _go_down_and_up(self, backend: Backend) -> None:
         await trio.sleep(CRASH_DELAY)
         self._stop(backend)
-        await trio.sleep(backend.wrong.seconds)
+        await trio.sleep(backend.misbehaviour.seconds)
         backend.listener.bring_up()
 
     def _stop(self, backend: Backend) -> None:
@@ -189,12 +189,12 @@
 
     @app.post("/control/fault")
     async def set_fault() -> Response:
-        known = group.misbehave(await read_body(Misbehaviour))
+        known = group.set_misbehaviour(await read_body(Misbehaviour))
         return reply({}, 200 if known else 404)
 
     @app.post("/control/leaving")
     async def set_leaving() -> Response:
-        known = group.leave(await read_body(LeavingOrder))
+        known = group.set_leaving(await read_body(LeavingOrder))
         return reply({}, 200 if known else 404)
 
     @app.get("/control/log")
@@ -216,4 +216,4 @@
                     await client.post(f"{platform}/v1/hosts", content=body)
                     break
                 except httpx.HTTPError:
-                    await trio.sleep(REGISTER_PAUSE)
+                    await trio.sleep(REGISTER_RETRY_INTERVAL)
--- a/dewridge/standins/engine.py
+++ b/dewridge/standins/engine.py
@@ -11,10 +11,10 @@
 from dewridge.standins.prefixcache import PrefixCache
 from dewridge.standins.tokens import digest_prompt, make_token, split_prompt
 
-LOG_KEPT = 200_000
-CANCELLED_KEPT = 100_000
-EXPORTS_KEPT = 1000
-LOADS_KEPT = 2000
+MAX_LOG_ENTRIES = 200_000
+MAX_CANCELLED_ATTEMPTS = 100_000
+MAX_CACHE_EXPORTS = 1000
+MAX_LOAD_SAMPLES = 2000
 
 
 class EngineOptions(msgspec.Struct, frozen=True):
@@ -43,7 +43,7 @@
     checks_fencing: bool = True
 
 
-class Completion(msgspec.Struct):
+class CompletionRequest(msgspec.Struct):
     """Body of a call for a completion; see docs/standins.md."""
 
     prompt: str
@@ -84,7 +84,7 @@
     CANCELLED = "cancelled"
 
 
-class Exported(msgspec.Struct, frozen=True):
+class CacheExport(msgspec.Struct, frozen=True):
     """A KV cache that another engine may import."""
 
     handle: str
@@ -99,30 +99,30 @@
 
     Attributes:
         next_index: index of the next token of the answer.
-        prefill_left: tokens still to be computed before the next token.
-        outbox: tokens computed and not yet written, from `written` on.
+        remaining_prefill: tokens still to be computed before the next token.
+        outbox: tokens computed and not yet written, from `sent_tokens` on.
     """
 
-    completion: Completion
+    completion: CompletionRequest
     digest: int
     prompt: list[str]
     next_index: int
     execution: Execution
-    imported: int = 0
-    prefill_left: int = 0
+    imported_tokens: int = 0
+    remaining_prefill: int = 0
     cached: int = 0
     recomputed: int = 0
-    written: int = 0
+    sent_tokens: int = 0
     outbox: deque[str] = field(default_factory=deque)
     state: StreamState = StreamState.WAITING
-    news: trio.Event = field(default_factory=trio.Event)
+    updated: trio.Event = field(default_factory=trio.Event)
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Let the response know that there is something to write."""
-        self.news.set()
+        self.updated.set()
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether no token will follow."""
         return self.state in (StreamState.DONE, StreamState.CANCELLED)
 
@@ -137,16 +137,16 @@
         self.leaving = False
         self.slowdown = 1.0
         self.role = "mixed"
-        self.fence = 0
+        self.highest_fencing_token = 0
         self.cache = PrefixCache(
             options.cache_tokens, options.event_lag, options.event_loss
         )
-        self.log: deque[Execution] = deque(maxlen=LOG_KEPT)
+        self.log: deque[Execution] = deque(maxlen=MAX_LOG_ENTRIES)
         self._waiting: list[EngineStream] = []
         self._running: list[EngineStream] = []
         self._cancelled: OrderedDict[str, None] = OrderedDict()
-        self._exports: OrderedDict[str, Exported] = OrderedDict()
-        self._loads: deque[tuple[float, int, int]] = deque(maxlen=LOADS_KEPT)
+        self._exports: OrderedDict[str, CacheExport] = OrderedDict()
+        self._loads: deque[tuple[float, int, int]] = deque(maxlen=MAX_LOAD_SAMPLES)
         self._work = trio.Event()
 
     async def run(self) -> None:
@@ -158,7 +158,7 @@
             await trio.sleep(self.options.step * self.slowdown)
             self.step()
 
-    def find_refusal(self, completion: Completion) -> tuple[int, str] | None:
+    def find_rejection(self, completion: CompletionRequest) -> tuple[int, str] | None:
         """Return status and type of a refusal, before anything has started."""
         if self.leaving:
             return 503, "leaving"
@@ -172,7 +172,7 @@
             return 503, "overloaded"
         return None
 
-    def accept(self, completion: Completion, imported: int) -> EngineStream:
+    def accept(self, completion: CompletionRequest, imported: int) -> EngineStream:
         """Queue a completion that was not refused."""
         done = len(completion.tokens_done)
         execution = Execution(
@@ -192,7 +192,7 @@
             done,
             execution,
             imported,
-            written=done,
+            sent_tokens=done,
         )
         self._waiting.append(stream)
         self._waiting.sort(key=lambda waiting: waiting.completion.priority)
@@ -206,10 +206,10 @@
             self._begin(self._waiting.pop(0))
         budget = self.options.prefill
         for stream in list(self._running):
-            computed = min(budget, stream.prefill_left)
+            computed = min(budget, stream.remaining_prefill)
             budget -= computed
-            stream.prefill_left -= computed
-            if stream.prefill_left == 0:
+            stream.remaining_prefill -= computed
+            if stream.remaining_prefill == 0:
                 self._decode(stream)
         self._note_load()
 
@@ -217,10 +217,10 @@
         salt = stream.completion.cache_salt
         total = len(stream.prompt) + stream.next_index
         stream.cached = self.cache.match(salt, stream.prompt)
-        known = max(stream.cached, min(stream.imported, total))
-        stream.prefill_left = total - known
+        known = max(stream.cached, min(stream.imported_tokens, total))
+        stream.remaining_prefill = total - known
         if stream.next_index:
-            stream.recomputed = stream.prefill_left
+            stream.recomputed = stream.remaining_prefill
         self.cache.store(salt, stream.prompt, time.time())
         stream.state = StreamState.RUNNING
         self._running.append(stream)
@@ -231,7 +231,7 @@
         stream.execution.tokens += 1
         if stream.next_index >= stream.completion.max_tokens:
             self._end(stream, StreamState.DONE, "done")
-        stream.wake()
+        stream.notify()
 
     def _end(self, stream: EngineStream, state: StreamState, word: str) -> None:
         if stream in self._running:
@@ -240,12 +240,12 @@
             self._waiting.remove(stream)
         stream.state = state
         stream.execution.state = word
-        stream.wake()
+        stream.notify()
         self._note_load()
 
     def abort(self, stream: EngineStream) -> None:
         """End a stream whose caller has gone."""
-        if not stream.is_over:
+        if not stream.is_finished:
             self._end(stream, StreamState.CANCELLED, "aborted")
 
     def abort_all(self) -> None:
@@ -260,7 +260,7 @@
             `cancelled`, `done` or `unknown`, and its count of tokens.
         """
         self._cancelled[attempt] = None
-        while len(self._cancelled) > CANCELLED_KEPT:
+        while len(self._cancelled) > MAX_CANCELLED_ATTEMPTS:
             self._cancelled.popitem(last=False)
         stream = self._find(attempt)
         if stream is not None:
@@ -271,29 +271,29 @@
                 return execution.state, execution.tokens_done + execution.tokens
         return "unknown", 0
 
-    def export(self, attempt: str, address: str) -> Exported | None:
+    def export_cache(self, attempt: str, address: str) -> CacheExport | None:
         """Export the KV cache of a running attempt."""
         stream = self._find(attempt)
         if stream is None or stream.state is not StreamState.RUNNING:
             return None
-        tokens = len(stream.prompt) + stream.next_index - stream.prefill_left
+        tokens = len(stream.prompt) + stream.next_index - stream.remaining_prefill
         handle = f"{address}/{attempt}"
         salt = stream.completion.cache_salt
-        exported = Exported(handle, stream.digest, salt, tokens)
+        exported = CacheExport(handle, stream.digest, salt, tokens)
         self._exports[handle] = exported
-        while len(self._exports) > EXPORTS_KEPT:
+        while len(self._exports) > MAX_CACHE_EXPORTS:
             self._exports.popitem(last=False)
         return exported
 
-    def find_export(self, handle: str) -> Exported | None:
+    def find_export(self, handle: str) -> CacheExport | None:
         """Look up an exported KV cache."""
         return self._exports.get(handle)
 
-    def take_order(self, kind: str, subject: str, fence: int) -> bool:
+    def execute_order(self, kind: str, subject: str, fence: int) -> bool:
         """Carry out an order; False if its fencing number is checked and old."""
-        if self.options.checks_fencing and fence < self.fence:
+        if self.options.checks_fencing and fence < self.highest_fencing_token:
             return False
-        self.fence = max(self.fence, fence)
+        self.highest_fencing_token = max(self.highest_fencing_token, fence)
         if kind == "load":
             self.services.add(subject)
         elif kind == "unload":
--- a/dewridge/standins/enginehttp.py
+++ b/dewridge/standins/enginehttp.py
@@ -8,16 +8,26 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from dewridge.standins.engine import Completion, Engine, EngineStream, Exported
-from dewridge.standins.misbehaviour import CRASH_MARK, Misbehaviour, Mode, spoil
+from dewridge.standins.engine import (
+    CacheExport,
+    CompletionRequest,
+    Engine,
+    EngineStream,
+)
+from dewridge.standins.misbehaviour import (
+    CRASH_PREFIX,
+    Misbehaviour,
+    MisbehaviourMode,
+    apply_misbehaviour,
+)
 from dewridge.standins.serving import make_app, read_body, reply
 from dewridge.standins.tokens import make_token
 
 KEEPALIVE_SECONDS = 0.5
 """An engine that computes a long prompt says so this often."""
 IMPORT_TIMEOUT = 1.0
-KEEPALIVE = b": waiting\n\n"
-LAST = b"data: [DONE]\n\n"
+KEEPALIVE_COMMENT = b": waiting\n\n"
+DONE_EVENT = b"data: [DONE]\n\n"
 
 
 class Choice(msgspec.Struct):
@@ -66,16 +76,21 @@
 
     @app.post("/v1/completions")
     async def complete() -> Response:
-        completion = await read_body(Completion)
-        refusal = engine.find_refusal(completion)
+        completion = await read_body(CompletionRequest)
+        refusal = engine.find_rejection(completion)
         if refusal is not None:
             return reply({"error": {"type": refusal[1]}}, refusal[0])
         imported = await import_cache(engine, completion)
         stream = engine.accept(completion, imported)
-        if wrong.mode is Mode.CRASH and completion.prompt.startswith(CRASH_MARK):
+        if wrong.mode is MisbehaviourMode.CRASH and completion.prompt.startswith(
+            CRASH_PREFIX
+        ):
             on_crash()
-        events = spoil(
-            write_events(engine, stream), wrong, make_stranger(stream), make_error()
+        events = apply_misbehaviour(
+            stream_events(engine, stream),
+            wrong,
+            make_foreign_event(stream),
+            make_error_event(),
         )
         answer = Response(events, content_type="text/event-stream")
         answer.timeout = None
@@ -83,14 +98,14 @@
 
     @app.post("/v1/attempts/<attempt>/cancel")
     async def cancel(attempt: str) -> Response:
-        await stay_silent(wrong)
+        await block_if_silent(wrong)
         state, tokens = engine.cancel(attempt)
         return reply({"attempt": attempt, "state": state, "tokens": tokens})
 
     @app.post("/v1/attempts/<attempt>/export")
     async def export(attempt: str) -> Response:
-        await stay_silent(wrong)
-        exported = engine.export(attempt, find_address())
+        await block_if_silent(wrong)
+        exported = engine.export_cache(attempt, find_address())
         if exported is None:
             return reply({"error": {"type": "unknown_attempt"}}, 404)
         return reply({"cache_handle": exported.handle, "tokens": exported.tokens})
@@ -109,7 +124,7 @@
 
     @app.get("/v1/load")
     async def read_load() -> Response:
-        await stay_silent(wrong)
+        await block_if_silent(wrong)
         at, queued, running = engine.read_load()
         return reply({"at": at, "queued": queued, "running": running})
 
@@ -120,34 +135,37 @@
 
     @app.post("/v1/orders")
     async def take_order() -> Response:
-        await stay_silent(wrong)
+        await block_if_silent(wrong)
         order = await read_body(EngineOrder)
-        if engine.take_order(order.kind, order.subject, order.fence):
-            return reply(describe(engine))
-        return reply({"error": {"type": "stale_fence"}, "fence": engine.fence}, 409)
+        if engine.execute_order(order.kind, order.subject, order.fence):
+            return reply(describe_engine(engine))
+        return reply(
+            {"error": {"type": "stale_fence"}, "fence": engine.highest_fencing_token},
+            409,
+        )
 
     @app.get("/v1/state")
     async def read_state() -> Response:
-        return reply(describe(engine))
+        return reply(describe_engine(engine))
 
 
-def describe(engine: Engine) -> dict[str, object]:
+def describe_engine(engine: Engine) -> dict[str, object]:
     """Return an engine's state."""
     return {
         "services": sorted(engine.services),
         "role": engine.role,
-        "fence": engine.fence,
+        "fence": engine.highest_fencing_token,
         "leaving": engine.leaving,
     }
 
 
-async def stay_silent(wrong: Misbehaviour) -> None:
+async def block_if_silent(wrong: Misbehaviour) -> None:
     """Never return while the server is silent."""
-    if wrong.mode is Mode.SILENT:
+    if wrong.mode is MisbehaviourMode.SILENT:
         await trio.sleep_forever()
 
 
-async def import_cache(engine: Engine, completion: Completion) -> int:
+async def import_cache(engine: Engine, completion: CompletionRequest) -> int:
     """Fetch an exported KV cache from its engine; 0 tokens if it can't be had."""
     handle = completion.cache_handle
     if not handle:
@@ -158,32 +176,32 @@
     try:
         async with httpx.AsyncClient(timeout=IMPORT_TIMEOUT) as client:
             answer = await client.get(f"http://{address}/v1/cache/{handle}")
-        exported = msgspec.json.decode(answer.content, type=Exported)
+        exported = msgspec.json.decode(answer.content, type=CacheExport)
     except (httpx.HTTPError, msgspec.DecodeError):
         return 0
     fits = exported.salt == completion.cache_salt
     return exported.tokens if fits else 0
 
 
-async def write_events(engine: Engine, stream: EngineStream) -> AsyncIterator[bytes]:
+async def stream_events(engine: Engine, stream: EngineStream) -> AsyncIterator[bytes]:
     """Yield a stream's events; a caller that goes ends the stream."""
-    yield KEEPALIVE
+    yield KEEPALIVE_COMMENT
     try:
         while True:
             with trio.move_on_after(KEEPALIVE_SECONDS):
-                await stream.news.wait()
-            if not stream.news.is_set():
-                yield KEEPALIVE
+                await stream.updated.wait()
+            if not stream.updated.is_set():
+                yield KEEPALIVE_COMMENT
                 continue
-            stream.news = trio.Event()
-            over = stream.is_over
+            stream.updated = trio.Event()
+            over = stream.is_finished
             if stream.outbox:
                 yield encode_tokens(stream)
             if over:
                 break
         if stream.execution.state == "done":
-            yield encode_end(stream)
-            yield LAST
+            yield encode_final_event(stream)
+            yield DONE_EVENT
     finally:
         engine.abort(stream)
 
@@ -192,35 +210,37 @@
     """Encode what the stream has computed since the last event."""
     tokens = list(stream.outbox)
     stream.outbox.clear()
-    sequence = stream.written
-    stream.written += len(tokens)
+    sequence = stream.sent_tokens
+    stream.sent_tokens += len(tokens)
     choices = [Choice("".join(tokens))]
     attempt = stream.completion.attempt
-    return encode(CompletionEvent(attempt, sequence, tokens, choices))
+    return encode_event(CompletionEvent(attempt, sequence, tokens, choices))
 
 
-def encode_end(stream: EngineStream) -> bytes:
+def encode_final_event(stream: EngineStream) -> bytes:
     """Encode the end of a whole answer."""
     usage = CompletionUsage(
         len(stream.prompt), stream.next_index, stream.cached, stream.recomputed
     )
     attempt = stream.completion.attempt
     choices = [Choice("", "length")]
-    return encode(CompletionEvent(attempt, stream.next_index, [], choices, usage))
+    return encode_event(CompletionEvent(attempt, stream.next_index, [], choices, usage))
 
 
-def make_stranger(stream: EngineStream) -> bytes:
+def make_foreign_event(stream: EngineStream) -> bytes:
     """Encode an event of an attempt that is not the stream's."""
     token = make_token(stream.digest + 1 & 0xFFFFFFFFFFFFFFFF, stream.next_index)
     attempt = f"other-{stream.completion.attempt}"
-    return encode(CompletionEvent(attempt, stream.next_index, [token], [Choice(token)]))
+    return encode_event(
+        CompletionEvent(attempt, stream.next_index, [token], [Choice(token)])
+    )
 
 
-def make_error() -> bytes:
+def make_error_event() -> bytes:
     """Encode an event that says the engine failed."""
     return b'data: {"error": {"type": "failed"}}\n\n'
 
 
-def encode(event: CompletionEvent) -> bytes:
+def encode_event(event: CompletionEvent) -> bytes:
     """Encode an event as the protocol has it."""
     return b"data: " + msgspec.json.encode(event) + b"\n\n"
--- a/dewridge/standins/faults.py
+++ b/dewridge/standins/faults.py
@@ -50,7 +50,7 @@
     count: int = 0
 
 
-class FaultBoard:
+class FaultInjector:
     """The faults in force and the calls counted, by service and kind."""
 
     def __init__(self, seed: int = 0) -> None:
@@ -66,7 +66,7 @@
         """Return the faults in force."""
         return list(self._faults.values())
 
-    def strike(self, target: str, kind: str, key: str = "") -> Fault:
+    def intercept(self, target: str, kind: str, key: str = "") -> Fault:
         """Count a call and return the fault that it meets."""
         self.calls[f"{target}.{kind}"] += 1
         fault = self._faults.get(target)
@@ -86,7 +86,7 @@
         return self._random.random() < fault.share
 
 
-async def suffer_before(fault: Fault) -> Response | None:
+async def inject_before_call(fault: Fault) -> Response | None:
     """Carry out what a fault does before a call; an answer replaces the call's."""
     match fault.mode:
         case FaultMode.SILENT:
@@ -98,7 +98,7 @@
     return None
 
 
-async def suffer_after(fault: Fault, answer: Response) -> Response:
+async def inject_after_call(fault: Fault, answer: Response) -> Response:
     """Carry out what a fault does to the answer of a call that took effect."""
     match fault.mode:
         case FaultMode.LOSE_ANSWERS:
--- a/dewridge/standins/hostlist.py
+++ b/dewridge/standins/hostlist.py
@@ -7,10 +7,14 @@
 from quart import Response
 from quart_trio import QuartTrio
 
-from dewridge.standins.faults import FaultBoard, suffer_after, suffer_before
+from dewridge.standins.faults import (
+    FaultInjector,
+    inject_after_call,
+    inject_before_call,
+)
 from dewridge.standins.serving import make_app, read_body, reply
 
-CHANGES_KEPT = 100_000
+MAX_CHANGES = 100_000
 
 
 class HostRecord(msgspec.Struct, frozen=True):
@@ -42,7 +46,7 @@
     def __init__(self) -> None:
         self.lag = 0.0
         self.notices: dict[str, Notice] = {}
-        self._changes: deque[tuple[float, HostRecord]] = deque(maxlen=CHANGES_KEPT)
+        self._changes: deque[tuple[float, HostRecord]] = deque(maxlen=MAX_CHANGES)
 
     def register(self, record: HostRecord) -> None:
         """Add or replace a backend server."""
@@ -56,12 +60,12 @@
         self.register(msgspec.structs.replace(found, state=state))
         return True
 
-    def list_lagging(self) -> list[HostRecord]:
+    def list_lagged(self) -> list[HostRecord]:
         """Return the list as callers see it."""
         seen = self._read(time.time() - self.lag)
         return [record for record in seen.values() if record.state != "gone"]
 
-    def list_now(self) -> list[HostRecord]:
+    def list_current(self) -> list[HostRecord]:
         """Return the list without its lag."""
         return list(self._read(time.time()).values())
 
@@ -73,16 +77,16 @@
         return records
 
 
-def build_host_list_app(directory: HostDirectory, faults: FaultBoard) -> QuartTrio:
+def build_host_list_app(directory: HostDirectory, faults: FaultInjector) -> QuartTrio:
     """Return the host list's HTTP application."""
     app = make_app("host-list")
 
     @app.get("/v1/hosts")
     async def list_hosts() -> Response:
-        fault = faults.strike("host_list", "list")
-        early = await suffer_before(fault)
-        found = {"hosts": directory.list_lagging()}
-        return early or await suffer_after(fault, reply(found))
+        fault = faults.intercept("host_list", "list")
+        early = await inject_before_call(fault)
+        found = {"hosts": directory.list_lagged()}
+        return early or await inject_after_call(fault, reply(found))
 
     @app.post("/v1/hosts")
     async def register() -> Response:
@@ -92,15 +96,15 @@
     return app
 
 
-def build_cloud_app(directory: HostDirectory, faults: FaultBoard) -> QuartTrio:
+def build_cloud_app(directory: HostDirectory, faults: FaultInjector) -> QuartTrio:
     """Return the cloud's HTTP application."""
     app = make_app("cloud")
 
     @app.get("/v1/notices")
     async def list_notices() -> Response:
-        fault = faults.strike("cloud", "list")
-        early = await suffer_before(fault)
+        fault = faults.intercept("cloud", "list")
+        early = await inject_before_call(fault)
         found = {"notices": list(directory.notices.values())}
-        return early or await suffer_after(fault, reply(found))
+        return early or await inject_after_call(fault, reply(found))
 
     return app
--- a/dewridge/standins/keyvalue.py
+++ b/dewridge/standins/keyvalue.py
@@ -9,17 +9,22 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from dewridge.standins.faults import Fault, FaultBoard, suffer_after, suffer_before
+from dewridge.standins.faults import (
+    Fault,
+    FaultInjector,
+    inject_after_call,
+    inject_before_call,
+)
 from dewridge.standins.serving import make_app, read_body, reply
 
-VALUE_LIMIT = 1_000_000
-WRITES_KEPT = 200_000
-VERSIONS_KEPT = 50
+MAX_VALUE_BYTES = 1_000_000
+MAX_WRITE_RECORDS = 200_000
+MAX_VERSIONS_PER_KEY = 50
 LEASE_CHECK_SECONDS = 0.02
-TARGET = "key_value"
+FAULT_TARGET = "key_value"
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredEntry(msgspec.Struct, frozen=True):
     """A key's value; revision 0 when absent."""
 
     key: str
@@ -27,7 +32,7 @@
     revision: int = 0
 
 
-class Write(msgspec.Struct, frozen=True):
+class WriteRecord(msgspec.Struct, frozen=True):
     """One line of the log of writes.
 
     Attributes:
@@ -53,7 +58,7 @@
     keys: set[str]
 
 
-class Swap(msgspec.Struct):
+class SwapRequest(msgspec.Struct):
     """Body of a compare-and-swap."""
 
     value: bytes
@@ -61,7 +66,7 @@
     lease: str = ""
 
 
-class LeaseOrder(msgspec.Struct):
+class LeaseRequest(msgspec.Struct):
     """Body that asks for a lease."""
 
     ttl: float
@@ -71,45 +76,49 @@
     """What the key-value service holds. Revisions come from one counter."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, Stored] = {}
-        self._versions: dict[str, deque[Stored]] = {}
+        self._entries: dict[str, StoredEntry] = {}
+        self._versions: dict[str, deque[StoredEntry]] = {}
         self._changes: dict[str, trio.Event] = {}
         self._leases: dict[str, Lease] = {}
         self._revision = 0
-        self.writes: deque[Write] = deque(maxlen=WRITES_KEPT)
+        self.writes: deque[WriteRecord] = deque(maxlen=MAX_WRITE_RECORDS)
 
-    def get(self, key: str) -> Stored:
+    def get(self, key: str) -> StoredEntry:
         """Read a key."""
-        return self._entries.get(key, Stored(key))
+        return self._entries.get(key, StoredEntry(key))
 
-    def list_prefix(self, prefix: str) -> list[Stored]:
+    def list_prefix(self, prefix: str) -> list[StoredEntry]:
         """Read all keys under a prefix, in order."""
         return [self._entries[k] for k in sorted(self._entries) if k.startswith(prefix)]
 
-    def swap(self, key: str, swap: Swap, lost: bool) -> Stored | None:
+    def compare_and_swap(
+        self, key: str, swap: SwapRequest, lost: bool
+    ) -> StoredEntry | None:
         """Write a key if its revision is the expected one."""
         made = None
         if self.get(key).revision == swap.expected_revision:
             self._revision += 1
-            made = Stored(key, swap.value, self._revision)
+            made = StoredEntry(key, swap.value, self._revision)
             self._put(made)
             if swap.lease in self._leases:
                 self._leases[swap.lease].keys.add(key)
         self._note("swap", key, swap.expected_revision, made, lost)
         return made
 
-    def delete(self, key: str, expected_revision: int, lost: bool) -> Stored | None:
+    def delete(
+        self, key: str, expected_revision: int, lost: bool
+    ) -> StoredEntry | None:
         """Delete a key if its revision is the expected one."""
         made = None
         if self.get(key).revision == expected_revision:
             self._revision += 1
-            made = Stored(key, b"", 0)
+            made = StoredEntry(key, b"", 0)
             self._entries.pop(key, None)
             self._wake(key)
         self._note("delete", key, expected_revision, made, lost)
         return made
 
-    def restore(self, key: str, revision: int) -> Stored | None:
+    def restore(self, key: str, revision: int) -> StoredEntry | None:
         """Put back an older version with its old revision, as from a backup.
 
         A revision of 0 takes the version before the last.
@@ -123,7 +132,9 @@
             self._note("restore", key, 0, chosen, False)
         return chosen
 
-    async def wait_change(self, key: str, after: int, timeout: float) -> Stored | None:
+    async def wait_for_change(
+        self, key: str, after: int, timeout: float
+    ) -> StoredEntry | None:
         """Wait until a key's revision differs from `after`."""
         with trio.move_on_after(timeout):
             while self.get(key).revision == after:
@@ -137,14 +148,14 @@
         self._leases[lease.id] = lease
         return lease
 
-    def keep_lease(self, lease_id: str) -> Lease | None:
+    def renew_lease(self, lease_id: str) -> Lease | None:
         """Renew a lease that has not lapsed."""
         lease = self._leases.get(lease_id)
         if lease is not None:
             lease.expires = trio.current_time() + lease.ttl
         return lease
 
-    def drop_lease(self, lease_id: str) -> bool:
+    def revoke_lease(self, lease_id: str) -> bool:
         """End a lease and delete its keys."""
         lease = self._leases.pop(lease_id, None)
         if lease is None:
@@ -153,18 +164,20 @@
             self.delete(key, self.get(key).revision, False)
         return True
 
-    async def run_leases(self) -> None:
+    async def expire_leases(self) -> None:
         """End leases as they lapse."""
         while True:
             await trio.sleep(LEASE_CHECK_SECONDS)
             now = trio.current_time()
             for lease in list(self._leases.values()):
                 if lease.expires < now:
-                    self.drop_lease(lease.id)
+                    self.revoke_lease(lease.id)
 
-    def _put(self, made: Stored) -> None:
+    def _put(self, made: StoredEntry) -> None:
         self._entries[made.key] = made
-        versions = self._versions.setdefault(made.key, deque(maxlen=VERSIONS_KEPT))
+        versions = self._versions.setdefault(
+            made.key, deque(maxlen=MAX_VERSIONS_PER_KEY)
+        )
         versions.append(made)
         self._wake(made.key)
 
@@ -174,106 +187,112 @@
             event.set()
 
     def _note(
-        self, kind: str, key: str, expected: int, made: Stored | None, lost: bool
+        self, kind: str, key: str, expected: int, made: StoredEntry | None, lost: bool
     ) -> None:
         revision = 0 if made is None else made.revision or self._revision
         value = b"" if made is None else made.value
         self.writes.append(
-            Write(time.time(), kind, key, expected, revision, lost, value)
+            WriteRecord(time.time(), kind, key, expected, revision, lost, value)
         )
 
 
-def build_key_value_app(store: KeyValueStore, faults: FaultBoard) -> QuartTrio:
+def build_key_value_app(store: KeyValueStore, faults: FaultInjector) -> QuartTrio:
     """Return the service's HTTP application."""
     app = make_app("key-value")
 
     @app.get("/v1/keys/<path:key>")
     async def get(key: str) -> Response:
-        fault = faults.strike(TARGET, "get", key)
-        early = await suffer_before(fault)
-        return early or await suffer_after(fault, reply(store.get(key)))
+        fault = faults.intercept(FAULT_TARGET, "get", key)
+        early = await inject_before_call(fault)
+        return early or await inject_after_call(fault, reply(store.get(key)))
 
     @app.get("/v1/keys")
     async def list_prefix() -> Response:
         prefix = request.args.get("prefix", "")
-        fault = faults.strike(TARGET, "list", prefix)
-        early = await suffer_before(fault)
+        fault = faults.intercept(FAULT_TARGET, "list", prefix)
+        early = await inject_before_call(fault)
         found = {"entries": store.list_prefix(prefix)}
-        return early or await suffer_after(fault, reply(found))
+        return early or await inject_after_call(fault, reply(found))
 
     @app.put("/v1/keys/<path:key>")
     async def swap(key: str) -> Response:
-        body = await read_body(Swap)
-        fault = faults.strike(TARGET, "swap", key)
-        early = await suffer_before(fault)
+        body = await read_body(SwapRequest)
+        fault = faults.intercept(FAULT_TARGET, "swap", key)
+        early = await inject_before_call(fault)
         if early is not None:
             return early
-        if len(body.value) > VALUE_LIMIT:
+        if len(body.value) > MAX_VALUE_BYTES:
             return reply({"error": {"type": "too_large"}}, 413)
-        made = store.swap(key, body, is_lost(fault))
-        return await suffer_after(fault, answer_write(store, key, made))
+        made = store.compare_and_swap(key, body, is_answer_lost(fault))
+        return await inject_after_call(fault, reply_to_write(store, key, made))
 
     @app.delete("/v1/keys/<path:key>")
     async def delete(key: str) -> Response:
         expected = request.args.get("expected_revision", 0, type=int)
-        fault = faults.strike(TARGET, "delete", key)
-        early = await suffer_before(fault)
+        fault = faults.intercept(FAULT_TARGET, "delete", key)
+        early = await inject_before_call(fault)
         if early is not None:
             return early
-        made = store.delete(key, expected, is_lost(fault))
-        return await suffer_after(fault, answer_write(store, key, made))
+        made = store.delete(key, expected, is_answer_lost(fault))
+        return await inject_after_call(fault, reply_to_write(store, key, made))
 
     @app.get("/v1/watches/<path:key>")
     async def watch(key: str) -> Response:
         after = request.args.get("after", 0, type=int)
         timeout = request.args.get("timeout", 10.0, type=float)
-        fault = faults.strike(TARGET, "watch", key)
-        early = await suffer_before(fault)
+        fault = faults.intercept(FAULT_TARGET, "watch", key)
+        early = await inject_before_call(fault)
         if early is not None:
             return early
-        changed = await store.wait_change(key, after, timeout)
+        changed = await store.wait_for_change(key, after, timeout)
         answer = Response("", status=204) if changed is None else reply(changed)
-        return await suffer_after(fault, answer)
+        return await inject_after_call(fault, answer)
 
     add_lease_routes(app, store, faults)
     return app
 
 
-def add_lease_routes(app: QuartTrio, store: KeyValueStore, faults: FaultBoard) -> None:
+def add_lease_routes(
+    app: QuartTrio, store: KeyValueStore, faults: FaultInjector
+) -> None:
     """Add what grants, renews and ends leases."""
 
     @app.post("/v1/leases")
     async def grant() -> Response:
-        body = await read_body(LeaseOrder)
-        fault = faults.strike(TARGET, "lease")
-        early = await suffer_before(fault)
-        return early or await suffer_after(fault, reply(store.grant_lease(body.ttl)))
+        body = await read_body(LeaseRequest)
+        fault = faults.intercept(FAULT_TARGET, "lease")
+        early = await inject_before_call(fault)
+        return early or await inject_after_call(
+            fault, reply(store.grant_lease(body.ttl))
+        )
 
     @app.post("/v1/leases/<lease_id>/keepalive")
     async def keep(lease_id: str) -> Response:
-        fault = faults.strike(TARGET, "lease")
-        early = await suffer_before(fault)
+        fault = faults.intercept(FAULT_TARGET, "lease")
+        early = await inject_before_call(fault)
         if early is not None:
             return early
-        lease = store.keep_lease(lease_id)
-        return await suffer_after(fault, reply(lease, 200 if lease else 404))
+        lease = store.renew_lease(lease_id)
+        return await inject_after_call(fault, reply(lease, 200 if lease else 404))
 
     @app.delete("/v1/leases/<lease_id>")
     async def drop(lease_id: str) -> Response:
-        fault = faults.strike(TARGET, "lease")
-        early = await suffer_before(fault)
+        fault = faults.intercept(FAULT_TARGET, "lease")
+        early = await inject_before_call(fault)
         if early is not None:
             return early
-        dropped = store.drop_lease(lease_id)
-        return await suffer_after(fault, reply({}, 200 if dropped else 404))
+        dropped = store.revoke_lease(lease_id)
+        return await inject_after_call(fault, reply({}, 200 if dropped else 404))
 
 
-def is_lost(fault: Fault) -> bool:
+def is_answer_lost(fault: Fault) -> bool:
     """Whether a write under this fault takes effect and loses its answer."""
     return fault.mode.value in ("lose_answers", "garble")
 
 
-def answer_write(store: KeyValueStore, key: str, made: Stored | None) -> Response:
+def reply_to_write(
+    store: KeyValueStore, key: str, made: StoredEntry | None
+) -> Response:
     """Answer a write: the new entry, or the conflict with the entry that won."""
     if made is None:
         return reply(store.get(key), 409)
--- a/dewridge/standins/misbehaviour.py
+++ b/dewridge/standins/misbehaviour.py
@@ -6,13 +6,13 @@
 import msgspec
 import trio
 
-SLOW_FACTOR = 10.0
-CRASH_MARK = "crash: "
+DEFAULT_SLOWDOWN = 10.0
+CRASH_PREFIX = "crash: "
 CRASH_DELAY = 0.05
 """Seconds from the begin of a call that ends its server to that end."""
 
 
-class Mode(Enum):
+class MisbehaviourMode(Enum):
     """What is wrong with a server's answers."""
 
     NONE = "none"
@@ -35,21 +35,21 @@
     ERROR = "error"
     """New calls get status 500 after they ran, streams an error event."""
     CRASH = "crash"
-    """A call whose input begins with `CRASH_MARK` ends the server as it begins; it is
+    """A call whose input begins with `CRASH_PREFIX` ends the server as it begins; it is
     back after `seconds`."""
 
 
 class Misbehaviour(msgspec.Struct):
     """A misbehaviour of one server; an empty name means all of the process."""
 
-    mode: Mode = Mode.NONE
+    mode: MisbehaviourMode = MisbehaviourMode.NONE
     server: str = ""
-    factor: float = SLOW_FACTOR
+    factor: float = DEFAULT_SLOWDOWN
     seconds: float = 0.5
     events: int = 3
 
 
-async def spoil(
+async def apply_misbehaviour(
     events: AsyncIterator[bytes], wrong: Misbehaviour, stranger: bytes, error: bytes
 ) -> AsyncIterator[bytes]:
     """Pass a stream's events on as the misbehaviour in force has it.
@@ -65,20 +65,20 @@
     async for event in events:
         count += 1
         match wrong.mode:
-            case Mode.LATE:
+            case MisbehaviourMode.LATE:
                 await trio.sleep(wrong.seconds)
-            case Mode.DUPLICATE:
+            case MisbehaviourMode.DUPLICATE:
                 yield event
-            case Mode.MISDIRECT:
+            case MisbehaviourMode.MISDIRECT:
                 yield stranger
-            case Mode.TRUNCATE if count > wrong.events:
+            case MisbehaviourMode.TRUNCATE if count > wrong.events:
                 return
-            case Mode.SILENT:
+            case MisbehaviourMode.SILENT:
                 await trio.sleep_forever()
-            case Mode.ERROR:
+            case MisbehaviourMode.ERROR:
                 yield error
                 return
-            case Mode.REORDER if held is None:
+            case MisbehaviourMode.REORDER if held is None:
                 held = event
                 continue
         yield event
--- a/dewridge/standins/plain.py
+++ b/dewridge/standins/plain.py
@@ -10,13 +10,13 @@
 from quart_trio import QuartTrio
 
 from dewridge.standins.engine import Execution
-from dewridge.standins.misbehaviour import Misbehaviour, Mode
+from dewridge.standins.misbehaviour import Misbehaviour, MisbehaviourMode
 from dewridge.standins.serving import make_app, read_body, reply
 from dewridge.standins.tokens import digest_prompt
 
-LOG_KEPT = 200_000
+MAX_LOG_ENTRIES = 200_000
 SERIAL_OPERATIONS = ("issue_letter", "file_certificate")
-STATUSES = ("valid", "valid", "valid", "suspended", "expired")
+CERTIFICATE_STATUSES = ("valid", "valid", "valid", "suspended", "expired")
 
 
 class OperationCall(msgspec.Struct):
@@ -52,10 +52,10 @@
         self.leaving = False
         self.slowdown = 1.0
         self.running = 0
-        self.log: deque[Execution] = deque(maxlen=LOG_KEPT)
+        self.log: deque[Execution] = deque(maxlen=MAX_LOG_ENTRIES)
         self._serials = count(1)
 
-    def find_refusal(self) -> str | None:
+    def find_rejection(self) -> str | None:
         """Return the type of a refusal, before anything has started."""
         if self.leaving:
             return "leaving"
@@ -88,7 +88,7 @@
             # of one call put two numbers into circulation.
             body["serial"] = f"{self.name}-{next(self._serials):06d}"
         else:
-            body["status"] = STATUSES[digest % len(STATUSES)]
+            body["status"] = CERTIFICATE_STATUSES[digest % len(CERTIFICATE_STATUSES)]
         return body
 
 
@@ -99,11 +99,11 @@
     @app.post("/v1/operations/<operation>")
     async def execute(operation: str) -> Response:
         call = await read_body(OperationCall)
-        refusal = service.find_refusal()
+        refusal = service.find_rejection()
         if refusal is not None:
             return reply({"error": {"type": refusal}}, 503)
         answer = await service.execute(operation, call)
-        return await answer_call(answer, wrong)
+        return await reply_to_call(answer, wrong)
 
     @app.get("/v1/load")
     async def read_load() -> Response:
@@ -112,18 +112,18 @@
     return app
 
 
-async def answer_call(answer: OperationAnswer, wrong: Misbehaviour) -> Response:
+async def reply_to_call(answer: OperationAnswer, wrong: Misbehaviour) -> Response:
     """Answer a call that has run, as the misbehaviour in force has it."""
     match wrong.mode:
-        case Mode.LATE:
+        case MisbehaviourMode.LATE:
             await trio.sleep(wrong.seconds)
-        case Mode.SILENT:
+        case MisbehaviourMode.SILENT:
             await trio.sleep_forever()
-        case Mode.ERROR:
+        case MisbehaviourMode.ERROR:
             return reply({"error": {"type": "failed"}}, 500)
-        case Mode.MISDIRECT:
+        case MisbehaviourMode.MISDIRECT:
             answer = OperationAnswer(f"other-{answer.attempt}", "", answer.body)
-        case Mode.TRUNCATE:
+        case MisbehaviourMode.TRUNCATE:
             whole = msgspec.json.encode(answer)
             return Response(whole[: len(whole) // 2], content_type="application/json")
     return reply(answer)
--- a/dewridge/standins/platform.py
+++ b/dewridge/standins/platform.py
@@ -8,7 +8,7 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from dewridge.standins.faults import Fault, FaultBoard, FaultMode
+from dewridge.standins.faults import Fault, FaultInjector, FaultMode
 from dewridge.standins.hostlist import (
     HostDirectory,
     Notice,
@@ -53,7 +53,7 @@
     def __init__(self, first_port: int = 0) -> None:
         self.store = KeyValueStore()
         self.directory = HostDirectory()
-        self.faults = FaultBoard()
+        self.faults = FaultInjector()
         ports = [first_port + n if first_port else 0 for n in range(4)]
         self.listeners = {
             "key_value": Listener(
@@ -68,7 +68,7 @@
 
     async def start(self, nursery: trio.Nursery) -> dict[str, Any]:
         """Listen, and return the addresses."""
-        nursery.start_soon(self.store.run_leases)
+        nursery.start_soon(self.store.expire_leases)
         for listener in self.listeners.values():
             await nursery.start(listener.run)
         urls = {name: listener.url for name, listener in self.listeners.items()}
@@ -118,7 +118,7 @@
 
     @app.get("/control/servers")
     async def list_servers() -> Response:
-        return reply(directory.list_now())
+        return reply(directory.list_current())
 
     @app.post("/control/lag")
     async def set_lag() -> Response:
--- a/dewridge/standins/prefixcache.py
+++ b/dewridge/standins/prefixcache.py
@@ -8,7 +8,7 @@
 import xxhash
 
 BLOCK_TOKENS = 16
-EVENTS_KEPT = 10_000
+MAX_EVENTS = 10_000
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
@@ -26,7 +26,7 @@
     def __init__(self, capacity_tokens: int, lag: float, loss: float, seed: int = 0):
         self._capacity = max(1, capacity_tokens // BLOCK_TOKENS)
         self._blocks: OrderedDict[int, None] = OrderedDict()
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
         self._number = 0
         self._lag = lag
         self._loss = loss
--- a/dewridge/standins/relay.py
+++ b/dewridge/standins/relay.py
@@ -7,9 +7,9 @@
 from quart import Response
 from quart_trio import QuartTrio
 
-from dewridge.standins.serving import HOST, Listener, make_app, read_body, reply
+from dewridge.standins.serving import LISTEN_IP, Listener, make_app, read_body, reply
 
-CHUNK = 65_536
+CHUNK_BYTES = 65_536
 
 
 class StallOrder(msgspec.Struct):
@@ -57,9 +57,9 @@
         await nursery.start(self._control.run)
         addresses = {}
         for target in self._targets:
-            listeners = await trio.open_tcp_listeners(0, host=HOST)
+            listeners = await trio.open_tcp_listeners(0, host=LISTEN_IP)
             port = listeners[0].socket.getsockname()[1]
-            addresses[target] = f"{HOST}:{port}"
+            addresses[target] = f"{LISTEN_IP}:{port}"
 
             async def forward(caller: trio.SocketStream, target: str = target) -> None:
                 await self._forward(caller, target)
@@ -125,7 +125,7 @@
         towards_target: bool,
     ) -> None:
         while True:
-            chunk = await source.receive_some(CHUNK)
+            chunk = await source.receive_some(CHUNK_BYTES)
             while is_stalled(connection, towards_target):
                 await self._resumed.wait()
             if not chunk:
--- a/dewridge/standins/serving.py
+++ b/dewridge/standins/serving.py
@@ -15,7 +15,7 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-HOST = "127.0.0.1"
+LISTEN_IP = "127.0.0.1"
 BACKLOG = 512
 IDLE_SECONDS = 600.0
 REQUESTS_PER_CONNECTION = 1_000_000_000
@@ -42,7 +42,7 @@
     @property
     def address(self) -> str:
         """IP number and port."""
-        return f"{HOST}:{self._port}"
+        return f"{LISTEN_IP}:{self._port}"
 
     @property
     def url(self) -> str:
@@ -91,7 +91,7 @@
     made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    made.bind((HOST, port))
+    made.bind((LISTEN_IP, port))
     made.setblocking(False)
     return made
 
@@ -132,16 +132,16 @@
     return msgspec.json.decode(body or b"{}", type=kind)
 
 
-Start = Callable[[trio.Nursery], Awaitable[dict[str, Any]]]
+StartFunction = Callable[[trio.Nursery], Awaitable[dict[str, Any]]]
 """Starts a stand-in's tasks and returns the line that it announces."""
 
 
-def run_process(start: Start, die_with_parent: bool) -> None:
+def run_process(start: StartFunction, die_with_parent: bool) -> None:
     """Run a stand-in until SIGTERM, SIGINT or the end of its standard input."""
     trio.run(_run_until_ended, start, die_with_parent)
 
 
-async def _run_until_ended(start: Start, die_with_parent: bool) -> None:
+async def _run_until_ended(start: StartFunction, die_with_parent: bool) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_end_on_signal)
         if die_with_parent:
--- a/dewridge/standins/tokens.py
+++ b/dewridge/standins/tokens.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-WORDS = tuple(
+VOCABULARY = tuple(
     """
     the plant records show that each line was cleaned before the shift and
     lot numbers match while storage logs for one cold room lack two entries
@@ -26,7 +26,7 @@
     answer, or of another place, does not pass for it.
     """
     mark = xxhash.xxh3_64_intdigest(digest.to_bytes(8, "big"), seed=index)
-    return f" {WORDS[mark % len(WORDS)]}/{mark >> 48:04x}"
+    return f" {VOCABULARY[mark % len(VOCABULARY)]}/{mark >> 48:04x}"
 
 
 def make_answer(prompt: str, count: int) -> list[str]:
@@ -40,6 +40,6 @@
     return prompt.split()
 
 
-def check_answer(prompt: str, count: int, tokens: Sequence[str]) -> bool:
+def is_expected_answer(prompt: str, count: int, tokens: Sequence[str]) -> bool:
     """Whether tokens are the whole answer to a prompt."""
     return list(tokens) == make_answer(prompt, count)
--- a/dewridge/testbed/demonstration.py
+++ b/dewridge/testbed/demonstration.py
@@ -10,7 +10,7 @@
 from dewridge.client.client import Client
 from dewridge.client.model import Answer, Call
 from dewridge.sentinels import Failure
-from dewridge.standins.tokens import check_answer, digest_prompt
+from dewridge.standins.tokens import digest_prompt, is_expected_answer
 from dewridge.testbed.deployment import Deployment, DeploymentOptions, open_deployment
 from dewridge.testbed.places import SELLO_VERDE
 
@@ -23,7 +23,7 @@
     counts={"findings": (1, 1, 1, 0), "registry": (1, 1, 0, 0)},
 )
 
-Tell = Callable[[str], None]
+ProgressReporter = Callable[[str], None]
 
 
 @dataclass(frozen=True)
@@ -32,10 +32,10 @@
 
     title: str
     call: Call
-    is_own: Callable[[Answer], bool]
+    is_expected: Callable[[Answer], bool]
 
 
-async def demonstrate(tell: Tell) -> bool:
+async def run_demonstration(tell: ProgressReporter) -> bool:
     """Run the main job and tell what happens; True if every answer was whole."""
     began = time.monotonic()
     async with open_deployment(SELLO_VERDE, OPTIONS, tell) as deployment:
@@ -49,7 +49,7 @@
     return good
 
 
-async def _move_service(deployment: Deployment, tell: Tell) -> None:
+async def _move_service(deployment: Deployment, tell: ProgressReporter) -> None:
     """Publish one more profile and move the findings under it."""
     base = SELLO_VERDE.profiles[0]
     profile = {**base, "name": "demo", "placement": {"name": "balanced"}}
@@ -68,7 +68,7 @@
         Step(
             "draft a finding from a plant dossier",
             Call("findings", "draft_finding", dossier, 30, FINDING_TOKENS),
-            lambda answer: check_answer(dossier, FINDING_TOKENS, answer.tokens),
+            lambda answer: is_expected_answer(dossier, FINDING_TOKENS, answer.tokens),
         ),
         Step(
             "check a certificate's status",
@@ -91,7 +91,7 @@
     )
 
 
-async def _make_calls(deployment: Deployment, tell: Tell) -> bool:
+async def _make_calls(deployment: Deployment, tell: ProgressReporter) -> bool:
     account = SELLO_VERDE.accounts[0]
     seeds = deployment.list_frontends()[:1]
     good = True
@@ -102,13 +102,15 @@
             tell(f"entry list for {account}: {', '.join(shown)}")
         for step in _list_steps():
             answer = await client.request(step.call)
-            is_good = answer.is_whole and step.is_own(answer)
+            is_good = answer.is_whole and step.is_expected(answer)
             good = good and is_good
             _tell_answer(step, answer, is_good, tell)
     return good
 
 
-def _tell_answer(step: Step, answer: Answer, is_good: bool, tell: Tell) -> None:
+def _tell_answer(
+    step: Step, answer: Answer, is_good: bool, tell: ProgressReporter
+) -> None:
     tell(f"{step.title}: {'whole, its own' if is_good else 'NOT WHOLE'}")
     if not answer.is_whole:
         tell(f"  {answer.code.name}: {answer.reason}")
--- a/dewridge/testbed/deployment.py
+++ b/dewridge/testbed/deployment.py
@@ -14,21 +14,21 @@
 import httpx
 import trio
 
-from dewridge.testbed.places import EnginePlan, Place
+from dewridge.testbed.places import DeploymentSpec, ServerPoolSpec
 from dewridge.testbed.processes import (
     Process,
     StartError,
     choose_ports,
-    end_processes,
     start_process,
+    stop_processes,
 )
 
-READY_LIMIT = 40.0
+READY_TIMEOUT = 40.0
 """Seconds for the entry hosts to find each other and take work."""
 
 OPERATOR = "testbed"
 
-Tell = Callable[[str], None]
+ProgressReporter = Callable[[str], None]
 """Says on the terminal how far a start has come."""
 
 
@@ -78,31 +78,35 @@
 class BackendProcess:
     """A process that holds the backend servers of a plan in a failure domain."""
 
-    plan: EnginePlan
+    pool: ServerPoolSpec
     failure_domain: str
     process: Process
 
     @property
     def control(self) -> str:
         """URL of its control endpoint."""
-        return str(self.process.ready["control"])
+        return str(self.process.announcement["control"])
 
     @property
     def servers(self) -> list[str]:
         """Ids of its backend servers."""
-        return list(self.process.ready["servers"])
+        return list(self.process.announcement["servers"])
 
 
 class Deployment:
     """The running processes of a place, with what steers and watches them."""
 
     def __init__(
-        self, place: Place, options: DeploymentOptions, folder: Path, tell: Tell
+        self,
+        place: DeploymentSpec,
+        options: DeploymentOptions,
+        folder: Path,
+        tell: ProgressReporter,
     ) -> None:
-        self.place = place
+        self.spec = place
         self.options = options
         self.folder = folder
-        self.tell = tell
+        self.report_progress = tell
         self.hosts: list[EntryHost] = []
         self.backends: list[BackendProcess] = []
         self.platform: Process | None = None
@@ -120,16 +124,16 @@
         Raises:
             StartError: a process did not come up, or the hosts take no work.
         """
-        self.tell("starting the platform's stand-ins")
+        self.report_progress("starting the platform's stand-ins")
         self.platform = await self._start_process("platform", ["standin", "platform"])
-        self.tell("starting backend servers and entry hosts")
+        self.report_progress("starting backend servers and entry hosts")
         async with trio.open_nursery() as nursery:
-            for plan in self.place.plans:
-                for index, domain in enumerate(self.place.failure_domains):
+            for plan in self.spec.server_pools:
+                for index, domain in enumerate(self.spec.failure_domains):
                     count = self._count_servers(plan, index)
                     if count:
                         nursery.start_soon(self.start_backend, plan, domain, count)
-            domains = self.place.failure_domains[: self.options.host_domains]
+            domains = self.spec.failure_domains[: self.options.host_domains]
             peer_ports = choose_ports(self.options.hosts)
             seeds = [f"127.0.0.1:{port}" for port in peer_ports]
             for index in range(self.options.hosts):
@@ -138,7 +142,7 @@
         await self._wait_ready()
         await self.publish_all()
 
-    def _count_servers(self, plan: EnginePlan, index: int) -> int:
+    def _count_servers(self, plan: ServerPoolSpec, index: int) -> int:
         counts = self.options.counts.get(plan.service, plan.counts)
         return counts[index]
 
@@ -150,19 +154,19 @@
         return process
 
     async def start_backend(
-        self, plan: EnginePlan, domain: str, count: int
+        self, plan: ServerPoolSpec, domain: str, count: int
     ) -> BackendProcess:
         """Start backend servers of a plan in a failure domain."""
         self._started += 1
         assert self.platform is not None
-        price = plan.prices[self.place.failure_domains.index(domain)]
+        price = plan.prices[self.spec.failure_domains.index(domain)]
         kind = "engine" if plan.is_model else "plain"
         name = f"{plan.service}-{domain}-{self._started}"
         arguments = [
             *("standin", kind, "--service", plan.service),
             *("--failure-domain", domain, "--name", name, "--count", str(count)),
             *("--price", str(price), "--machine-class", plan.machine_class),
-            *("--platform", str(self.platform.ready["host_list"])),
+            *("--platform", str(self.platform.announcement["host_list"])),
         ]
         if plan.is_model:
             arguments += ["--step", str(self.options.step)]
@@ -206,12 +210,12 @@
         self, name: str, domain: str, frontend: int, peers: int, seeds: list[str]
     ) -> dict[str, Any]:
         assert self.platform is not None
-        urls = self.platform.ready
+        urls = self.platform.announcement
         settings: dict[str, Any] = {
             "host": {
                 "id": name,
-                "deployment": self.place.name,
-                "region": self.place.region,
+                "deployment": self.spec.name,
+                "region": self.spec.region,
                 "failure_domain": domain,
             },
             "platform": {
@@ -234,17 +238,17 @@
         return settings
 
     async def _wait_ready(self) -> None:
-        self.tell("waiting for the entry hosts to find each other")
+        self.report_progress("waiting for the entry hosts to find each other")
         for host in self.hosts:
-            await self.wait_joined(host)
+            await self.wait_until_joined(host)
 
-    async def wait_joined(self, host: EntryHost) -> None:
+    async def wait_until_joined(self, host: EntryHost) -> None:
         """Wait until an entry host answers and sees all that run.
 
         Raises:
             StartError: it has ended, or does not in time.
         """
-        until = trio.current_time() + READY_LIMIT
+        until = trio.current_time() + READY_TIMEOUT
         while not await self._is_joined(host):
             ended = not host.process.is_running
             if ended or trio.current_time() > until:
@@ -264,13 +268,13 @@
 
     async def publish_all(self) -> None:
         """Publish the place's profiles and services, and wait for them everywhere."""
-        for profile in self.place.profiles:
+        for profile in self.spec.profiles:
             await self.put(f"/v1/profiles/{profile['name']}", profile)
-        for service in self.place.services:
+        for service in self.spec.services:
             await self.put(f"/v1/services/{service['name']}", service)
-        names = {str(service["name"]) for service in self.place.services}
+        names = {str(service["name"]) for service in self.spec.services}
         for host in self.hosts:
-            with trio.fail_after(READY_LIMIT):
+            with trio.fail_after(READY_TIMEOUT):
                 await self._wait_in_force(host, names)
 
     async def _wait_in_force(self, host: EntryHost, names: set[str]) -> None:
@@ -341,15 +345,15 @@
     def control(self) -> str:
         """URL of the platform's control endpoint."""
         assert self.platform is not None
-        return str(self.platform.ready["control"])
+        return str(self.platform.announcement["control"])
 
-    async def order(self, url: str, content: dict[str, Any]) -> None:
+    async def post_order(self, url: str, content: dict[str, Any]) -> None:
         """Post an order to a control endpoint."""
         (await self.http.post(url, json=content)).raise_for_status()
 
     async def announce_reclaim(self, subject: str, notice: float) -> float:
         """Let the cloud announce a reclaim; returns when, in seconds since 1970."""
-        await self.order(
+        await self.post_order(
             f"{self.control}/control/notice", {"subject": subject, "in_seconds": notice}
         )
         return time.time() + notice
@@ -357,9 +361,9 @@
     async def set_platform_fault(self, target: str, mode: str, **more: Any) -> None:
         """Put a fault of the platform in force; mode `none` ends it."""
         order = {"target": target, "mode": mode, **more}
-        await self.order(f"{self.control}/control/fault", order)
+        await self.post_order(f"{self.control}/control/fault", order)
 
-    async def read_logs(self) -> list[dict[str, Any]]:
+    async def read_execution_logs(self) -> list[dict[str, Any]]:
         """Return what ran on all backend servers that were ever started."""
         lines: list[dict[str, Any]] = []
         for backend in self.backends:
@@ -378,7 +382,7 @@
 
     async def close(self) -> None:
         """End all processes that were started."""
-        await end_processes(self._past)
+        await stop_processes(self._past)
         with trio.CancelScope(shield=True):
             await self.http.aclose()
 
@@ -389,7 +393,9 @@
 
 @asynccontextmanager
 async def open_deployment(
-    place: Place, options: DeploymentOptions, tell: Tell = lambda line: None
+    place: DeploymentSpec,
+    options: DeploymentOptions,
+    tell: ProgressReporter = lambda line: None,
 ) -> AsyncIterator[Deployment]:
     """Start a deployment, and end all its processes on the way out."""
     async with AsyncExitStack() as stack:
--- a/dewridge/testbed/places.py
+++ b/dewridge/testbed/places.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True)
-class EnginePlan:
+class ServerPoolSpec:
     """Backend servers of one kind in each failure domain.
 
     Attributes:
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class DeploymentSpec:
     """A deployment: where it is, what it serves, and under which profiles.
 
     Attributes:
@@ -32,7 +32,7 @@
     region: str
     failure_domains: tuple[str, ...]
     accounts: tuple[str, ...]
-    plans: tuple[EnginePlan, ...]
+    server_pools: tuple[ServerPoolSpec, ...]
     profiles: tuple[dict[str, Any], ...]
     services: tuple[dict[str, Any], ...] = field(default=())
 
@@ -58,16 +58,18 @@
     }
 
 
-SELLO_VERDE = Place(
+SELLO_VERDE = DeploymentSpec(
     name="sello-verde",
     region="gt-central",
     failure_domains=("zona-a", "zona-b", "mixco", "villa-nueva"),
     accounts=("matadero", "aduana", "importador", "cooperativa", "oficina"),
-    plans=(
-        EnginePlan(
+    server_pools=(
+        ServerPoolSpec(
             "findings", True, "gpu-standard", (2.0, 2.4, 1.8, 2.2), (3, 2, 2, 2)
         ),
-        EnginePlan("registry", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)),
+        ServerPoolSpec(
+            "registry", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)
+        ),
     ),
     profiles=(
         _make_profile("prompt-answers", "cost_aware"),
@@ -92,7 +94,7 @@
     ),
 )
 
-KAROO = Place(
+KAROO = DeploymentSpec(
     name="karoo",
     region="gauteng",
     failure_domains=("midrand-a", "midrand-b", "isando-1", "isando-2"),
@@ -103,11 +105,13 @@
         "inspectorate",
         "portal",
     ),
-    plans=(
-        EnginePlan(
+    server_pools=(
+        ServerPoolSpec(
             "drafting", True, "gpu-standard", (1.6, 1.9, 2.1, 1.7), (3, 2, 2, 2)
         ),
-        EnginePlan("portal", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)),
+        ServerPoolSpec(
+            "portal", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)
+        ),
     ),
     profiles=(
         _make_profile("at-the-valve", "cost_aware"),
@@ -138,4 +142,4 @@
     ),
 )
 
-PLACES = {place.name: place for place in (SELLO_VERDE, KAROO)}
+DEPLOYMENT_SPECS = {place.name: place for place in (SELLO_VERDE, KAROO)}
--- a/dewridge/testbed/processes.py
+++ b/dewridge/testbed/processes.py
@@ -13,10 +13,10 @@
 
 import trio
 
-START_LIMIT = 30.0
+START_TIMEOUT = 30.0
 """Seconds for a process to say that it listens; an import takes about one."""
 
-END_LIMIT = 40.0
+EXIT_TIMEOUT = 40.0
 """Seconds for a process to end by itself before it is killed."""
 
 
@@ -32,13 +32,13 @@
     """One process with the signals that a fault sends it.
 
     Attributes:
-        ready: what it printed when it listened; empty for an entry host.
+        announcement: what it printed when it listened; empty for an entry host.
     """
 
     name: str
     handle: trio.Process
     log_path: Path
-    ready: dict[str, Any]
+    announcement: dict[str, Any]
 
     @property
     def is_running(self) -> bool:
@@ -49,11 +49,11 @@
         """End it at once, as a host that loses power."""
         self._signal(signal.SIGKILL)
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Stop it without ending it, as a host that swaps or is migrated."""
         self._signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let a stopped process go on."""
         self._signal(signal.SIGCONT)
 
@@ -65,7 +65,7 @@
         if self.is_running:
             os.kill(self.handle.pid, number)
 
-    async def wait_ended(self, limit: float = END_LIMIT) -> bool:
+    async def wait_for_exit(self, limit: float = EXIT_TIMEOUT) -> bool:
         """Wait for its end; False, and it is killed, after `limit` seconds."""
         with trio.move_on_after(limit):
             await self.handle.wait()
@@ -116,7 +116,7 @@
         )
     ready: dict[str, Any] = {}
     if waits_for_line:
-        with trio.move_on_after(START_LIMIT):
+        with trio.move_on_after(START_TIMEOUT):
             ready = await _read_line(handle)
         if not ready:
             handle.kill()
@@ -137,15 +137,15 @@
     return answer
 
 
-async def end_processes(processes: list[Process]) -> None:
+async def stop_processes(processes: list[Process]) -> None:
     """End all processes: ask first, then kill; shielded, so none is left."""
     with trio.CancelScope(shield=True):
         for process in processes:
-            process.thaw()
+            process.resume()
             process.terminate()
         async with trio.open_nursery() as nursery:
             for process in processes:
-                nursery.start_soon(process.wait_ended, 3.0)
+                nursery.start_soon(process.wait_for_exit, 3.0)
 
 
 def choose_ports(count: int) -> list[int]:
--- a/dewridge/tests/fleet/dispatch_tests.py
+++ b/dewridge/tests/fleet/dispatch_tests.py
@@ -45,9 +45,9 @@
 from dewridge.sentinels import Failure
 from dewridge.standins.backend import BackendGroup, BackendPlan, LeavingOrder
 from dewridge.standins.engine import EngineOptions
-from dewridge.standins.misbehaviour import Misbehaviour, Mode
+from dewridge.standins.misbehaviour import Misbehaviour, MisbehaviourMode
 from dewridge.standins.plain import PlainOptions
-from dewridge.standins.tokens import check_answer
+from dewridge.standins.tokens import is_expected_answer
 from dewridge.tests.fakes import MemoryKeyValue
 
 PROMPT = "dossier of a plant with three lines"
@@ -139,9 +139,9 @@
     # The engine sends events late, twice, out of order or mixed with another
     # attempt's. The caller must still get the correct answer.
     async with run_backend(EngineOptions(step=0.002)) as (group, [server]):
-        group.misbehave(Misbehaviour(Mode(mode), seconds=0.02))
+        group.set_misbehaviour(Misbehaviour(MisbehaviourMode(mode), seconds=0.02))
         events = await send_attempt(server, ORDER)
-        assert check_answer(PROMPT, TOKENS, join_tokens(events))
+        assert is_expected_answer(PROMPT, TOKENS, join_tokens(events))
         assert isinstance(events[-1], AttemptEnd)
 
 
@@ -161,7 +161,7 @@
     # connections. A partial answer must not count as complete, and only the rejected
     # connection may be reported as not started.
     async with run_backend(EngineOptions(step=0.002)) as (group, [server]):
-        group.misbehave(Misbehaviour(Mode(mode)))
+        group.set_misbehaviour(Misbehaviour(MisbehaviourMode(mode)))
         events = await send_attempt(server, replace(ORDER, timeout=0.3))
         assert get_failure_code(events) is code
         assert len(join_tokens(events)) < TOKENS
@@ -175,7 +175,7 @@
             get_failure_code(await send_attempt(server, ORDER))
             is ResultCode.NOT_STARTED
         )
-        group.leave(LeavingOrder())
+        group.set_leaving(LeavingOrder())
         rejected = await send_attempt(server, ORDER)
         assert get_failure_code(rejected) is ResultCode.BACKEND_SERVER_LEAVING
         assert group.read_log() == []
@@ -185,7 +185,7 @@
     # A worker allocates a serial number, then fails with status 500. The failure must
     # not count as "not started": a retry would issue a second letter.
     async with run_backend(PlainOptions(work=0.001)) as (group, [server]):
-        group.misbehave(Misbehaviour(Mode.ERROR))
+        group.set_misbehaviour(Misbehaviour(MisbehaviourMode.ERROR))
         failed = await send_attempt(server, PLAIN_ORDER)
         assert get_failure_code(failed) is ResultCode.BACKEND_SERVER_FAILED
         assert [line.state for line in group.read_log()] == ["done"]
@@ -208,7 +208,7 @@
         [end] = await send_attempt(server, PLAIN_ORDER)
         assert isinstance(end, AttemptEnd)
         assert '"serial":"server-000001"' in end.body
-        group.misbehave(Misbehaviour(Mode(mode)))
+        group.set_misbehaviour(Misbehaviour(MisbehaviourMode(mode)))
         assert (
             get_failure_code(
                 await send_attempt(server, replace(PLAIN_ORDER, timeout=0.3))
@@ -248,7 +248,7 @@
             if isinstance(event, AttemptTokens):
                 assert event.sequence == len(retained)
                 retained.extend(event.tokens)
-        assert check_answer(PROMPT, TOKENS, retained)
+        assert is_expected_answer(PROMPT, TOKENS, retained)
         assert isinstance(rest[-1], AttemptEnd)
         assert rest[-1].recomputed == 0
 
--- a/dewridge/tests/proofs/checks_tests.py
+++ b/dewridge/tests/proofs/checks_tests.py
@@ -17,7 +17,7 @@
     Observed,
     Submitted,
 )
-from dewridge.standins.misbehaviour import CRASH_MARK
+from dewridge.standins.misbehaviour import CRASH_PREFIX
 from dewridge.standins.tokens import digest_prompt, make_answer
 
 PROMPT = "plant 7, line 2"
@@ -33,7 +33,7 @@
 REFUSED = Concluded(4, "k", 1, "not_run", 201, "", 10, retry_after=1.0)
 CHANGED = ChangeAsked(1, "x", "profile/a", 1, 0.4)
 ACCEPTED = ChangeAnswered(2, "x", "profile/a", 2, 0)
-CRASHING = msgspec.structs.replace(ASKED, prompt=f"{CRASH_MARK}page 3")
+CRASHING = msgspec.structs.replace(ASKED, prompt=f"{CRASH_PREFIX}page 3")
 CRASHES = [msgspec.structs.replace(RAN, at=n, attempt=f"t{n}") for n in (3, 4, 5)]
 CRASHES_LATE = [
     msgspec.structs.replace(RAN, at=n, attempt=f"t{n}") for n in (9, 10, 11)
--- a/dewridge/tests/soak/faults.py
+++ b/dewridge/tests/soak/faults.py
@@ -40,9 +40,9 @@
     process = gateway.process
     stage.disturb(gateway.name, seconds + 0.5)
     if process is not None:
-        process.freeze()
+        process.suspend()
         await trio.sleep(seconds)
-        process.thaw()
+        process.resume()
 
 
 async def roll(stage: Stage, seconds: float) -> None:
@@ -58,7 +58,7 @@
         return
     stage.disturb(gateway.name, GRACE, is_planned=True)
     process.terminate()
-    await process.wait_ended(GRACE)
+    await process.wait_for_exit(GRACE)
 
 
 async def reload_all(stage: Stage, seconds: float) -> None:
--- a/dewridge/tests/soak/stage.py
+++ b/dewridge/tests/soak/stage.py
@@ -280,7 +280,7 @@
             for gateway in self.gateways:
                 gateway.is_kept_up = False
                 if gateway.process is not None and gateway.process.is_running:
-                    gateway.process.thaw()
+                    gateway.process.resume()
                     gateway.process.kill()
                     await gateway.process.handle.wait()
 
--- a/dewridge/tests/testbed/demonstration_tests.py
+++ b/dewridge/tests/testbed/demonstration_tests.py
@@ -2,14 +2,14 @@
 
 import trio
 
-from dewridge.testbed.demonstration import demonstrate
-from dewridge.testbed.processes import Process, end_processes, start_process
+from dewridge.testbed.demonstration import run_demonstration
+from dewridge.testbed.processes import Process, start_process, stop_processes
 
 
 async def test_the_main_job_runs_through_separate_processes() -> None:
     lines: list[str] = []
     with trio.fail_after(50):
-        assert await demonstrate(lines.append), "\n".join(lines)
+        assert await run_demonstration(lines.append), "\n".join(lines)
 
 
 async def test_interrupted_processes_are_all_ended(tmp_path) -> None:  # type: ignore[no-untyped-def]
@@ -23,9 +23,9 @@
                 process = await start_process(
                     "platform", arguments, tmp_path, waits_for_line=True
                 )
-                process.freeze()
+                process.suspend()
                 started.append(process)
             await trio.sleep_forever()
         finally:
-            await end_processes(started)
+            await stop_processes(started)
     assert not any(process.is_running for process in started)
