--- a/dewridge/standins/__init__.py
+++ b/dewridge/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform's services and of backend servers.
+"""Small simulators of the platform's services and of backend servers.
 
-They exist for demos, tests and measurements; the product never imports them.
+They serve demos, tests and measurements only; product code never imports them.
 """
--- a/dewridge/standins/backend.py
+++ b/dewridge/standins/backend.py
@@ -1,4 +1,4 @@
-"""Backend servers of one process: listeners, registration and control."""
+"""Runs simulated backend servers in one process, with a control endpoint."""
 
 import math
 from collections.abc import Sequence
@@ -18,17 +18,20 @@
 from dewridge.standins.serving import Listener, make_app, read_body, reply
 
 REGISTER_RETRY_INTERVAL = 0.2
+"""Seconds."""
 REGISTER_TIMEOUT = 2.0
+"""Seconds for one HTTP request to the host list."""
 
 
 class BackendPlan(msgspec.Struct, frozen=True):
     """The backend servers to run in this process.
 
     Attributes:
-        platform: URL of the host list to register at; empty: nowhere.
-        failure_domains: taken in turn by the servers.
-        prices: taken in turn by the servers.
-        first_port: port of the first, the next ones after it; 0: the kernel's.
+        platform: URL of the host list to register at; empty: do not register.
+        failure_domains: assigned to the servers in round-robin order.
+        prices: assigned to the servers in round-robin order.
+        first_port: port of the first server; the others use the following ports,
+            and the control endpoint the one after them. 0: chosen by the kernel.
     """
 
     name: str
@@ -43,7 +46,7 @@
 
 
 class LeavingOrder(msgspec.Struct):
-    """Puts a server into its leaving state; after `dies_in` it refuses all."""
+    """Puts a server into the leaving state; it stops after `dies_in` seconds."""
 
     server: str = ""
     leaving: bool = True
@@ -52,7 +55,7 @@
 
 @dataclass
 class Backend:
-    """One backend server with its listener and its misbehaviour."""
+    """One backend server with its listener and its simulated misbehaviour."""
 
     worker: Engine | PlainService
     misbehaviour: Misbehaviour
@@ -60,39 +63,39 @@
 
 
 class BackendGroup:
-    """The backend servers of one process and their common control endpoint."""
+    """The backend servers of one process and their shared control endpoint."""
 
     def __init__(
         self, plan: BackendPlan, options: EngineOptions | PlainOptions
     ) -> None:
         self._plan = plan
         self._options = options
-        self._backends = [self._make(index) for index in range(plan.count)]
+        self._backends = [self._make_backend(index) for index in range(plan.count)]
         port = plan.first_port + plan.count if plan.first_port else 0
         self._control = Listener(build_control_app(self), port)
         self._nursery: trio.Nursery | None = None
 
-    def _make(self, index: int) -> Backend:
+    def _make_backend(self, index: int) -> Backend:
         plan = self._plan
         name = f"{plan.name}-{index + 1}" if plan.count > 1 else plan.name
-        wrong = Misbehaviour()
+        misbehaviour = Misbehaviour()
         port = plan.first_port + index if plan.first_port else 0
         worker: Engine | PlainService
         if isinstance(self._options, EngineOptions):
             worker = Engine(name, plan.services, self._options)
             app = build_engine_app(
                 worker,
-                wrong,
+                misbehaviour,
                 lambda: self._backends[index].listener.address,
-                lambda: self._crash(self._backends[index]),
+                lambda: self._schedule_crash(self._backends[index]),
             )
         else:
             worker = PlainService(name, self._options)
-            app = build_plain_app(worker, wrong)
-        return Backend(worker, wrong, Listener(app, port))
+            app = build_plain_app(worker, misbehaviour)
+        return Backend(worker, misbehaviour, Listener(app, port))
 
     async def start(self, nursery: trio.Nursery) -> dict[str, Any]:
-        """Listen, register, and return the addresses."""
+        """Start all listeners, register the servers, and return their addresses."""
         self._nursery = nursery
         await nursery.start(self._control.run)
         for backend in self._backends:
@@ -114,7 +117,7 @@
     def _list_records(self) -> list[HostRecord]:
         plan = self._plan
         domains = plan.failure_domains
-        fences = getattr(self._options, "checks_fencing", True)
+        checks_fencing = getattr(self._options, "checks_fencing", True)
         return [
             HostRecord(
                 backend.worker.name,
@@ -126,23 +129,23 @@
                 plan.prices[index % len(plan.prices)],
                 plan.reclaimable,
                 self._options.capacity,
-                fences,
+                checks_fencing,
             )
             for index, backend in enumerate(self._backends)
         ]
 
     def find_backends(self, server: str) -> list[Backend]:
-        """Return the server of a name, or all for an empty one."""
+        """Return the servers with this name, or all servers if it is empty."""
         return [b for b in self._backends if server in ("", b.worker.name)]
 
     def set_misbehaviour(self, order: Misbehaviour) -> bool:
-        """Put a misbehaviour in force; False if there is no such server."""
+        """Apply a misbehaviour; False if there is no such server."""
         found = self.find_backends(order.server)
         for backend in found:
             for name in ("mode", "factor", "seconds", "events"):
                 setattr(backend.misbehaviour, name, getattr(order, name))
-            slow = order.mode is MisbehaviourMode.SLOW
-            backend.worker.slowdown = order.factor if slow else 1.0
+            is_slow = order.mode is MisbehaviourMode.SLOW
+            backend.worker.slowdown = order.factor if is_slow else 1.0
             if order.mode is MisbehaviourMode.DOWN:
                 self._stop(backend)
             else:
@@ -150,23 +153,23 @@
         return bool(found)
 
     def set_leaving(self, order: LeavingOrder) -> bool:
-        """Put servers into or out of their leaving state."""
+        """Set or clear the leaving state of servers; False if there is none."""
         found = self.find_backends(order.server)
         for backend in found:
             backend.worker.leaving = order.leaving
             if math.isfinite(order.dies_in) and self._nursery is not None:
-                self._nursery.start_soon(self._die, backend, order.dies_in)
+                self._nursery.start_soon(self._stop_after, backend, order.dies_in)
         return bool(found)
 
-    async def _die(self, backend: Backend, seconds: float) -> None:
+    async def _stop_after(self, backend: Backend, seconds: float) -> None:
         await trio.sleep(seconds)
         self._stop(backend)
 
-    def _crash(self, backend: Backend) -> None:
+    def _schedule_crash(self, backend: Backend) -> None:
         if self._nursery is not None:
-            self._nursery.start_soon(self._go_down_and_up, backend)
+            self._nursery.start_soon(self._crash_and_restart, backend)
 
-    async def _go_down_and_up(self, backend: Backend) -> None:
+    async def _crash_and_restart(self, backend: Backend) -> None:
         await trio.sleep(CRASH_DELAY)
         self._stop(backend)
         await trio.sleep(backend.misbehaviour.seconds)
@@ -178,13 +181,13 @@
             backend.worker.abort_all()
 
     def read_log(self) -> list[Execution]:
-        """Return what ran on all servers, in order of time."""
-        lines = [line for backend in self._backends for line in backend.worker.log]
-        return sorted(lines, key=lambda line: line.at)
+        """Return the executions of all servers, ordered by time."""
+        executions = [e for backend in self._backends for e in backend.worker.log]
+        return sorted(executions, key=lambda execution: execution.at)
 
 
 def build_control_app(group: BackendGroup) -> QuartTrio:
-    """Return the application by which tests steer the servers."""
+    """Return the HTTP application through which tests control the servers."""
     app = make_app("backend-control")
 
     @app.post("/control/fault")
@@ -205,8 +208,8 @@
 
 
 async def register(platform: str, records: Sequence[HostRecord]) -> None:
-    """Enter servers in the host list, trying until it takes them."""
-    import httpx  # noqa: PLC0415 - needed once, and heavy
+    """Register servers in the host list, retrying until it answers."""
+    import httpx  # noqa: PLC0415 - slow to import, used only here
 
     async with httpx.AsyncClient(timeout=REGISTER_TIMEOUT) as client:
         for record in records:
--- a/dewridge/standins/engine.py
+++ b/dewridge/standins/engine.py
@@ -1,4 +1,4 @@
-"""Model engine that batches step by step and streams tokens."""
+"""Simulated model engine: continuous batching in fixed steps, streamed tokens."""
 
 import time
 from collections import OrderedDict, deque
@@ -18,18 +18,18 @@
 
 
 class EngineOptions(msgspec.Struct, frozen=True):
-    """How an engine works.
+    """Options of a simulated engine.
 
     Attributes:
-        step: seconds of one step, in which each running stream gets a token.
-        prefill: prompt tokens computed in one step, over all streams.
-        capacity: streams in the batch.
-        queue: streams that may wait for a place in it.
-        cache_tokens: memory of the prefix cache.
-        load_lag: age in seconds of the reported load.
-        event_lag: age in seconds at which cache events are seen.
-        event_loss: share of the cache events that are lost.
-        checks_fencing: whether orders with an old fencing number are refused.
+        step: seconds of one step, in which each running stream gets one token.
+        prefill: prompt tokens computed in one step, summed over all streams.
+        capacity: largest number of streams in the batch.
+        queue: largest number of streams that wait to enter the batch.
+        cache_tokens: capacity of the prefix cache in tokens.
+        load_lag: age of the reported load in seconds.
+        event_lag: delay in seconds until a cache event becomes visible.
+        event_loss: fraction of the cache events that are lost.
+        checks_fencing: whether orders with a stale fencing token are rejected.
     """
 
     step: float = 0.008
@@ -44,7 +44,7 @@
 
 
 class CompletionRequest(msgspec.Struct):
-    """Body of a call for a completion; see docs/standins.md."""
+    """Body of a completion request; see docs/standins.md."""
 
     prompt: str
     max_tokens: int = 16
@@ -61,7 +61,7 @@
 
 
 class Execution(msgspec.Struct):
-    """One line of the log of what ran."""
+    """One entry of the execution log."""
 
     at: float
     server: str
@@ -76,7 +76,7 @@
 
 
 class StreamState(Enum):
-    """How far a stream has come."""
+    """State of a stream."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -85,7 +85,7 @@
 
 
 class CacheExport(msgspec.Struct, frozen=True):
-    """A KV cache that another engine may import."""
+    """An exported KV cache, which another engine may import."""
 
     handle: str
     digest: int
@@ -95,12 +95,17 @@
 
 @dataclass(eq=False)
 class EngineStream:
-    """One completion in the engine.
+    """A completion that is waiting or running in the engine.
 
     Attributes:
-        next_index: index of the next token of the answer.
-        remaining_prefill: tokens still to be computed before the next token.
-        outbox: tokens computed and not yet written, from `sent_tokens` on.
+        next_index: index of the next token in the answer.
+        imported_tokens: tokens covered by an imported KV cache.
+        remaining_prefill: tokens to compute before the next token of the answer.
+        cached: prompt tokens found in the prefix cache.
+        recomputed: tokens of prompt and answer computed again to resume an answer.
+        sent_tokens: answer tokens sent so far, including those of earlier attempts.
+        outbox: generated tokens that have not been sent yet.
+        updated: set when there are new tokens or the stream has finished.
     """
 
     completion: CompletionRequest
@@ -118,17 +123,17 @@
     updated: trio.Event = field(default_factory=trio.Event)
 
     def notify(self) -> None:
-        """Let the response know that there is something to write."""
+        """Wake the response that sends this stream's events."""
         self.updated.set()
 
     @property
     def is_finished(self) -> bool:
-        """Whether no token will follow."""
+        """Whether no more tokens will be generated."""
         return self.state in (StreamState.DONE, StreamState.CANCELLED)
 
 
 class Engine:
-    """One engine: its batch, caches, log and what was ordered of it."""
+    """A simulated engine: its batch, caches, execution log and control state."""
 
     def __init__(self, name: str, services: tuple[str, ...], options: EngineOptions):
         self.name = name
@@ -146,20 +151,22 @@
         self._running: list[EngineStream] = []
         self._cancelled: OrderedDict[str, None] = OrderedDict()
         self._exports: OrderedDict[str, CacheExport] = OrderedDict()
-        self._loads: deque[tuple[float, int, int]] = deque(maxlen=MAX_LOAD_SAMPLES)
-        self._work = trio.Event()
+        self._load_samples: deque[tuple[float, int, int]] = deque(
+            maxlen=MAX_LOAD_SAMPLES
+        )
+        self._work_available = trio.Event()
 
     async def run(self) -> None:
-        """Step while there is work."""
+        """Run steps while streams wait or run; otherwise sleep until one arrives."""
         while True:
             if not (self._running or self._waiting):
-                self._work = trio.Event()
-                await self._work.wait()
+                self._work_available = trio.Event()
+                await self._work_available.wait()
             await trio.sleep(self.options.step * self.slowdown)
             self.step()
 
     def find_rejection(self, completion: CompletionRequest) -> tuple[int, str] | None:
-        """Return status and type of a refusal, before anything has started."""
+        """Return HTTP status and error type if the request must be rejected."""
         if self.leaving:
             return 503, "leaving"
         if completion.attempt in self._cancelled:
@@ -172,9 +179,11 @@
             return 503, "overloaded"
         return None
 
-    def accept(self, completion: CompletionRequest, imported: int) -> EngineStream:
-        """Queue a completion that was not refused."""
-        done = len(completion.tokens_done)
+    def accept(
+        self, completion: CompletionRequest, imported_tokens: int
+    ) -> EngineStream:
+        """Queue a completion that `find_rejection` did not reject."""
+        done_count = len(completion.tokens_done)
         execution = Execution(
             time.time(),
             self.name,
@@ -182,89 +191,92 @@
             completion.key,
             completion.attempt,
             completion.account,
-            done,
+            done_count,
         )
         self.log.append(execution)
         stream = EngineStream(
             completion,
             digest_prompt(completion.prompt),
             split_prompt(completion.prompt),
-            done,
+            done_count,
             execution,
-            imported,
-            sent_tokens=done,
+            imported_tokens,
+            sent_tokens=done_count,
         )
         self._waiting.append(stream)
         self._waiting.sort(key=lambda waiting: waiting.completion.priority)
-        self._work.set()
-        self._note_load()
+        self._work_available.set()
+        self._record_load()
         return stream
 
     def step(self) -> None:
-        """Fill the batch, compute prompts, and give each stream its next token."""
+        """Fill the batch, run prefill, and generate a token for each ready stream."""
         while self._waiting and len(self._running) < self.options.capacity:
-            self._begin(self._waiting.pop(0))
+            self._start_stream(self._waiting.pop(0))
         budget = self.options.prefill
         for stream in list(self._running):
             computed = min(budget, stream.remaining_prefill)
             budget -= computed
             stream.remaining_prefill -= computed
             if stream.remaining_prefill == 0:
-                self._decode(stream)
-        self._note_load()
+                self._generate_token(stream)
+        self._record_load()
 
-    def _begin(self, stream: EngineStream) -> None:
+    def _start_stream(self, stream: EngineStream) -> None:
         salt = stream.completion.cache_salt
         total = len(stream.prompt) + stream.next_index
         stream.cached = self.cache.match(salt, stream.prompt)
-        known = max(stream.cached, min(stream.imported_tokens, total))
-        stream.remaining_prefill = total - known
+        available = max(stream.cached, min(stream.imported_tokens, total))
+        stream.remaining_prefill = total - available
         if stream.next_index:
             stream.recomputed = stream.remaining_prefill
         self.cache.store(salt, stream.prompt, time.time())
         stream.state = StreamState.RUNNING
         self._running.append(stream)
 
-    def _decode(self, stream: EngineStream) -> None:
+    def _generate_token(self, stream: EngineStream) -> None:
         stream.outbox.append(make_token(stream.digest, stream.next_index))
         stream.next_index += 1
         stream.execution.tokens += 1
         if stream.next_index >= stream.completion.max_tokens:
-            self._end(stream, StreamState.DONE, "done")
+            self._finish_stream(stream, StreamState.DONE, "done")
         stream.notify()
 
-    def _end(self, stream: EngineStream, state: StreamState, word: str) -> None:
+    def _finish_stream(
+        self, stream: EngineStream, state: StreamState, outcome: str
+    ) -> None:
         if stream in self._running:
             self._running.remove(stream)
         if stream in self._waiting:
             self._waiting.remove(stream)
         stream.state = state
-        stream.execution.state = word
+        stream.execution.state = outcome
         stream.notify()
-        self._note_load()
+        self._record_load()
 
     def abort(self, stream: EngineStream) -> None:
-        """End a stream whose caller has gone."""
+        """End a stream whose caller has disconnected."""
         if not stream.is_finished:
-            self._end(stream, StreamState.CANCELLED, "aborted")
+            self._finish_stream(stream, StreamState.CANCELLED, "aborted")
 
     def abort_all(self) -> None:
-        """End all streams, as the end of the process would."""
+        """End all streams, as a crash of the process would."""
         for stream in self._running + self._waiting:
             self.abort(stream)
 
     def cancel(self, attempt: str) -> tuple[str, int]:
-        """End an attempt, and refuse it if it only arrives later.
+        """Cancel an attempt; if its request arrives later, it will be rejected.
 
         Returns:
-            `cancelled`, `done` or `unknown`, and its count of tokens.
+            The attempt's state (`cancelled`, `done`, `aborted` or `unknown`) and the
+            number of its tokens.
         """
         self._cancelled[attempt] = None
         while len(self._cancelled) > MAX_CANCELLED_ATTEMPTS:
             self._cancelled.popitem(last=False)
-        stream = self._find(attempt)
+        stream = self._find_stream(attempt)
         if stream is not None:
-            self._end(stream, StreamState.CANCELLED, "cancelled")
+            self._finish_stream(stream, StreamState.CANCELLED, "cancelled")
             return "cancelled", stream.next_index
         for execution in reversed(self.log):
             if execution.attempt == attempt:
@@ -272,8 +284,8 @@
         return "unknown", 0
 
     def export_cache(self, attempt: str, address: str) -> CacheExport | None:
-        """Export the KV cache of a running attempt."""
-        stream = self._find(attempt)
+        """Export the KV cache of an attempt; None if it is not running."""
+        stream = self._find_stream(attempt)
         if stream is None or stream.state is not StreamState.RUNNING:
             return None
         tokens = len(stream.prompt) + stream.next_index - stream.remaining_prefill
@@ -286,11 +298,11 @@
         return exported
 
     def find_export(self, handle: str) -> CacheExport | None:
-        """Look up an exported KV cache."""
+        """Return an exported KV cache; None if there is none with this handle."""
         return self._exports.get(handle)
 
     def execute_order(self, kind: str, subject: str, fence: int) -> bool:
-        """Carry out an order; False if its fencing number is checked and old."""
+        """Execute a control order; False if its fencing token is checked and stale."""
         if self.options.checks_fencing and fence < self.highest_fencing_token:
             return False
         self.highest_fencing_token = max(self.highest_fencing_token, fence)
@@ -303,14 +315,14 @@
         return True
 
     def read_load(self) -> tuple[float, int, int]:
-        """Return time, queued and running as they were `load_lag` seconds ago."""
-        seen = time.time() - self.options.load_lag
-        past = [load for load in self._loads if load[0] <= seen]
-        return past[-1] if past else (seen, 0, 0)
+        """Return time, queued and running streams of `load_lag` seconds ago."""
+        visible_until = time.time() - self.options.load_lag
+        past = [load for load in self._load_samples if load[0] <= visible_until]
+        return past[-1] if past else (visible_until, 0, 0)
 
-    def _note_load(self) -> None:
-        self._loads.append((time.time(), len(self._waiting), len(self._running)))
+    def _record_load(self) -> None:
+        self._load_samples.append((time.time(), len(self._waiting), len(self._running)))
 
-    def _find(self, attempt: str) -> EngineStream | None:
+    def _find_stream(self, attempt: str) -> EngineStream | None:
         streams = self._running + self._waiting
         return next((s for s in streams if s.completion.attempt == attempt), None)
--- a/dewridge/standins/enginehttp.py
+++ b/dewridge/standins/enginehttp.py
@@ -1,4 +1,4 @@
-"""HTTP of a model engine: completions as server-sent events, cancel, export."""
+"""HTTP interface of the simulated engine: completions, cancel, export, control."""
 
 import time
 from collections.abc import AsyncIterator, Callable
@@ -24,14 +24,15 @@
 from dewridge.standins.tokens import make_token
 
 KEEPALIVE_SECONDS = 0.5
-"""An engine that computes a long prompt says so this often."""
+"""Seconds between the keep-alive comments of a stream that has no new tokens."""
 IMPORT_TIMEOUT = 1.0
+"""Seconds."""
 KEEPALIVE_COMMENT = b": waiting\n\n"
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
 class Choice(msgspec.Struct):
-    """The text of an event, as callers of the usual protocol read it."""
+    """Text of an event, in the form of common completion APIs."""
 
     text: str
     finish_reason: str | None = None
@@ -39,7 +40,7 @@
 
 
 class CompletionUsage(msgspec.Struct):
-    """What a completion took."""
+    """Token counts of a completion."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -48,7 +49,7 @@
 
 
 class CompletionEvent(msgspec.Struct, omit_defaults=True):
-    """One server-sent event; `sequence` is the place of its first token."""
+    """A server-sent event; `sequence` is its first token's index in the answer."""
 
     attempt: str
     sequence: int
@@ -58,7 +59,7 @@
 
 
 class EngineOrder(msgspec.Struct):
-    """An order to an engine."""
+    """A control order to an engine."""
 
     kind: str
     subject: str
@@ -67,8 +68,8 @@
 
 def build_engine_app(
     engine: Engine,
-    wrong: Misbehaviour,
-    find_address: Callable[[], str],
+    misbehaviour: Misbehaviour,
+    get_address: Callable[[], str],
     on_crash: Callable[[], None] = lambda: None,
 ) -> QuartTrio:
     """Return an engine's HTTP application."""
@@ -77,18 +78,18 @@
     @app.post("/v1/completions")
     async def complete() -> Response:
         completion = await read_body(CompletionRequest)
-        refusal = engine.find_rejection(completion)
-        if refusal is not None:
-            return reply({"error": {"type": refusal[1]}}, refusal[0])
-        imported = await import_cache(engine, completion)
-        stream = engine.accept(completion, imported)
-        if wrong.mode is MisbehaviourMode.CRASH and completion.prompt.startswith(
+        rejection = engine.find_rejection(completion)
+        if rejection is not None:
+            return reply({"error": {"type": rejection[1]}}, rejection[0])
+        imported_tokens = await import_cache(engine, completion)
+        stream = engine.accept(completion, imported_tokens)
+        if misbehaviour.mode is MisbehaviourMode.CRASH and completion.prompt.startswith(
             CRASH_PREFIX
         ):
             on_crash()
         events = apply_misbehaviour(
             stream_events(engine, stream),
-            wrong,
+            misbehaviour,
             make_foreign_event(stream),
             make_error_event(),
         )
@@ -98,24 +99,26 @@
 
     @app.post("/v1/attempts/<attempt>/cancel")
     async def cancel(attempt: str) -> Response:
-        await block_if_silent(wrong)
+        await block_if_silent(misbehaviour)
         state, tokens = engine.cancel(attempt)
         return reply({"attempt": attempt, "state": state, "tokens": tokens})
 
     @app.post("/v1/attempts/<attempt>/export")
     async def export(attempt: str) -> Response:
-        await block_if_silent(wrong)
-        exported = engine.export_cache(attempt, find_address())
+        await block_if_silent(misbehaviour)
+        exported = engine.export_cache(attempt, get_address())
         if exported is None:
             return reply({"error": {"type": "unknown_attempt"}}, 404)
         return reply({"cache_handle": exported.handle, "tokens": exported.tokens})
 
-    add_state_routes(app, engine, wrong)
+    add_state_routes(app, engine, misbehaviour)
     return app
 
 
-def add_state_routes(app: QuartTrio, engine: Engine, wrong: Misbehaviour) -> None:
-    """Add orders and what an engine reports of itself."""
+def add_state_routes(
+    app: QuartTrio, engine: Engine, misbehaviour: Misbehaviour
+) -> None:
+    """Add the routes for control orders and for the state of an engine."""
 
     @app.get("/v1/cache/<path:handle>")
     async def read_cache(handle: str) -> Response:
@@ -124,7 +127,7 @@
 
     @app.get("/v1/load")
     async def read_load() -> Response:
-        await block_if_silent(wrong)
+        await block_if_silent(misbehaviour)
         at, queued, running = engine.read_load()
         return reply({"at": at, "queued": queued, "running": running})
 
@@ -134,8 +137,8 @@
         return reply({"events": engine.cache.list_events(after, time.time())})
 
     @app.post("/v1/orders")
-    async def take_order() -> Response:
-        await block_if_silent(wrong)
+    async def execute_order() -> Response:
+        await block_if_silent(misbehaviour)
         order = await read_body(EngineOrder)
         if engine.execute_order(order.kind, order.subject, order.fence):
             return reply(describe_engine(engine))
@@ -159,18 +162,22 @@
     }
 
 
-async def block_if_silent(wrong: Misbehaviour) -> None:
-    """Never return while the server is silent."""
-    if wrong.mode is MisbehaviourMode.SILENT:
+async def block_if_silent(misbehaviour: Misbehaviour) -> None:
+    """Block forever if the server is set to be silent."""
+    if misbehaviour.mode is MisbehaviourMode.SILENT:
         await trio.sleep_forever()
 
 
 async def import_cache(engine: Engine, completion: CompletionRequest) -> int:
-    """Fetch an exported KV cache from its engine; 0 tokens if it can't be had."""
+    """Fetch an exported KV cache from its engine.
+
+    Returns:
+        The number of tokens in the cache; 0 if it is unavailable or its salt differs.
+    """
     handle = completion.cache_handle
     if not handle:
         return 0
-    import httpx  # noqa: PLC0415 - only engines that import need a client
+    import httpx  # noqa: PLC0415 - needed only by engines that import a cache
 
     address = handle.split("/", 1)[0]
     try:
@@ -179,12 +186,12 @@
         exported = msgspec.json.decode(answer.content, type=CacheExport)
     except (httpx.HTTPError, msgspec.DecodeError):
         return 0
-    fits = exported.salt == completion.cache_salt
-    return exported.tokens if fits else 0
+    is_same_salt = exported.salt == completion.cache_salt
+    return exported.tokens if is_same_salt else 0
 
 
 async def stream_events(engine: Engine, stream: EngineStream) -> AsyncIterator[bytes]:
-    """Yield a stream's events; a caller that goes ends the stream."""
+    """Yield a stream's events; the stream is aborted if the caller disconnects."""
     yield KEEPALIVE_COMMENT
     try:
         while True:
@@ -194,10 +201,10 @@
                 yield KEEPALIVE_COMMENT
                 continue
             stream.updated = trio.Event()
-            over = stream.is_finished
+            is_finished = stream.is_finished
             if stream.outbox:
                 yield encode_tokens(stream)
-            if over:
+            if is_finished:
                 break
         if stream.execution.state == "done":
             yield encode_final_event(stream)
@@ -207,7 +214,7 @@
 
 
 def encode_tokens(stream: EngineStream) -> bytes:
-    """Encode what the stream has computed since the last event."""
+    """Encode the tokens generated since the last event, and mark them as sent."""
     tokens = list(stream.outbox)
     stream.outbox.clear()
     sequence = stream.sent_tokens
@@ -218,7 +225,7 @@
 
 
 def encode_final_event(stream: EngineStream) -> bytes:
-    """Encode the end of a whole answer."""
+    """Encode the final event of a complete answer."""
     usage = CompletionUsage(
         len(stream.prompt), stream.next_index, stream.cached, stream.recomputed
     )
@@ -228,7 +235,7 @@
 
 
 def make_foreign_event(stream: EngineStream) -> bytes:
-    """Encode an event of an attempt that is not the stream's."""
+    """Encode an event that belongs to another attempt."""
     token = make_token(stream.digest + 1 & 0xFFFFFFFFFFFFFFFF, stream.next_index)
     attempt = f"other-{stream.completion.attempt}"
     return encode_event(
@@ -237,10 +244,10 @@
 
 
 def make_error_event() -> bytes:
-    """Encode an event that says the engine failed."""
+    """Encode an event that reports a failure of the engine."""
     return b'data: {"error": {"type": "failed"}}\n\n'
 
 
 def encode_event(event: CompletionEvent) -> bytes:
-    """Encode an event as the protocol has it."""
+    """Encode an event as a server-sent event."""
     return b"data: " + msgspec.json.encode(event) + b"\n\n"
--- a/dewridge/standins/faults.py
+++ b/dewridge/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a control endpoint sets on a stand-in's services."""
+"""Fault injection into the simulated platform services."""
 
 import random
 from collections import Counter
@@ -12,21 +12,21 @@
 
 
 class FaultMode(Enum):
-    """How a service misbehaves."""
+    """Kind of fault of a service."""
 
     NONE = "none"
     DOWN = "down"
     """Connections are refused."""
     SILENT = "silent"
-    """Connections open, and no call is answered or carried out."""
+    """Connections are accepted; calls are neither executed nor answered."""
     ERROR = "error"
-    """Each call is answered with status 503 and not carried out."""
+    """Each call is answered with status 503 and not executed."""
     SLOW = "slow"
-    """Each call waits `seconds` before it is carried out."""
+    """Each call waits `seconds` before it is executed."""
     LOSE_ANSWERS = "lose_answers"
-    """Calls are carried out; no answer ever comes."""
+    """Calls are executed; their answers are never sent."""
     GARBLE = "garble"
-    """Answers are not what the interface says."""
+    """Calls are executed and answered with malformed JSON."""
 
 
 class Fault(msgspec.Struct):
@@ -34,11 +34,11 @@
 
     Attributes:
         target: the service.
-        seconds: the wait of SLOW.
-        share: share of the calls that it strikes.
-        kinds: kinds of calls that it strikes; empty: all.
-        prefix: it strikes only keys that begin so.
-        count: number of calls after which it ends; 0: stays.
+        seconds: delay of SLOW.
+        share: fraction of the calls that are affected.
+        kinds: kinds of calls that are affected; empty: all.
+        prefix: only calls for keys with this prefix are affected.
+        count: number of affected calls after which the fault ends; 0: never.
     """
 
     target: str
@@ -51,7 +51,7 @@
 
 
 class FaultInjector:
-    """The faults in force and the calls counted, by service and kind."""
+    """Active faults by service, and call counts by service and kind."""
 
     def __init__(self, seed: int = 0) -> None:
         self._faults: dict[str, Fault] = {}
@@ -59,18 +59,18 @@
         self.calls: Counter[str] = Counter()
 
     def set_fault(self, fault: Fault) -> None:
-        """Put a fault in force in place of the target's earlier one."""
+        """Activate a fault; it replaces the target's earlier fault."""
         self._faults[fault.target] = fault
 
     def list_faults(self) -> list[Fault]:
-        """Return the faults in force."""
+        """Return the active faults."""
         return list(self._faults.values())
 
     def intercept(self, target: str, kind: str, key: str = "") -> Fault:
-        """Count a call and return the fault that it meets."""
+        """Count a call and return the fault to inject into it (NONE if none)."""
         self.calls[f"{target}.{kind}"] += 1
         fault = self._faults.get(target)
-        if fault is None or not self._hits(fault, kind, key):
+        if fault is None or not self._matches(fault, kind, key):
             return Fault(target, FaultMode.NONE)
         if fault.count:
             fault.count -= 1
@@ -78,7 +78,7 @@
                 del self._faults[target]
         return fault
 
-    def _hits(self, fault: Fault, kind: str, key: str) -> bool:
+    def _matches(self, fault: Fault, kind: str, key: str) -> bool:
         if fault.kinds and kind not in fault.kinds:
             return False
         if not key.startswith(fault.prefix):
@@ -87,7 +87,11 @@
 
 
 async def inject_before_call(fault: Fault) -> Response | None:
-    """Carry out what a fault does before a call; an answer replaces the call's."""
+    """Apply a fault before a call is executed.
+
+    Returns:
+        A response to send without executing the call, or None to execute it.
+    """
     match fault.mode:
         case FaultMode.SILENT:
             await trio.sleep_forever()
@@ -99,7 +103,7 @@
 
 
 async def inject_after_call(fault: Fault, answer: Response) -> Response:
-    """Carry out what a fault does to the answer of a call that took effect."""
+    """Apply a fault to the answer of a call that has been executed."""
     match fault.mode:
         case FaultMode.LOSE_ANSWERS:
             await trio.sleep_forever()
--- a/dewridge/standins/hostlist.py
+++ b/dewridge/standins/hostlist.py
@@ -1,4 +1,4 @@
-"""Host list, which lags, and the cloud's notices."""
+"""Simulated host list with a configurable lag, and the cloud's reclaim notices."""
 
 import time
 from collections import deque
@@ -18,7 +18,7 @@
 
 
 class HostRecord(msgspec.Struct, frozen=True):
-    """A backend server as it registered itself."""
+    """A registered backend server."""
 
     backend_server: str
     address: str
@@ -34,14 +34,14 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """The cloud's word that a host goes at a time (seconds since 1970)."""
+    """The cloud's notice that it reclaims a host at a time (seconds since 1970)."""
 
     subject: str
     at: float
 
 
 class HostDirectory:
-    """All that was registered, as it is and as it was `lag` seconds ago."""
+    """History of registrations: the current list and that of `lag` seconds ago."""
 
     def __init__(self) -> None:
         self.lag = 0.0
@@ -53,23 +53,23 @@
         self._changes.append((time.time(), record))
 
     def set_state(self, backend_server: str, state: str) -> bool:
-        """Set the state of a backend server."""
-        found = self._read(time.time()).get(backend_server)
+        """Set the state of a backend server; False if it is not registered."""
+        found = self._list_as_of(time.time()).get(backend_server)
         if found is None:
             return False
         self.register(msgspec.structs.replace(found, state=state))
         return True
 
     def list_lagged(self) -> list[HostRecord]:
-        """Return the list as callers see it."""
-        seen = self._read(time.time() - self.lag)
-        return [record for record in seen.values() if record.state != "gone"]
+        """Return the list that callers see, which is `lag` seconds old."""
+        records = self._list_as_of(time.time() - self.lag)
+        return [record for record in records.values() if record.state != "gone"]
 
     def list_current(self) -> list[HostRecord]:
-        """Return the list without its lag."""
-        return list(self._read(time.time()).values())
+        """Return the current list, including removed servers."""
+        return list(self._list_as_of(time.time()).values())
 
-    def _read(self, until: float) -> dict[str, HostRecord]:
+    def _list_as_of(self, until: float) -> dict[str, HostRecord]:
         records: dict[str, HostRecord] = {}
         for at, record in self._changes:
             if at <= until:
@@ -84,9 +84,9 @@
     @app.get("/v1/hosts")
     async def list_hosts() -> Response:
         fault = faults.intercept("host_list", "list")
-        early = await inject_before_call(fault)
-        found = {"hosts": directory.list_lagged()}
-        return early or await inject_after_call(fault, reply(found))
+        early_response = await inject_before_call(fault)
+        body = {"hosts": directory.list_lagged()}
+        return early_response or await inject_after_call(fault, reply(body))
 
     @app.post("/v1/hosts")
     async def register() -> Response:
@@ -103,8 +103,8 @@
     @app.get("/v1/notices")
     async def list_notices() -> Response:
         fault = faults.intercept("cloud", "list")
-        early = await inject_before_call(fault)
-        found = {"notices": list(directory.notices.values())}
-        return early or await inject_after_call(fault, reply(found))
+        early_response = await inject_before_call(fault)
+        body = {"notices": list(directory.notices.values())}
+        return early_response or await inject_after_call(fault, reply(body))
 
     return app
--- a/dewridge/standins/keyvalue.py
+++ b/dewridge/standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""Key-value service: compare-and-swap, watches and leases over HTTP and JSON."""
+"""Simulated key-value service: compare-and-swap, watches and leases over HTTP."""
 
 import time
 from collections import deque
@@ -21,11 +21,12 @@
 MAX_WRITE_RECORDS = 200_000
 MAX_VERSIONS_PER_KEY = 50
 LEASE_CHECK_SECONDS = 0.02
+"""Seconds between two checks for expired leases."""
 FAULT_TARGET = "key_value"
 
 
 class StoredEntry(msgspec.Struct, frozen=True):
-    """A key's value; revision 0 when absent."""
+    """A key's value and revision; revision 0 if the key is absent."""
 
     key: str
     value: bytes = b""
@@ -33,11 +34,11 @@
 
 
 class WriteRecord(msgspec.Struct, frozen=True):
-    """One line of the log of writes.
+    """One entry of the write log.
 
     Attributes:
-        revision: revision that the write made; 0 if it was refused.
-        lost: whether its answer was lost by a fault.
+        revision: revision created by the write; 0 if the write was rejected.
+        lost: whether an injected fault lost the answer.
     """
 
     at: float
@@ -50,7 +51,7 @@
 
 
 class Lease(msgspec.Struct):
-    """A lease, which deletes its keys when it is not kept alive."""
+    """A lease; its keys are deleted when it expires without renewal."""
 
     id: str
     ttl: float
@@ -59,7 +60,7 @@
 
 
 class SwapRequest(msgspec.Struct):
-    """Body of a compare-and-swap."""
+    """Body of a compare-and-swap request."""
 
     value: bytes
     expected_revision: int
@@ -67,13 +68,13 @@
 
 
 class LeaseRequest(msgspec.Struct):
-    """Body that asks for a lease."""
+    """Body of a request for a lease."""
 
     ttl: float
 
 
 class KeyValueStore:
-    """What the key-value service holds. Revisions come from one counter."""
+    """Contents of the key-value service; all keys share one revision counter."""
 
     def __init__(self) -> None:
         self._entries: dict[str, StoredEntry] = {}
@@ -84,58 +85,58 @@
         self.writes: deque[WriteRecord] = deque(maxlen=MAX_WRITE_RECORDS)
 
     def get(self, key: str) -> StoredEntry:
-        """Read a key."""
+        """Return the entry of a key; its revision is 0 if the key is absent."""
         return self._entries.get(key, StoredEntry(key))
 
     def list_prefix(self, prefix: str) -> list[StoredEntry]:
-        """Read all keys under a prefix, in order."""
+        """Return all entries whose keys have a prefix, ordered by key."""
         return [self._entries[k] for k in sorted(self._entries) if k.startswith(prefix)]
 
     def compare_and_swap(
         self, key: str, swap: SwapRequest, lost: bool
     ) -> StoredEntry | None:
-        """Write a key if its revision is the expected one."""
-        made = None
+        """Write a key if its revision is the expected one; otherwise return None."""
+        written = None
         if self.get(key).revision == swap.expected_revision:
             self._revision += 1
-            made = StoredEntry(key, swap.value, self._revision)
-            self._put(made)
+            written = StoredEntry(key, swap.value, self._revision)
+            self._store_entry(written)
             if swap.lease in self._leases:
                 self._leases[swap.lease].keys.add(key)
-        self._note("swap", key, swap.expected_revision, made, lost)
-        return made
+        self._record_write("swap", key, swap.expected_revision, written, lost)
+        return written
 
     def delete(
         self, key: str, expected_revision: int, lost: bool
     ) -> StoredEntry | None:
-        """Delete a key if its revision is the expected one."""
-        made = None
+        """Delete a key if its revision is the expected one; otherwise return None."""
+        written = None
         if self.get(key).revision == expected_revision:
             self._revision += 1
-            made = StoredEntry(key, b"", 0)
+            written = StoredEntry(key, b"", 0)
             self._entries.pop(key, None)
-            self._wake(key)
-        self._note("delete", key, expected_revision, made, lost)
-        return made
+            self._notify_watchers(key)
+        self._record_write("delete", key, expected_revision, written, lost)
+        return written
 
     def restore(self, key: str, revision: int) -> StoredEntry | None:
-        """Put back an older version with its old revision, as from a backup.
+        """Restore an older version under its old revision, as a backup would.
 
-        A revision of 0 takes the version before the last.
+        A revision of 0 restores the version before the latest one.
         """
         versions = self._versions.get(key, deque())
         older = [v for v in versions if revision in (0, v.revision)]
-        chosen = older[-2:][0] if older else None
-        if chosen is not None:
-            self._entries[key] = chosen
-            self._wake(key)
-            self._note("restore", key, 0, chosen, False)
-        return chosen
+        restored = older[-2:][0] if older else None
+        if restored is not None:
+            self._entries[key] = restored
+            self._notify_watchers(key)
+            self._record_write("restore", key, 0, restored, False)
+        return restored
 
     async def wait_for_change(
         self, key: str, after: int, timeout: float
     ) -> StoredEntry | None:
-        """Wait until a key's revision differs from `after`."""
+        """Wait until a key's revision differs from `after`; None on timeout."""
         with trio.move_on_after(timeout):
             while self.get(key).revision == after:
                 await self._changes.setdefault(key, trio.Event()).wait()
@@ -143,20 +144,20 @@
         return None
 
     def grant_lease(self, ttl: float) -> Lease:
-        """Make a lease."""
+        """Create a lease that expires after `ttl` seconds without renewal."""
         lease = Lease(uuid4().hex, ttl, trio.current_time() + ttl, set())
         self._leases[lease.id] = lease
         return lease
 
     def renew_lease(self, lease_id: str) -> Lease | None:
-        """Renew a lease that has not lapsed."""
+        """Renew a lease; None if it has expired."""
         lease = self._leases.get(lease_id)
         if lease is not None:
             lease.expires = trio.current_time() + lease.ttl
         return lease
 
     def revoke_lease(self, lease_id: str) -> bool:
-        """End a lease and delete its keys."""
+        """End a lease and delete its keys; False if there is no such lease."""
         lease = self._leases.pop(lease_id, None)
         if lease is None:
             return False
@@ -165,7 +166,7 @@
         return True
 
     async def expire_leases(self) -> None:
-        """End leases as they lapse."""
+        """Revoke expired leases, forever."""
         while True:
             await trio.sleep(LEASE_CHECK_SECONDS)
             now = trio.current_time()
@@ -173,24 +174,29 @@
                 if lease.expires < now:
                     self.revoke_lease(lease.id)
 
-    def _put(self, made: StoredEntry) -> None:
-        self._entries[made.key] = made
+    def _store_entry(self, written: StoredEntry) -> None:
+        self._entries[written.key] = written
         versions = self._versions.setdefault(
-            made.key, deque(maxlen=MAX_VERSIONS_PER_KEY)
+            written.key, deque(maxlen=MAX_VERSIONS_PER_KEY)
         )
-        versions.append(made)
-        self._wake(made.key)
+        versions.append(written)
+        self._notify_watchers(written.key)
 
-    def _wake(self, key: str) -> None:
+    def _notify_watchers(self, key: str) -> None:
         event = self._changes.pop(key, None)
         if event is not None:
             event.set()
 
-    def _note(
-        self, kind: str, key: str, expected: int, made: StoredEntry | None, lost: bool
+    def _record_write(
+        self,
+        kind: str,
+        key: str,
+        expected: int,
+        written: StoredEntry | None,
+        lost: bool,
     ) -> None:
-        revision = 0 if made is None else made.revision or self._revision
-        value = b"" if made is None else made.value
+        revision = 0 if written is None else written.revision or self._revision
+        value = b"" if written is None else written.value
         self.writes.append(
             WriteRecord(time.time(), kind, key, expected, revision, lost, value)
         )
@@ -203,47 +209,47 @@
     @app.get("/v1/keys/<path:key>")
     async def get(key: str) -> Response:
         fault = faults.intercept(FAULT_TARGET, "get", key)
-        early = await inject_before_call(fault)
-        return early or await inject_after_call(fault, reply(store.get(key)))
+        early_response = await inject_before_call(fault)
+        return early_response or await inject_after_call(fault, reply(store.get(key)))
 
     @app.get("/v1/keys")
     async def list_prefix() -> Response:
         prefix = request.args.get("prefix", "")
         fault = faults.intercept(FAULT_TARGET, "list", prefix)
-        early = await inject_before_call(fault)
-        found = {"entries": store.list_prefix(prefix)}
-        return early or await inject_after_call(fault, reply(found))
+        early_response = await inject_before_call(fault)
+        body = {"entries": store.list_prefix(prefix)}
+        return early_response or await inject_after_call(fault, reply(body))
 
     @app.put("/v1/keys/<path:key>")
     async def swap(key: str) -> Response:
         body = await read_body(SwapRequest)
         fault = faults.intercept(FAULT_TARGET, "swap", key)
-        early = await inject_before_call(fault)
-        if early is not None:
-            return early
+        early_response = await inject_before_call(fault)
+        if early_response is not None:
+            return early_response
         if len(body.value) > MAX_VALUE_BYTES:
             return reply({"error": {"type": "too_large"}}, 413)
-        made = store.compare_and_swap(key, body, is_answer_lost(fault))
-        return await inject_after_call(fault, reply_to_write(store, key, made))
+        written = store.compare_and_swap(key, body, is_answer_lost(fault))
+        return await inject_after_call(fault, reply_to_write(store, key, written))
 
     @app.delete("/v1/keys/<path:key>")
     async def delete(key: str) -> Response:
         expected = request.args.get("expected_revision", 0, type=int)
         fault = faults.intercept(FAULT_TARGET, "delete", key)
-        early = await inject_before_call(fault)
-        if early is not None:
-            return early
-        made = store.delete(key, expected, is_answer_lost(fault))
-        return await inject_after_call(fault, reply_to_write(store, key, made))
+        early_response = await inject_before_call(fault)
+        if early_response is not None:
+            return early_response
+        written = store.delete(key, expected, is_answer_lost(fault))
+        return await inject_after_call(fault, reply_to_write(store, key, written))
 
     @app.get("/v1/watches/<path:key>")
     async def watch(key: str) -> Response:
         after = request.args.get("after", 0, type=int)
         timeout = request.args.get("timeout", 10.0, type=float)
         fault = faults.intercept(FAULT_TARGET, "watch", key)
-        early = await inject_before_call(fault)
-        if early is not None:
-            return early
+        early_response = await inject_before_call(fault)
+        if early_response is not None:
+            return early_response
         changed = await store.wait_for_change(key, after, timeout)
         answer = Response("", status=204) if changed is None else reply(changed)
         return await inject_after_call(fault, answer)
@@ -255,45 +261,45 @@
 def add_lease_routes(
     app: QuartTrio, store: KeyValueStore, faults: FaultInjector
 ) -> None:
-    """Add what grants, renews and ends leases."""
+    """Add the routes that grant, renew and revoke leases."""
 
     @app.post("/v1/leases")
     async def grant() -> Response:
         body = await read_body(LeaseRequest)
         fault = faults.intercept(FAULT_TARGET, "lease")
-        early = await inject_before_call(fault)
-        return early or await inject_after_call(
+        early_response = await inject_before_call(fault)
+        return early_response or await inject_after_call(
             fault, reply(store.grant_lease(body.ttl))
         )
 
     @app.post("/v1/leases/<lease_id>/keepalive")
-    async def keep(lease_id: str) -> Response:
+    async def renew(lease_id: str) -> Response:
         fault = faults.intercept(FAULT_TARGET, "lease")
-        early = await inject_before_call(fault)
-        if early is not None:
-            return early
+        early_response = await inject_before_call(fault)
+        if early_response is not None:
+            return early_response
         lease = store.renew_lease(lease_id)
         return await inject_after_call(fault, reply(lease, 200 if lease else 404))
 
     @app.delete("/v1/leases/<lease_id>")
-    async def drop(lease_id: str) -> Response:
+    async def revoke(lease_id: str) -> Response:
         fault = faults.intercept(FAULT_TARGET, "lease")
-        early = await inject_before_call(fault)
-        if early is not None:
-            return early
-        dropped = store.revoke_lease(lease_id)
-        return await inject_after_call(fault, reply({}, 200 if dropped else 404))
+        early_response = await inject_before_call(fault)
+        if early_response is not None:
+            return early_response
+        revoked = store.revoke_lease(lease_id)
+        return await inject_after_call(fault, reply({}, 200 if revoked else 404))
 
 
 def is_answer_lost(fault: Fault) -> bool:
-    """Whether a write under this fault takes effect and loses its answer."""
+    """Whether a write under this fault is executed but its answer is lost."""
     return fault.mode.value in ("lose_answers", "garble")
 
 
 def reply_to_write(
-    store: KeyValueStore, key: str, made: StoredEntry | None
+    store: KeyValueStore, key: str, written: StoredEntry | None
 ) -> Response:
-    """Answer a write: the new entry, or the conflict with the entry that won."""
-    if made is None:
+    """Return the written entry, or status 409 with the current entry."""
+    if written is None:
         return reply(store.get(key), 409)
-    return reply(made)
+    return reply(written)
--- a/dewridge/standins/misbehaviour.py
+++ b/dewridge/standins/misbehaviour.py
@@ -1,4 +1,4 @@
-"""How a backend server misbehaves towards its callers, by control endpoint."""
+"""Simulated misbehaviour of a backend server towards its callers."""
 
 from collections.abc import AsyncIterator
 from enum import Enum
@@ -8,12 +8,13 @@
 
 DEFAULT_SLOWDOWN = 10.0
 CRASH_PREFIX = "crash: "
+"""An input with this prefix crashes a server in mode `CRASH`."""
 CRASH_DELAY = 0.05
-"""Seconds from the begin of a call that ends its server to that end."""
+"""Seconds from the start of a request that crashes its server to the crash."""
 
 
 class MisbehaviourMode(Enum):
-    """What is wrong with a server's answers."""
+    """Kind of misbehaviour of a server."""
 
     NONE = "none"
     DOWN = "down"
@@ -21,26 +22,26 @@
     SLOW = "slow"
     """Work takes `factor` times as long."""
     LATE = "late"
-    """Each event leaves `seconds` late."""
+    """Each event is sent `seconds` late."""
     DUPLICATE = "duplicate"
-    """Each event comes twice."""
+    """Each event is sent twice."""
     REORDER = "reorder"
-    """Events change places in pairs."""
+    """Pairs of successive events are swapped."""
     TRUNCATE = "truncate"
-    """The answer ends in good form after `events` events, without its end."""
+    """The stream is closed cleanly after `events` events, before the final event."""
     MISDIRECT = "misdirect"
-    """Events of another attempt come first, under that attempt's name."""
+    """Each event follows one that belongs to another attempt."""
     SILENT = "silent"
-    """Work goes on and nothing more is sent."""
+    """Work continues, but nothing more is sent."""
     ERROR = "error"
-    """New calls get status 500 after they ran, streams an error event."""
+    """A call is answered with status 500 after it ran, a stream with an error event."""
     CRASH = "crash"
-    """A call whose input begins with `CRASH_PREFIX` ends the server as it begins; it is
-    back after `seconds`."""
+    """A request whose input begins with `CRASH_PREFIX` crashes the server, which
+    restarts after `seconds`."""
 
 
 class Misbehaviour(msgspec.Struct):
-    """A misbehaviour of one server; an empty name means all of the process."""
+    """Misbehaviour of a server; an empty name means all servers of the process."""
 
     mode: MisbehaviourMode = MisbehaviourMode.NONE
     server: str = ""
@@ -50,40 +51,44 @@
 
 
 async def apply_misbehaviour(
-    events: AsyncIterator[bytes], wrong: Misbehaviour, stranger: bytes, error: bytes
+    events: AsyncIterator[bytes],
+    misbehaviour: Misbehaviour,
+    foreign_event: bytes,
+    error_event: bytes,
 ) -> AsyncIterator[bytes]:
-    """Pass a stream's events on as the misbehaviour in force has it.
+    """Yield a stream's events, altered according to the active misbehaviour.
 
     Args:
-        events: the stream as it should be.
-        wrong: read anew for each event, so that it strikes running streams.
-        stranger: an event of another attempt.
-        error: an event that says the server failed.
+        events: the correct stream.
+        misbehaviour: read again for each event, so that a change affects running
+            streams.
+        foreign_event: an event that belongs to another attempt.
+        error_event: an event that reports a failure of the server.
     """
-    held: bytes | None = None
+    delayed_event: bytes | None = None
     count = 0
     async for event in events:
         count += 1
-        match wrong.mode:
+        match misbehaviour.mode:
             case MisbehaviourMode.LATE:
-                await trio.sleep(wrong.seconds)
+                await trio.sleep(misbehaviour.seconds)
             case MisbehaviourMode.DUPLICATE:
                 yield event
             case MisbehaviourMode.MISDIRECT:
-                yield stranger
-            case MisbehaviourMode.TRUNCATE if count > wrong.events:
+                yield foreign_event
+            case MisbehaviourMode.TRUNCATE if count > misbehaviour.events:
                 return
             case MisbehaviourMode.SILENT:
                 await trio.sleep_forever()
             case MisbehaviourMode.ERROR:
-                yield error
+                yield error_event
                 return
-            case MisbehaviourMode.REORDER if held is None:
-                held = event
+            case MisbehaviourMode.REORDER if delayed_event is None:
+                delayed_event = event
                 continue
         yield event
-        if held is not None:
-            yield held
-            held = None
-    if held is not None:
-        yield held
+        if delayed_event is not None:
+            yield delayed_event
+            delayed_event = None
+    if delayed_event is not None:
+        yield delayed_event
--- a/dewridge/standins/plain.py
+++ b/dewridge/standins/plain.py
@@ -1,4 +1,4 @@
-"""Plain service: JSON operations, some of which may not be repeated."""
+"""Simulated plain service: JSON operations, some of which are not idempotent."""
 
 import time
 from collections import deque
@@ -20,7 +20,7 @@
 
 
 class OperationCall(msgspec.Struct):
-    """Body of a call."""
+    """Body of a call of an operation."""
 
     input: str
     attempt: str = ""
@@ -29,7 +29,7 @@
 
 
 class OperationAnswer(msgspec.Struct):
-    """A whole answer."""
+    """A complete answer."""
 
     attempt: str
     key: str
@@ -37,14 +37,19 @@
 
 
 class PlainOptions(msgspec.Struct, frozen=True):
-    """How a plain service works: seconds for one call, calls side by side."""
+    """Options of a plain service.
+
+    Attributes:
+        work: seconds that one call takes.
+        capacity: largest number of concurrent calls.
+    """
 
     work: float = 0.01
     capacity: int = 64
 
 
 class PlainService:
-    """One worker, with its log of each execution."""
+    """A simulated plain service with its execution log."""
 
     def __init__(self, name: str, options: PlainOptions) -> None:
         self.name = name
@@ -56,7 +61,7 @@
         self._serials = count(1)
 
     def find_rejection(self) -> str | None:
-        """Return the type of a refusal, before anything has started."""
+        """Return the error type if the call must be rejected."""
         if self.leaving:
             return "leaving"
         if self.running >= self.options.capacity:
@@ -64,7 +69,7 @@
         return None
 
     async def execute(self, operation: str, call: OperationCall) -> OperationAnswer:
-        """Run a call to its end, whether or not the caller still waits."""
+        """Run a call to completion, even if the caller disconnects."""
         execution = Execution(
             time.time(), self.name, operation, call.key, call.attempt, call.account, 0
         )
@@ -75,35 +80,35 @@
                 await trio.sleep(self.options.work * self.slowdown)
         finally:
             self.running -= 1
-        body = self._answer(operation, call)
+        body = self._make_body(operation, call)
         execution.serial = body.get("serial", "")
         execution.state = "done"
         return OperationAnswer(call.attempt, call.key, body)
 
-    def _answer(self, operation: str, call: OperationCall) -> dict[str, str]:
+    def _make_body(self, operation: str, call: OperationCall) -> dict[str, str]:
         digest = digest_prompt(call.input)
         body = {"operation": operation, "reference": f"{digest:016x}"}
         if operation in SERIAL_OPERATIONS:
-            # A real service draws a number each time that it runs: two runs
-            # of one call put two numbers into circulation.
+            # Like a real service, issues a new number on each execution: executing
+            # one call twice issues two numbers.
             body["serial"] = f"{self.name}-{next(self._serials):06d}"
         else:
             body["status"] = CERTIFICATE_STATUSES[digest % len(CERTIFICATE_STATUSES)]
         return body
 
 
-def build_plain_app(service: PlainService, wrong: Misbehaviour) -> QuartTrio:
+def build_plain_app(service: PlainService, misbehaviour: Misbehaviour) -> QuartTrio:
     """Return a plain service's HTTP application."""
     app = make_app(service.name)
 
     @app.post("/v1/operations/<operation>")
     async def execute(operation: str) -> Response:
         call = await read_body(OperationCall)
-        refusal = service.find_rejection()
-        if refusal is not None:
-            return reply({"error": {"type": refusal}}, 503)
+        rejection = service.find_rejection()
+        if rejection is not None:
+            return reply({"error": {"type": rejection}}, 503)
         answer = await service.execute(operation, call)
-        return await reply_to_call(answer, wrong)
+        return await reply_to_call(answer, misbehaviour)
 
     @app.get("/v1/load")
     async def read_load() -> Response:
@@ -112,11 +117,13 @@
     return app
 
 
-async def reply_to_call(answer: OperationAnswer, wrong: Misbehaviour) -> Response:
-    """Answer a call that has run, as the misbehaviour in force has it."""
-    match wrong.mode:
+async def reply_to_call(
+    answer: OperationAnswer, misbehaviour: Misbehaviour
+) -> Response:
+    """Answer a call that has run, altered according to the active misbehaviour."""
+    match misbehaviour.mode:
         case MisbehaviourMode.LATE:
-            await trio.sleep(wrong.seconds)
+            await trio.sleep(misbehaviour.seconds)
         case MisbehaviourMode.SILENT:
             await trio.sleep_forever()
         case MisbehaviourMode.ERROR:
@@ -124,6 +131,8 @@
         case MisbehaviourMode.MISDIRECT:
             answer = OperationAnswer(f"other-{answer.attempt}", "", answer.body)
         case MisbehaviourMode.TRUNCATE:
-            whole = msgspec.json.encode(answer)
-            return Response(whole[: len(whole) // 2], content_type="application/json")
+            encoded = msgspec.json.encode(answer)
+            return Response(
+                encoded[: len(encoded) // 2], content_type="application/json"
+            )
     return reply(answer)
--- a/dewridge/standins/platform.py
+++ b/dewridge/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's services in one process, with an endpoint that injects faults."""
+"""The simulated platform services in one process, with a control endpoint."""
 
 import time
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class NoticeOrder(msgspec.Struct):
-    """Asks for a reclaim notice `in_seconds` ahead, or takes it back."""
+    """Announces a reclaim `in_seconds` from now, or withdraws the notice."""
 
     subject: str
     in_seconds: float = 2.0
@@ -28,27 +28,27 @@
 
 
 class StateOrder(msgspec.Struct):
-    """Sets what the host list says of a backend server."""
+    """Sets the state of a backend server in the host list."""
 
     backend_server: str
     state: str
 
 
 class LagOrder(msgspec.Struct):
-    """Sets how far the host list lags."""
+    """Sets the lag of the host list."""
 
     seconds: float
 
 
 class RestoreOrder(msgspec.Struct):
-    """Puts back an older version of a key; see `KeyValueStore.restore`."""
+    """Restores an older version of a key; see `KeyValueStore.restore`."""
 
     key: str
     revision: int = 0
 
 
 class Platform:
-    """The key-value service, host list, cloud and control, each on a port."""
+    """The key-value service, host list, cloud and control, each on its own port."""
 
     def __init__(self, first_port: int = 0) -> None:
         self.store = KeyValueStore()
@@ -67,7 +67,7 @@
         }
 
     async def start(self, nursery: trio.Nursery) -> dict[str, Any]:
-        """Listen, and return the addresses."""
+        """Start all listeners and return their URLs."""
         nursery.start_soon(self.store.expire_leases)
         for listener in self.listeners.values():
             await nursery.start(listener.run)
@@ -75,7 +75,7 @@
         return {"standin": "platform", **urls}
 
     def set_fault(self, fault: Fault) -> bool:
-        """Put a fault in force; False if there is no such service."""
+        """Activate a fault; False if there is no such service."""
         listener = self.listeners.get(fault.target)
         if listener is None or fault.target == "control":
             return False
@@ -88,7 +88,7 @@
 
 
 def build_control_app(platform: Platform) -> QuartTrio:
-    """Return the application by which tests steer the stand-in."""
+    """Return the HTTP application through which tests control the services."""
     app = make_app("platform-control")
     directory = platform.directory
 
@@ -128,8 +128,8 @@
     @app.post("/control/restore")
     async def restore() -> Response:
         order = await read_body(RestoreOrder)
-        chosen = platform.store.restore(order.key, order.revision)
-        return reply(chosen, 200 if chosen else 404)
+        restored = platform.store.restore(order.key, order.revision)
+        return reply(restored, 200 if restored else 404)
 
     @app.get("/control/calls")
     async def read_calls() -> Response:
--- a/dewridge/standins/prefixcache.py
+++ b/dewridge/standins/prefixcache.py
@@ -1,4 +1,4 @@
-"""Prompt-prefix cache of an engine in limited memory, with its late events."""
+"""Prompt prefix cache of a simulated engine, with delayed and lossy cache events."""
 
 import random
 from collections import OrderedDict, deque
@@ -8,11 +8,12 @@
 import xxhash
 
 BLOCK_TOKENS = 16
+"""Tokens in a block, the unit of caching."""
 MAX_EVENTS = 10_000
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A block that was stored or evicted; numbers have gaps where events are lost."""
+    """A stored or evicted block; gaps in the event numbers show lost events."""
 
     number: int
     kind: str
@@ -21,19 +22,22 @@
 
 
 class PrefixCache:
-    """Blocks of prompts by salt and all that comes before them, oldest evicted."""
+    """Cache of prompt blocks with LRU eviction.
+
+    A block is identified by a hash of the salt and of the prompt up to its end.
+    """
 
     def __init__(self, capacity_tokens: int, lag: float, loss: float, seed: int = 0):
         self._capacity = max(1, capacity_tokens // BLOCK_TOKENS)
         self._blocks: OrderedDict[int, None] = OrderedDict()
         self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
-        self._number = 0
-        self._lag = lag
-        self._loss = loss
+        self._last_number = 0
+        self._event_lag = lag
+        self._event_loss = loss
         self._random = random.Random(seed)
 
     def match(self, salt: str, tokens: Sequence[str]) -> int:
-        """Return how many tokens of a prompt are cached from its start."""
+        """Return the number of leading tokens of a prompt that are cached."""
         matched = 0
         for block in hash_blocks(salt, tokens):
             if block not in self._blocks:
@@ -43,7 +47,7 @@
         return matched
 
     def store(self, salt: str, tokens: Sequence[str], now: float) -> None:
-        """Cache the whole blocks of a prompt."""
+        """Cache the complete blocks of a prompt."""
         for block in hash_blocks(salt, tokens):
             if block not in self._blocks:
                 self._publish("stored", block, now)
@@ -54,22 +58,22 @@
             self._publish("evicted", evicted, now)
 
     def list_events(self, after: int, now: float) -> list[CacheEvent]:
-        """Return the events after a number that are old enough to be seen."""
-        seen = now - self._lag
-        return [e for e in self._events if e.number > after and e.at <= seen]
+        """Return the visible events with numbers above `after`."""
+        visible_until = now - self._event_lag
+        return [e for e in self._events if e.number > after and e.at <= visible_until]
 
     def _publish(self, kind: str, block: int, now: float) -> None:
-        self._number += 1
-        if self._random.random() >= self._loss:
-            self._events.append(CacheEvent(self._number, kind, block, now))
+        self._last_number += 1
+        if self._random.random() >= self._event_loss:
+            self._events.append(CacheEvent(self._last_number, kind, block, now))
 
 
 def hash_blocks(salt: str, tokens: Sequence[str]) -> list[int]:
-    """Return a hash for each whole block, over the salt and all before it."""
+    """Return a hash of each complete block, which covers salt and earlier blocks."""
     hashes = []
     state = xxhash.xxh3_64(salt.encode())
-    whole = len(tokens) // BLOCK_TOKENS * BLOCK_TOKENS
-    for start in range(0, whole, BLOCK_TOKENS):
+    complete_length = len(tokens) // BLOCK_TOKENS * BLOCK_TOKENS
+    for start in range(0, complete_length, BLOCK_TOKENS):
         state.update(" ".join(tokens[start : start + BLOCK_TOKENS]).encode() + b"\0")
         hashes.append(state.intdigest())
     return hashes
--- a/dewridge/standins/relay.py
+++ b/dewridge/standins/relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that can stop forwarding without closing anything."""
+"""TCP relay that can stop forwarding without closing connections."""
 
 from typing import Any
 
@@ -16,11 +16,11 @@
     """Stops forwarding.
 
     Attributes:
-        connections: numbers of connections; empty: all that are open.
-        target: only connections to this target; empty: to any.
-        new: whether connections made from now on are stalled too.
-        towards_target: whether to stall the bytes that go to the target.
-        towards_caller: whether to stall the bytes that come back.
+        connections: numbers of the connections to stall; empty: all open ones.
+        target: only connections to this target are stalled; empty: to any target.
+        new: whether connections opened from now on are stalled too.
+        towards_target: whether bytes sent to the target are stalled.
+        towards_caller: whether bytes sent to the caller are stalled.
     """
 
     connections: tuple[int, ...] = ()
@@ -42,18 +42,18 @@
 
 
 class Relay:
-    """Forwards connections to targets, one listener for each."""
+    """Forwards connections to targets, with one listener for each target."""
 
     def __init__(self, targets: tuple[str, ...], control_port: int = 0) -> None:
         self._targets = targets
         self._connections: dict[int, Connection] = {}
-        self._count = 0
-        self._stall_new: StallOrder | None = None
+        self._connection_count = 0
+        self._new_connection_stall: StallOrder | None = None
         self._resumed = trio.Event()
         self._control = Listener(build_control_app(self), control_port)
 
     async def start(self, nursery: trio.Nursery) -> dict[str, Any]:
-        """Listen, and return the addresses."""
+        """Start all listeners and return their addresses."""
         await nursery.start(self._control.run)
         addresses = {}
         for target in self._targets:
@@ -76,21 +76,21 @@
         return list(self._connections.values())
 
     def stall(self, order: StallOrder) -> int:
-        """Stop forwarding; returns how many connections it struck."""
-        struck = 0
+        """Stall connections and return how many were affected."""
+        stalled = 0
         for connection in self._connections.values():
             if order.connections and connection.number not in order.connections:
                 continue
             if order.target in ("", connection.target):
                 apply_stall(connection, order)
-                struck += 1
+                stalled += 1
         if order.new:
-            self._stall_new = order
-        return struck
+            self._new_connection_stall = order
+        return stalled
 
     def resume(self) -> None:
-        """Forward again, what was held back included."""
-        self._stall_new = None
+        """Continue to forward, beginning with the bytes that were stalled."""
+        self._new_connection_stall = None
         for connection in self._connections.values():
             connection.stalled_towards_target = False
             connection.stalled_towards_caller = False
@@ -103,21 +103,24 @@
             stream = await trio.open_tcp_stream(host, int(port))
         except OSError:
             return
-        self._count += 1
-        connection = Connection(self._count, target)
-        if self._stall_new and self._stall_new.target in ("", target):
-            apply_stall(connection, self._stall_new)
+        self._connection_count += 1
+        connection = Connection(self._connection_count, target)
+        if self._new_connection_stall and self._new_connection_stall.target in (
+            "",
+            target,
+        ):
+            apply_stall(connection, self._new_connection_stall)
         self._connections[connection.number] = connection
         try:
             async with stream, trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, caller, stream, connection, True)
-                nursery.start_soon(self._pump, stream, caller, connection, False)
+                nursery.start_soon(self._copy_bytes, caller, stream, connection, True)
+                nursery.start_soon(self._copy_bytes, stream, caller, connection, False)
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
             del self._connections[connection.number]
 
-    async def _pump(
+    async def _copy_bytes(
         self,
         source: trio.SocketStream,
         sink: trio.SocketStream,
@@ -139,20 +142,20 @@
 
 
 def apply_stall(connection: Connection, order: StallOrder) -> None:
-    """Stall the directions that an order names."""
+    """Stall a connection in the directions given by an order."""
     connection.stalled_towards_target |= order.towards_target
     connection.stalled_towards_caller |= order.towards_caller
 
 
 def is_stalled(connection: Connection, towards_target: bool) -> bool:
-    """Whether a direction of a connection is stalled."""
+    """Whether a connection is stalled in a direction."""
     if towards_target:
         return connection.stalled_towards_target
     return connection.stalled_towards_caller
 
 
 def build_control_app(relay: Relay) -> QuartTrio:
-    """Return the application by which tests steer the relay."""
+    """Return the HTTP application through which tests control the relay."""
     app = make_app("relay-control")
 
     @app.get("/control/connections")
--- a/dewridge/standins/serving.py
+++ b/dewridge/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serves the HTTP listeners of a stand-in process and ends them cleanly."""
+"""HTTP listeners and process lifecycle of a stand-in."""
 
 import os
 import signal
@@ -24,39 +24,39 @@
 
 
 class Listener:
-    """One HTTP listener that can be taken down and brought back on its port.
+    """HTTP listener that can be taken down and brought up again on the same port.
 
-    A socket that is bound and never listens keeps the port while the listener
-    is down; without it another process could be given the port meanwhile, and
-    callers would talk to a stranger in place of being refused.
+    A second socket, bound but never listening, reserves the port while the listener
+    is down. Otherwise the kernel could give the port to another process, and callers
+    would reach that process instead of getting a refused connection.
     """
 
     def __init__(self, app: QuartTrio, port: int = 0) -> None:
         self._app = app
-        self._holder = make_socket(port)
-        self._port = int(self._holder.getsockname()[1])
+        self._port_reservation = make_socket(port)
+        self._port = int(self._port_reservation.getsockname()[1])
         self._up = trio.Event()
         self._up.set()
         self._down = trio.Event()
 
     @property
     def address(self) -> str:
-        """IP number and port."""
+        """IP address and port."""
         return f"{LISTEN_IP}:{self._port}"
 
     @property
     def url(self) -> str:
-        """Address as a URL."""
+        """Base URL of the listener."""
         return f"http://{self.address}"
 
     def take_down(self) -> None:
-        """Cut all connections and refuse new ones."""
+        """Close all connections and refuse new ones."""
         if self._up.is_set():
             self._up = trio.Event()
             self._down.set()
 
     def bring_up(self) -> None:
-        """Listen again."""
+        """Accept connections again."""
         if not self._up.is_set():
             self._down = trio.Event()
             self._up.set()
@@ -64,9 +64,9 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen whenever the listener is up."""
+        """Serve connections while the listener is up, forever."""
         with ExitStack() as stack:
-            stack.callback(self._holder.close)
+            stack.callback(self._port_reservation.close)
             started: trio.TaskStatus[Any] = task_status
             while True:
                 await self._up.wait()
@@ -88,12 +88,12 @@
 
 def make_socket(port: int) -> socket.socket:
     """Bind a TCP socket to a port; 0 lets the kernel choose."""
-    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    made.bind((LISTEN_IP, port))
-    made.setblocking(False)
-    return made
+    bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    bound.bind((LISTEN_IP, port))
+    bound.setblocking(False)
+    return bound
 
 
 def make_config() -> Config:
@@ -112,57 +112,61 @@
     app = QuartTrio(name)
     app.config["RESPONSE_TIMEOUT"] = None
 
-    async def refuse(error: Exception) -> Response:
+    async def reject_malformed(error: Exception) -> Response:
         return reply({"error": {"type": "malformed", "message": str(error)}}, 400)
 
-    app.register_error_handler(msgspec.DecodeError, refuse)
+    app.register_error_handler(msgspec.DecodeError, reject_malformed)
     return app
 
 
 def reply(value: Any, status: int = 200) -> Response:
-    """Answer with a value as JSON."""
+    """Return a response with a value as JSON."""
     return Response(
         msgspec.json.encode(value), status=status, content_type="application/json"
     )
 
 
-async def read_body(kind: type[T]) -> T:
-    """Decode the body of the current request."""
+async def read_body(body_type: type[T]) -> T:
+    """Decode the JSON body of the current request; an empty body counts as `{}`."""
     body = await request.get_data(as_text=False)
-    return msgspec.json.decode(body or b"{}", type=kind)
+    return msgspec.json.decode(body or b"{}", type=body_type)
 
 
 StartFunction = Callable[[trio.Nursery], Awaitable[dict[str, Any]]]
-"""Starts a stand-in's tasks and returns the line that it announces."""
+"""Starts a stand-in's tasks and returns its announcement, such as its URLs."""
 
 
 def run_process(start: StartFunction, die_with_parent: bool) -> None:
-    """Run a stand-in until SIGTERM, SIGINT or the end of its standard input."""
-    trio.run(_run_until_ended, start, die_with_parent)
+    """Run a stand-in until SIGTERM or SIGINT.
+
+    Args:
+        start: starts its tasks; the result is printed as one line of JSON.
+        die_with_parent: whether it also exits at the end of its standard input.
+    """
+    trio.run(_run_until_exit, start, die_with_parent)
 
 
-async def _run_until_ended(start: StartFunction, die_with_parent: bool) -> None:
+async def _run_until_exit(start: StartFunction, die_with_parent: bool) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_end_on_signal)
+        nursery.start_soon(_exit_on_signal)
         if die_with_parent:
-            nursery.start_soon(_end_with_standard_input)
-        line = await start(nursery)
-        print(msgspec.json.encode(line).decode(), flush=True)
+            nursery.start_soon(_exit_on_stdin_eof)
+        announcement = await start(nursery)
+        print(msgspec.json.encode(announcement).decode(), flush=True)
 
 
-async def _end_on_signal() -> None:
+async def _exit_on_signal() -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             os._exit(0)
 
 
-async def _end_with_standard_input() -> None:
-    # The parent of a demo may be killed without a chance to stop its
-    # stand-ins. The pipe to their standard input closes with it, which is the
-    # one thing they are sure to notice.
-    def wait_for_end() -> None:
+async def _exit_on_stdin_eof() -> None:
+    # A killed parent cannot stop its stand-ins, but the pipe to their standard
+    # input is always closed when it exits.
+    def read_until_eof() -> None:
         while os.read(0, 4096):
             pass
 
-    await trio.to_thread.run_sync(wait_for_end, abandon_on_cancel=True)
+    await trio.to_thread.run_sync(read_until_eof, abandon_on_cancel=True)
     os._exit(0)
