--- a/dewridge/standins/backend.py
+++ b/dewridge/standins/backend.py
@@ -1,4 +1,4 @@
-"""Runs simulated backend servers in one process, with a control endpoint."""
+"""Simulated backend servers of a process: listeners, registration and control."""
 
 import math
 from collections.abc import Sequence
--- a/dewridge/standins/enginehttp.py
+++ b/dewridge/standins/enginehttp.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the simulated engine: completions, cancel, export, control."""
+"""HTTP interface of the simulated engine; completions are server-sent events."""
 
 import time
 from collections.abc import AsyncIterator, Callable
--- a/dewridge/standins/keyvalue.py
+++ b/dewridge/standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""Simulated key-value service: compare-and-swap, watches and leases over HTTP."""
+"""Simulated key-value service: compare-and-swap, watches, leases; JSON over HTTP."""
 
 import time
 from collections import deque
--- a/dewridge/standins/platform.py
+++ b/dewridge/standins/platform.py
@@ -1,4 +1,4 @@
-"""The simulated platform services in one process, with a control endpoint."""
+"""The simulated platform services in one process, with fault injection."""
 
 import time
 from typing import Any
--- a/dewridge/standins/serving.py
+++ b/dewridge/standins/serving.py
@@ -17,8 +17,8 @@
 
 LISTEN_IP = "127.0.0.1"
 BACKLOG = 512
-IDLE_SECONDS = 600.0
-REQUESTS_PER_CONNECTION = 1_000_000_000
+IDLE_TIMEOUT_SECONDS = 600.0
+MAX_REQUESTS_PER_CONNECTION = 1_000_000_000
 
 T = TypeVar("T")
 
@@ -102,8 +102,8 @@
     config.accesslog = None
     config.errorlog = None
     config.graceful_timeout = 0
-    config.keep_alive_timeout = IDLE_SECONDS
-    config.keep_alive_max_requests = REQUESTS_PER_CONNECTION
+    config.keep_alive_timeout = IDLE_TIMEOUT_SECONDS
+    config.keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
     return config
 
 
--- a/dewridge/testbed/__init__.py
+++ b/dewridge/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Deployments of separate processes on loopback, for the demo, load and proofs."""
+"""Deployments of separate processes on loopback, for demo, load tests and proofs."""
--- a/dewridge/testbed/demonstration.py
+++ b/dewridge/testbed/demonstration.py
@@ -1,4 +1,4 @@
-"""The main job from end to end: three calls through a deployment on loopback."""
+"""Demonstration: three requests, end to end, through a deployment on loopback."""
 
 import time
 from collections.abc import Callable
@@ -24,40 +24,51 @@
 )
 
 ProgressReporter = Callable[[str], None]
+"""Prints a line of progress."""
 
 
 @dataclass(frozen=True)
 class Step:
-    """One call of the demonstration, and how its answer is checked."""
+    """One request of the demonstration, with the check of its answer."""
 
     title: str
     call: Call
     is_expected: Callable[[Answer], bool]
 
 
-async def run_demonstration(tell: ProgressReporter) -> bool:
-    """Run the main job and tell what happens; True if every answer was whole."""
-    began = time.monotonic()
-    async with open_deployment(SELLO_VERDE, OPTIONS, tell) as deployment:
-        tell(f"up after {time.monotonic() - began:.1f} s")
-        await _move_service(deployment, tell)
-        good = await _make_calls(deployment, tell)
+async def run_demonstration(report_progress: ProgressReporter) -> bool:
+    """Run all steps and report progress.
+
+    Returns:
+        Whether every answer was complete and the expected one.
+    """
+    start = time.monotonic()
+    async with open_deployment(SELLO_VERDE, OPTIONS, report_progress) as deployment:
+        report_progress(f"up after {time.monotonic() - start:.1f} s")
+        await _move_service(deployment, report_progress)
+        succeeded = await _run_steps(deployment, report_progress)
         for host in deployment.hosts:
             megabytes = host.process.read_resident_memory() / 1e6
-            tell(f"{host.name} in {host.failure_domain}: {megabytes:.0f} MB resident")
-    tell(f"{'done' if good else 'FAILED'} after {time.monotonic() - began:.1f} s")
-    return good
+            report_progress(
+                f"{host.name} in {host.failure_domain}: {megabytes:.0f} MB resident"
+            )
+    report_progress(
+        f"{'done' if succeeded else 'FAILED'} after {time.monotonic() - start:.1f} s"
+    )
+    return succeeded
 
 
-async def _move_service(deployment: Deployment, tell: ProgressReporter) -> None:
-    """Publish one more profile and move the findings under it."""
+async def _move_service(
+    deployment: Deployment, report_progress: ProgressReporter
+) -> None:
+    """Publish another profile and assign the findings service to it."""
     base = SELLO_VERDE.profiles[0]
     profile = {**base, "name": "demo", "placement": {"name": "balanced"}}
     await deployment.put("/v1/profiles/demo", profile)
-    tell("published profile demo")
+    report_progress("published profile demo")
     etag = await deployment.read_etag("/v1/services/findings")
     await deployment.put("/v1/services/findings/profile", {"profile": "demo"}, etag)
-    tell("moved service findings under it")
+    report_progress("moved service findings under it")
 
 
 def _list_steps() -> list[Step]:
@@ -73,52 +84,54 @@
         Step(
             "check a certificate's status",
             Call("registry", "check_status", status, 10),
-            lambda answer: _refers_to(answer, status),
+            lambda answer: _is_result_for(answer, status),
         ),
         Step(
             "pull a stamped letter",
             Call("registry", "issue_letter", letter, 10),
-            lambda answer: _refers_to(answer, letter) and "serial" in answer.result,
+            lambda answer: _is_result_for(answer, letter) and "serial" in answer.result,
         ),
     ]
 
 
-def _refers_to(answer: Answer, asked: dict[str, str]) -> bool:
-    sent = msgspec.json.encode(asked).decode()
+def _is_result_for(answer: Answer, input_value: dict[str, str]) -> bool:
+    encoded = msgspec.json.encode(input_value).decode()
     result = answer.result
     return isinstance(result, dict) and (
-        result.get("reference") == f"{digest_prompt(sent):016x}"
+        result.get("reference") == f"{digest_prompt(encoded):016x}"
     )
 
 
-async def _make_calls(deployment: Deployment, tell: ProgressReporter) -> bool:
+async def _run_steps(deployment: Deployment, report_progress: ProgressReporter) -> bool:
     account = SELLO_VERDE.accounts[0]
     seeds = deployment.list_frontends()[:1]
-    good = True
+    succeeded = True
     async with Client(seeds, deployment.tokens[account]) as client:
-        listed = await client.list_entry_hosts()
-        if not isinstance(listed, Failure):
-            shown = (f"{each.address} ({each.failure_domain})" for each in listed.hosts)
-            tell(f"entry list for {account}: {', '.join(shown)}")
+        entry_list = await client.list_entry_hosts()
+        if not isinstance(entry_list, Failure):
+            shown = (
+                f"{each.address} ({each.failure_domain})" for each in entry_list.hosts
+            )
+            report_progress(f"entry list for {account}: {', '.join(shown)}")
         for step in _list_steps():
             answer = await client.request(step.call)
             is_good = answer.is_whole and step.is_expected(answer)
-            good = good and is_good
-            _tell_answer(step, answer, is_good, tell)
-    return good
+            succeeded = succeeded and is_good
+            _report_answer(step, answer, is_good, report_progress)
+    return succeeded
 
 
-def _tell_answer(
-    step: Step, answer: Answer, is_good: bool, tell: ProgressReporter
+def _report_answer(
+    step: Step, answer: Answer, is_good: bool, report_progress: ProgressReporter
 ) -> None:
-    tell(f"{step.title}: {'whole, its own' if is_good else 'NOT WHOLE'}")
+    report_progress(f"{step.title}: {'whole, its own' if is_good else 'NOT WHOLE'}")
     if not answer.is_whole:
-        tell(f"  {answer.code.name}: {answer.reason}")
+        report_progress(f"  {answer.code.name}: {answer.reason}")
         return
     shown = answer.text or msgspec.json.encode(answer.result).decode()
-    tell(f"  {' '.join(shown.split())[:160]}")
+    report_progress(f"  {' '.join(shown.split())[:160]}")
     summary = answer.summary
-    tell(
+    report_progress(
         f"  ran on {summary.backend_server} in {summary.failure_domain} under "
         f"{summary.profile}, {summary.tokens} tokens, cost {summary.cost:.2g}"
     )
--- a/dewridge/testbed/deployment.py
+++ b/dewridge/testbed/deployment.py
@@ -1,4 +1,4 @@
-"""One deployment as separate processes: platform, backend servers, entry hosts."""
+"""Starts and controls a deployment: platform, backend servers and entry hosts."""
 
 import hashlib
 import json
@@ -24,24 +24,27 @@
 )
 
 READY_TIMEOUT = 40.0
-"""Seconds for the entry hosts to find each other and take work."""
+"""Seconds for the entry hosts to find each other and accept requests."""
 
-OPERATOR = "testbed"
+OPERATOR_NAME = "testbed"
 
 ProgressReporter = Callable[[str], None]
-"""Says on the terminal how far a start has come."""
+"""Prints a line of progress."""
 
 
 @dataclass(frozen=True)
 class DeploymentOptions:
-    """What a testbed starts.
+    """Options of a deployment.
 
     Attributes:
-        hosts: entry hosts, spread over the failure domains in turn.
-        counts: backend servers per failure domain, by service; the place's own
-            for a service that is not named.
+        hosts: number of entry hosts, assigned to failure domains in round-robin order.
+        host_domains: number of failure domains that get entry hosts.
+        counts: backend servers per failure domain, by service; services that are not
+            listed have the counts of the deployment's spec.
         step: milliseconds of an engine's step.
-        overrides: settings by section that replace the testbed's own.
+        capacity: largest number of streams in an engine's batch.
+        work: milliseconds of one call to a plain service.
+        overrides: settings by section that replace the testbed's settings.
     """
 
     hosts: int = 3
@@ -55,10 +58,12 @@
 
 @dataclass
 class EntryHost:
-    """An entry host of the testbed.
+    """An entry host of the deployment.
 
     Attributes:
-        settings: its settings, as in its file.
+        frontend: address for callers and operators.
+        peers: address for other entry hosts.
+        settings_path: file with its settings.
     """
 
     name: str
@@ -76,7 +81,7 @@
 
 @dataclass
 class BackendProcess:
-    """A process that holds the backend servers of a plan in a failure domain."""
+    """A process that runs the backend servers of a pool in one failure domain."""
 
     pool: ServerPoolSpec
     failure_domain: str
@@ -94,96 +99,99 @@
 
 
 class Deployment:
-    """The running processes of a place, with what steers and watches them."""
+    """A running deployment, with methods to control and inspect its processes."""
 
     def __init__(
         self,
-        place: DeploymentSpec,
+        spec: DeploymentSpec,
         options: DeploymentOptions,
         folder: Path,
-        tell: ProgressReporter,
+        report_progress: ProgressReporter,
     ) -> None:
-        self.spec = place
+        self.spec = spec
         self.options = options
         self.folder = folder
-        self.report_progress = tell
+        self.report_progress = report_progress
         self.hosts: list[EntryHost] = []
         self.backends: list[BackendProcess] = []
         self.platform: Process | None = None
-        self.tokens = {name: secrets.token_hex(16) for name in place.accounts}
+        self.tokens = {name: secrets.token_hex(16) for name in spec.accounts}
         self.operator_token = secrets.token_hex(16)
         self.http = httpx.AsyncClient(timeout=5.0)
-        self._past: list[Process] = []
-        self._started = 0
+        self._processes: list[Process] = []
+        self._start_count = 0
 
     # ---- starting -------------------------------------------------------------
 
     async def start(self) -> None:
-        """Start everything and publish the place's profiles and services.
+        """Start all processes and publish the spec's profiles and services.
 
         Raises:
-            StartError: a process did not come up, or the hosts take no work.
+            StartError: a process did not start, or a host did not join in time.
         """
         self.report_progress("starting the platform's stand-ins")
         self.platform = await self._start_process("platform", ["standin", "platform"])
         self.report_progress("starting backend servers and entry hosts")
         async with trio.open_nursery() as nursery:
-            for plan in self.spec.server_pools:
+            for pool in self.spec.server_pools:
                 for index, domain in enumerate(self.spec.failure_domains):
-                    count = self._count_servers(plan, index)
+                    count = self._count_servers(pool, index)
                     if count:
-                        nursery.start_soon(self.start_backend, plan, domain, count)
+                        nursery.start_soon(self.start_backend, pool, domain, count)
             domains = self.spec.failure_domains[: self.options.host_domains]
             peer_ports = choose_ports(self.options.hosts)
             seeds = [f"127.0.0.1:{port}" for port in peer_ports]
             for index in range(self.options.hosts):
                 domain = domains[index % len(domains)]
                 nursery.start_soon(self.start_host, domain, peer_ports[index], seeds)
-        await self._wait_ready()
+        await self._wait_until_all_joined()
         await self.publish_all()
 
-    def _count_servers(self, plan: ServerPoolSpec, index: int) -> int:
-        counts = self.options.counts.get(plan.service, plan.counts)
+    def _count_servers(self, pool: ServerPoolSpec, index: int) -> int:
+        counts = self.options.counts.get(pool.service, pool.counts)
         return counts[index]
 
     async def _start_process(self, name: str, arguments: list[str]) -> Process:
         process = await start_process(
-            name, [*arguments, "--die-with-parent"], self.folder, waits_for_line=True
+            name,
+            [*arguments, "--die-with-parent"],
+            self.folder,
+            expects_announcement=True,
         )
-        self._past.append(process)
+        self._processes.append(process)
         return process
 
     async def start_backend(
-        self, plan: ServerPoolSpec, domain: str, count: int
+        self, pool: ServerPoolSpec, domain: str, count: int
     ) -> BackendProcess:
-        """Start backend servers of a plan in a failure domain."""
-        self._started += 1
+        """Start a process with `count` servers of a pool in a failure domain."""
+        self._start_count += 1
         assert self.platform is not None
-        price = plan.prices[self.spec.failure_domains.index(domain)]
-        kind = "engine" if plan.is_model else "plain"
-        name = f"{plan.service}-{domain}-{self._started}"
+        price = pool.prices[self.spec.failure_domains.index(domain)]
+        kind = "engine" if pool.is_model else "plain"
+        name = f"{pool.service}-{domain}-{self._start_count}"
         arguments = [
-            *("standin", kind, "--service", plan.service),
+            *("standin", kind, "--service", pool.service),
             *("--failure-domain", domain, "--name", name, "--count", str(count)),
-            *("--price", str(price), "--machine-class", plan.machine_class),
+            *("--price", str(price), "--machine-class", pool.machine_class),
             *("--platform", str(self.platform.announcement["host_list"])),
         ]
-        if plan.is_model:
+        if pool.is_model:
             arguments += ["--step", str(self.options.step)]
             arguments += ["--capacity", str(self.options.capacity)]
         else:
             arguments += ["--work", str(self.options.work)]
         process = await self._start_process(name, arguments)
-        backend = BackendProcess(plan, domain, process)
+        backend = BackendProcess(pool, domain, process)
         self.backends.append(backend)
         return backend
 
     async def start_host(
         self, domain: str, peer_port: int = 0, seeds: list[str] | None = None
     ) -> EntryHost:
-        """Start an entry host; without seeds it asks the key-value service."""
-        self._started += 1
-        name = f"entry-{self._started}"
+        """Start an entry host; without seeds it reads the key-value service."""
+        self._start_count += 1
+        name = f"entry-{self._start_count}"
         frontend_port = choose_ports(1)[0]
         peer_port = peer_port or choose_ports(1)[0]
         settings = self._make_settings(
@@ -192,9 +200,12 @@
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(settings, indent=2))
         process = await start_process(
-            name, ["serve", "--settings", str(path)], self.folder, waits_for_line=False
+            name,
+            ["serve", "--settings", str(path)],
+            self.folder,
+            expects_announcement=False,
         )
-        self._past.append(process)
+        self._processes.append(process)
         host = EntryHost(
             name,
             domain,
@@ -226,48 +237,51 @@
             "frontend": {"port": frontend},
             "peers": {"port": peers, "seeds": seeds},
             "accounts": [
-                {"name": account, "token_sha256": _digest(token)}
+                {"name": account, "token_sha256": _hash_token(token)}
                 for account, token in self.tokens.items()
             ],
             "operators": [
-                {"name": OPERATOR, "token_sha256": _digest(self.operator_token)}
+                {
+                    "name": OPERATOR_NAME,
+                    "token_sha256": _hash_token(self.operator_token),
+                }
             ],
         }
         for section, values in self.options.overrides.items():
             settings[section] = {**settings.get(section, {}), **values}
         return settings
 
-    async def _wait_ready(self) -> None:
+    async def _wait_until_all_joined(self) -> None:
         self.report_progress("waiting for the entry hosts to find each other")
         for host in self.hosts:
             await self.wait_until_joined(host)
 
     async def wait_until_joined(self, host: EntryHost) -> None:
-        """Wait until an entry host answers and sees all that run.
+        """Wait until an entry host answers and sees all running entry hosts.
 
         Raises:
-            StartError: it has ended, or does not in time.
+            StartError: it has exited, or did not join in time.
         """
-        until = trio.current_time() + READY_TIMEOUT
+        deadline = trio.current_time() + READY_TIMEOUT
         while not await self._is_joined(host):
-            ended = not host.process.is_running
-            if ended or trio.current_time() > until:
-                text = host.process.log_path.read_text()[-1500:]
-                raise StartError(f"{host.name} did not come up:\n{text}")
+            has_exited = not host.process.is_running
+            if has_exited or trio.current_time() > deadline:
+                log_tail = host.process.log_path.read_text()[-1500:]
+                raise StartError(f"{host.name} did not join:\n{log_tail}")
             await trio.sleep(0.05)
 
     async def _is_joined(self, host: EntryHost) -> bool:
-        """Whether an entry host answers and sees as many members as run."""
+        """Whether an entry host answers and sees as many members as are running."""
         dump = await self.read_dump(host)
         members = dump.get("parts", {}).get("membership", {}).get("members", [])
         live = [member for member in members if member.get("state") == "ALIVE"]
         running = [h for h in self.hosts if h.process.is_running]
         return len(live) + 1 >= len(running)
 
-    # ---- operators ------------------------------------------------------------
+    # ---- operator API ---------------------------------------------------------
 
     async def publish_all(self) -> None:
-        """Publish the place's profiles and services, and wait for them everywhere."""
+        """Publish the spec's profiles and services; wait until all hosts apply them."""
         for profile in self.spec.profiles:
             await self.put(f"/v1/profiles/{profile['name']}", profile)
         for service in self.spec.services:
@@ -275,28 +289,28 @@
         names = {str(service["name"]) for service in self.spec.services}
         for host in self.hosts:
             with trio.fail_after(READY_TIMEOUT):
-                await self._wait_in_force(host, names)
+                await self._wait_until_applied(host, names)
 
-    async def _wait_in_force(self, host: EntryHost, names: set[str]) -> None:
+    async def _wait_until_applied(self, host: EntryHost, names: set[str]) -> None:
         while True:
             if names <= await self._list_services(host):
                 return
             await trio.sleep(0.05)
 
     async def _list_services(self, host: EntryHost) -> set[str]:
-        """Return the services that are in force at a host."""
+        """Return the services in the current configuration of a host."""
         configuration = (await self.read_dump(host)).get("parts", {})
         return set(configuration.get("configuration", {}).get("services", {}))
 
     async def put(
         self, path: str, content: Any, etag: str | None = None
     ) -> httpx.Response:
-        """Change something as an operator; new without an etag.
+        """Change an object as an operator, or create it if no etag is given.
 
         Raises:
             StartError: no entry host accepted the change.
         """
-        condition = {"If-Match": etag} if etag else {"If-None-Match": "*"}
+        precondition = {"If-Match": etag} if etag else {"If-None-Match": "*"}
         response = None
         for _ in range(20):
             for host in self.hosts:
@@ -306,7 +320,7 @@
                     response = await self.http.put(
                         f"{host.url}{path}",
                         json=content,
-                        headers={**self.operator_headers, **condition},
+                        headers={**self.operator_headers, **precondition},
                     )
                 except httpx.HTTPError:
                     continue
@@ -317,7 +331,7 @@
         raise StartError(f"PUT {path}: {detail}")
 
     async def read_etag(self, path: str) -> str:
-        """Return the revision of an object, as an operator reads it."""
+        """Return the etag of an object, which identifies its revision."""
         response = await self.http.get(
             f"{self.hosts[0].url}{path}", headers=self.operator_headers
         )
@@ -326,11 +340,11 @@
 
     @property
     def operator_headers(self) -> dict[str, str]:
-        """Headers that name the operator."""
+        """Headers that authenticate the operator."""
         return {"Authorization": f"Bearer {self.operator_token}"}
 
     async def read_dump(self, host: EntryHost) -> dict[str, Any]:
-        """Return an entry host's state; empty when it does not answer."""
+        """Return an entry host's state dump; empty if it does not answer."""
         try:
             response = await self.http.get(
                 f"{host.url}/v1/dump", headers=self.operator_headers
@@ -351,58 +365,63 @@
         """Post an order to a control endpoint."""
         (await self.http.post(url, json=content)).raise_for_status()
 
-    async def announce_reclaim(self, subject: str, notice: float) -> float:
-        """Let the cloud announce a reclaim; returns when, in seconds since 1970."""
+    async def announce_reclaim(self, subject: str, notice_seconds: float) -> float:
+        """Let the cloud announce a reclaim after `notice_seconds`.
+
+        Returns:
+            The time of the reclaim in seconds since 1970.
+        """
         await self.post_order(
-            f"{self.control}/control/notice", {"subject": subject, "in_seconds": notice}
+            f"{self.control}/control/notice",
+            {"subject": subject, "in_seconds": notice_seconds},
         )
-        return time.time() + notice
+        return time.time() + notice_seconds
 
     async def set_platform_fault(self, target: str, mode: str, **more: Any) -> None:
-        """Put a fault of the platform in force; mode `none` ends it."""
+        """Activate a fault of a platform service; mode `none` ends it."""
         order = {"target": target, "mode": mode, **more}
         await self.post_order(f"{self.control}/control/fault", order)
 
     async def read_execution_logs(self) -> list[dict[str, Any]]:
-        """Return what ran on all backend servers that were ever started."""
-        lines: list[dict[str, Any]] = []
+        """Return the execution logs of all backend servers that were ever started."""
+        executions: list[dict[str, Any]] = []
         for backend in self.backends:
             response = await self.http.get(f"{backend.control}/control/log")
-            lines += response.json()
-        return lines
+            executions += response.json()
+        return executions
 
     async def read_platform_calls(self) -> dict[str, int]:
-        """Return how often the platform was called, by service and kind."""
+        """Return the number of platform calls by service and kind."""
         response = await self.http.get(f"{self.control}/control/calls")
         return dict(response.json()["calls"])
 
     def list_frontends(self) -> list[str]:
-        """Return the frontend addresses of the entry hosts that run."""
+        """Return the frontend addresses of the running entry hosts."""
         return [host.frontend for host in self.hosts if host.process.is_running]
 
     async def close(self) -> None:
-        """End all processes that were started."""
-        await stop_processes(self._past)
+        """Stop all processes that were started."""
+        await stop_processes(self._processes)
         with trio.CancelScope(shield=True):
             await self.http.aclose()
 
 
-def _digest(token: str) -> str:
+def _hash_token(token: str) -> str:
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 @asynccontextmanager
 async def open_deployment(
-    place: DeploymentSpec,
+    spec: DeploymentSpec,
     options: DeploymentOptions,
-    tell: ProgressReporter = lambda line: None,
+    report_progress: ProgressReporter = lambda line: None,
 ) -> AsyncIterator[Deployment]:
-    """Start a deployment, and end all its processes on the way out."""
+    """Start a deployment, and stop all its processes on exit."""
     async with AsyncExitStack() as stack:
         folder = Path(
             stack.enter_context(tempfile.TemporaryDirectory(prefix="dewridge-"))
         )
-        deployment = Deployment(place, options, folder, tell)
+        deployment = Deployment(spec, options, folder, report_progress)
         stack.push_async_callback(deployment.close)
         await deployment.start()
         yield deployment
--- a/dewridge/testbed/places.py
+++ b/dewridge/testbed/places.py
@@ -1,4 +1,4 @@
-"""The two deployments of the brief: their places, services and profiles."""
+"""Specifications of two example deployments: pools, services and profiles."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,11 +6,13 @@
 
 @dataclass(frozen=True)
 class ServerPoolSpec:
-    """Backend servers of one kind in each failure domain.
+    """Backend servers of one service, spread over the failure domains.
 
     Attributes:
-        prices: money an hour, by failure domain in turn.
-        counts: servers, by failure domain in turn.
+        service: name of the service.
+        is_model: whether the servers are model engines rather than plain services.
+        prices: price per hour, one for each failure domain.
+        counts: number of servers, one for each failure domain.
     """
 
     service: str
@@ -22,10 +24,10 @@
 
 @dataclass(frozen=True)
 class DeploymentSpec:
-    """A deployment: where it is, what it serves, and under which profiles.
+    """Specification of a deployment: region, services, servers and profiles.
 
     Attributes:
-        accounts: names of the client accounts, the largest first.
+        accounts: names of the client accounts, the largest account first.
     """
 
     name: str
@@ -142,4 +144,4 @@
     ),
 )
 
-DEPLOYMENT_SPECS = {place.name: place for place in (SELLO_VERDE, KAROO)}
+DEPLOYMENT_SPECS = {spec.name: spec for spec in (SELLO_VERDE, KAROO)}
--- a/dewridge/testbed/processes.py
+++ b/dewridge/testbed/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a testbed: started, watched, and ended by id."""
+"""Starts, signals, inspects and stops the processes of a deployment."""
 
 import json
 import os
@@ -14,25 +14,27 @@
 import trio
 
 START_TIMEOUT = 30.0
-"""Seconds for a process to say that it listens; an import takes about one."""
+"""Seconds for a process to announce that it listens; imports alone take about one."""
 
 EXIT_TIMEOUT = 40.0
-"""Seconds for a process to end by itself before it is killed."""
+"""Seconds for a process to exit before it is killed."""
 
 
 PORT_RANGE = (11_000, 31_000)
+"""Below the ephemeral ports; see `choose_ports`."""
 
 
 class StartError(Exception):
-    """A process of the testbed did not come up."""
+    """A process of the deployment did not start."""
 
 
 @dataclass
 class Process:
-    """One process with the signals that a fault sends it.
+    """A running process, with methods to signal and inspect it.
 
     Attributes:
-        announcement: what it printed when it listened; empty for an entry host.
+        announcement: the JSON that it printed once it listened, such as its URLs;
+            empty for an entry host.
     """
 
     name: str
@@ -42,32 +44,32 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether it has not exited."""
         return self.handle.poll() is None
 
     def kill(self) -> None:
-        """End it at once, as a host that loses power."""
+        """Kill it at once, like a host that loses power."""
         self._signal(signal.SIGKILL)
 
     def suspend(self) -> None:
-        """Stop it without ending it, as a host that swaps or is migrated."""
+        """Suspend it, like a host that swaps or is being migrated."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a stopped process go on."""
+        """Resume it after `suspend`."""
         self._signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to leave gracefully."""
+        """Ask it to shut down gracefully."""
         self._signal(signal.SIGTERM)
 
     def _signal(self, number: signal.Signals) -> None:
         if self.is_running:
             os.kill(self.handle.pid, number)
 
-    async def wait_for_exit(self, limit: float = EXIT_TIMEOUT) -> bool:
-        """Wait for its end; False, and it is killed, after `limit` seconds."""
-        with trio.move_on_after(limit):
+    async def wait_for_exit(self, timeout: float = EXIT_TIMEOUT) -> bool:
+        """Wait for it to exit; after `timeout` seconds, kill it and return False."""
+        with trio.move_on_after(timeout):
             await self.handle.wait()
             return True
         self.kill()
@@ -75,7 +77,7 @@
         return False
 
     def read_resident_memory(self) -> int:
-        """Return its resident memory in bytes; 0 once it has ended."""
+        """Return its resident memory in bytes; 0 if it no longer exists."""
         try:
             pages = Path(f"/proc/{self.handle.pid}/statm").read_text().split()[1]
         except OSError:
@@ -83,7 +85,7 @@
         return int(pages) * os.sysconf("SC_PAGE_SIZE")
 
     def read_processor_time(self) -> float:
-        """Return the seconds of processor time that it has used."""
+        """Return its CPU time in seconds; 0 if it no longer exists."""
         try:
             stat = Path(f"/proc/{self.handle.pid}/stat").read_text()
         except OSError:
@@ -93,36 +95,36 @@
 
 
 async def start_process(
-    name: str, arguments: list[str], folder: Path, *, waits_for_line: bool
+    name: str, arguments: list[str], folder: Path, *, expects_announcement: bool
 ) -> Process:
     """Start `python -m dewridge` with arguments.
 
     Args:
-        name: for logs and errors.
-        arguments: of the command line.
-        folder: where its log goes.
-        waits_for_line: whether it prints one JSON line once it listens.
+        name: name used for its log file and in errors.
+        arguments: command-line arguments.
+        folder: folder for its log file.
+        expects_announcement: whether it prints one JSON line once it listens.
 
     Raises:
-        StartError: it ended, or said nothing in time.
+        StartError: it exited, or did not print the line in time.
     """
     log_path = folder / f"{name}.log"
     with log_path.open("ab") as log_file:
         handle = await trio.lowlevel.open_process(
             [sys.executable, "-m", "dewridge", *arguments],
             stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE if waits_for_line else log_file,
+            stdout=subprocess.PIPE if expects_announcement else log_file,
             stderr=log_file,
         )
-    ready: dict[str, Any] = {}
-    if waits_for_line:
+    announcement: dict[str, Any] = {}
+    if expects_announcement:
         with trio.move_on_after(START_TIMEOUT):
-            ready = await _read_line(handle)
-        if not ready:
+            announcement = await _read_line(handle)
+        if not announcement:
             handle.kill()
             await handle.wait()
             raise StartError(f"{name} did not start:\n{log_path.read_text()[-800:]}")
-    return Process(name, handle, log_path, ready)
+    return Process(name, handle, log_path, announcement)
 
 
 async def _read_line(handle: trio.Process) -> dict[str, Any]:
@@ -133,12 +135,15 @@
         if not chunk:
             return {}
         line += chunk
-    answer: dict[str, Any] = json.loads(line)
-    return answer
+    announcement: dict[str, Any] = json.loads(line)
+    return announcement
 
 
 async def stop_processes(processes: list[Process]) -> None:
-    """End all processes: ask first, then kill; shielded, so none is left."""
+    """Terminate all processes, and kill those that have not exited after 3 s.
+
+    It is shielded from cancellation, so that no process is left running.
+    """
     with trio.CancelScope(shield=True):
         for process in processes:
             process.resume()
@@ -149,17 +154,17 @@
 
 
 def choose_ports(count: int) -> list[int]:
-    """Return ports of 127.0.0.1 that were free a moment ago.
+    """Return ports of 127.0.0.1 that were just free.
 
-    They lie below those that the kernel gives to outgoing connections; one of
-    these might take the port before the process that it was chosen for does.
+    They are below the ephemeral ports, because the kernel could give an ephemeral
+    port to an outgoing connection before the intended process binds it.
     """
     chosen: list[int] = []
     while len(chosen) < count:
         port = random.SystemRandom().randrange(*PORT_RANGE)
-        with socket.socket() as trial:
+        with socket.socket() as probe:
             try:
-                trial.bind(("127.0.0.1", port))
+                probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
         if port not in chosen:
--- a/dewridge/tests/standins/engine_tests.py
+++ b/dewridge/tests/standins/engine_tests.py
@@ -1,4 +1,4 @@
-"""The engine stand-in batches, caches prefixes, resumes and obeys orders."""
+"""Simulated engine: batching, prefix cache, resumption, cancellation and fencing."""
 
 from dewridge.standins.engine import (
     CompletionRequest,
@@ -10,72 +10,74 @@
 from dewridge.standins.tokens import is_expected_answer, make_answer
 
 PROMPT = "site history of valve " * 40
-WORDS = len(PROMPT.split())
+PROMPT_TOKENS = len(PROMPT.split())
 
 
 def make_engine(**options: float) -> Engine:
     return Engine("engine-1", ("drafting",), EngineOptions(**options))  # type: ignore[arg-type]
 
 
-def run_whole(engine: Engine, stream: EngineStream) -> list[str]:
+def run_to_completion(engine: Engine, stream: EngineStream) -> list[str]:
     while not stream.is_finished:
         engine.step()
     return list(stream.outbox)
 
 
-def test_an_answer_belongs_to_its_prompt() -> None:
+def test_an_answer_is_checked_against_its_prompt() -> None:
     engine = make_engine()
-    tokens = run_whole(engine, engine.accept(CompletionRequest(PROMPT, 12), 0))
+    tokens = run_to_completion(engine, engine.accept(CompletionRequest(PROMPT, 12), 0))
     assert is_expected_answer(PROMPT, 12, tokens)
     assert not is_expected_answer(PROMPT + "x", 12, tokens)
     assert not is_expected_answer(PROMPT, 12, tokens[:-1])
 
 
-def test_a_resumed_stream_goes_on_and_counts_what_it_recomputes() -> None:
-    # An engine is reclaimed after five tokens and another one goes on with
-    # them. The caller sees one answer; the operator sees what was recomputed,
-    # which an imported KV cache saves.
-    done = tuple(make_answer(PROMPT, 5))
-    completion = CompletionRequest(PROMPT, 12, tokens_done=done)
-    resumed = make_engine().accept(completion, 0)
+def test_a_resumed_stream_continues_and_counts_recomputed_tokens() -> None:
+    # An engine is reclaimed after five tokens and another one resumes the answer.
+    # The caller gets one complete answer; the number of recomputed tokens is
+    # recorded, and is 0 if the KV cache was imported.
+    done_tokens = tuple(make_answer(PROMPT, 5))
+    completion = CompletionRequest(PROMPT, 12, tokens_done=done_tokens)
+    waiting = make_engine().accept(completion, 0)
     imported_engine = make_engine()
-    imported = imported_engine.accept(completion, WORDS + 5)
+    imported = imported_engine.accept(completion, PROMPT_TOKENS + 5)
     engine = make_engine()
-    plain = engine.accept(completion, 0)
-    tokens = run_whole(engine, plain)
-    assert is_expected_answer(PROMPT, 12, [*done, *tokens])
-    assert plain.recomputed == WORDS + 5
-    run_whole(imported_engine, imported)
+    resumed = engine.accept(completion, 0)
+    tokens = run_to_completion(engine, resumed)
+    assert is_expected_answer(PROMPT, 12, [*done_tokens, *tokens])
+    assert resumed.recomputed == PROMPT_TOKENS + 5
+    run_to_completion(imported_engine, imported)
     assert imported.recomputed == 0
-    assert resumed.state is StreamState.WAITING
+    assert waiting.state is StreamState.WAITING
 
 
-def test_prefixes_are_cached_by_salt_in_limited_memory() -> None:
-    engine = make_engine(cache_tokens=WORDS)
-    run_whole(engine, engine.accept(CompletionRequest(PROMPT, 1, cache_salt="a"), 0))
-    again = engine.accept(CompletionRequest(PROMPT, 1, cache_salt="a"), 0)
-    run_whole(engine, again)
-    stranger = engine.accept(CompletionRequest(PROMPT, 1, cache_salt="b"), 0)
-    run_whole(engine, stranger)
+def test_prefixes_are_cached_by_salt_with_limited_capacity() -> None:
+    engine = make_engine(cache_tokens=PROMPT_TOKENS)
+    run_to_completion(
+        engine, engine.accept(CompletionRequest(PROMPT, 1, cache_salt="a"), 0)
+    )
+    repeated = engine.accept(CompletionRequest(PROMPT, 1, cache_salt="a"), 0)
+    run_to_completion(engine, repeated)
+    other_salt = engine.accept(CompletionRequest(PROMPT, 1, cache_salt="b"), 0)
+    run_to_completion(engine, other_salt)
     evicted = engine.accept(CompletionRequest(PROMPT, 1, cache_salt="a"), 0)
-    run_whole(engine, evicted)
-    assert again.cached == WORDS
-    assert stranger.cached == 0
+    run_to_completion(engine, evicted)
+    assert repeated.cached == PROMPT_TOKENS
+    assert other_salt.cached == 0
     assert evicted.cached == 0
 
 
-def test_interactive_work_enters_the_batch_first() -> None:
+def test_interactive_requests_enter_the_batch_first() -> None:
     engine = make_engine(capacity=1)
-    draft = engine.accept(CompletionRequest(PROMPT, 2, priority=1), 0)
-    question = engine.accept(CompletionRequest(PROMPT, 2, priority=0), 0)
+    background = engine.accept(CompletionRequest(PROMPT, 2, priority=1), 0)
+    interactive = engine.accept(CompletionRequest(PROMPT, 2, priority=0), 0)
     engine.step()
-    assert question.state is StreamState.RUNNING
-    assert draft.state is StreamState.WAITING
+    assert interactive.state is StreamState.RUNNING
+    assert background.state is StreamState.WAITING
 
 
 def test_a_cancelled_attempt_does_not_start_later() -> None:
-    # The cancellation overtakes the call that it cancels. The call must be
-    # refused when it arrives, or the confirmed cancellation was a lie.
+    # The cancellation arrives before the request that it cancels. The request must
+    # be rejected when it arrives, because its cancellation was already confirmed.
     engine = make_engine()
     assert engine.cancel("late") == ("unknown", 0)
     assert engine.find_rejection(CompletionRequest(PROMPT, 2, "late")) == (
@@ -84,13 +86,13 @@
     )
 
 
-def test_only_a_checking_engine_refuses_an_old_fencing_number() -> None:
-    # A paused host wakes up and sends an order that a newer one overruled.
-    checking = make_engine()
-    ignoring = make_engine(checks_fencing=False)
-    for engine in (checking, ignoring):
+def test_only_an_engine_with_fencing_rejects_a_stale_token() -> None:
+    # A host resumes after a pause and sends an order that a newer one superseded.
+    with_fencing = make_engine()
+    without_fencing = make_engine(checks_fencing=False)
+    for engine in (with_fencing, without_fencing):
         assert engine.execute_order("load", "summaries", 7)
-    assert not checking.execute_order("unload", "summaries", 6)
-    assert ignoring.execute_order("unload", "summaries", 6)
-    assert "summaries" in checking.services
-    assert "summaries" not in ignoring.services
+    assert not with_fencing.execute_order("unload", "summaries", 6)
+    assert without_fencing.execute_order("unload", "summaries", 6)
+    assert "summaries" in with_fencing.services
+    assert "summaries" not in without_fencing.services
--- a/dewridge/tests/testbed/demonstration_tests.py
+++ b/dewridge/tests/testbed/demonstration_tests.py
@@ -1,4 +1,4 @@
-"""The main job, from end to end over separate processes."""
+"""The demonstration end to end, and the shutdown of its processes."""
 
 import trio
 
@@ -6,22 +6,22 @@
 from dewridge.testbed.processes import Process, start_process, stop_processes
 
 
-async def test_the_main_job_runs_through_separate_processes() -> None:
+async def test_the_demonstration_runs_across_separate_processes() -> None:
     lines: list[str] = []
     with trio.fail_after(50):
         assert await run_demonstration(lines.append), "\n".join(lines)
 
 
-async def test_interrupted_processes_are_all_ended(tmp_path) -> None:  # type: ignore[no-untyped-def]
-    # Somebody presses Ctrl-C during the demo. Processes left behind would hold
-    # ports and memory, and the next run would meet them.
+async def test_all_processes_are_stopped_after_an_interrupt(tmp_path) -> None:  # type: ignore[no-untyped-def]
+    # Ctrl-C interrupts the demo. Processes that kept running would hold ports and
+    # memory and conflict with the next run.
     started: list[Process] = []
     with trio.move_on_after(0.5):
         try:
             for _ in range(2):
                 arguments = ["standin", "platform", "--die-with-parent"]
                 process = await start_process(
-                    "platform", arguments, tmp_path, waits_for_line=True
+                    "platform", arguments, tmp_path, expects_announcement=True
                 )
                 process.suspend()
                 started.append(process)
