--- a/dewridge/standins/backend.py
+++ b/dewridge/standins/backend.py
@@ -46,7 +46,7 @@
 
 
 class LeavingOrder(msgspec.Struct):
-    """Puts a server into the leaving state; it stops after `dies_in` seconds."""
+    """Sets or clears a server's leaving state; it stops after `dies_in` seconds."""
 
     server: str = ""
     leaving: bool = True
--- a/dewridge/standins/engine.py
+++ b/dewridge/standins/engine.py
@@ -166,7 +166,7 @@
             self.step()
 
     def find_rejection(self, completion: CompletionRequest) -> tuple[int, str] | None:
-        """Return HTTP status and error type if the request must be rejected."""
+        """Return status and error type if a request is rejected before it starts."""
         if self.leaving:
             return 503, "leaving"
         if completion.attempt in self._cancelled:
--- a/dewridge/standins/plain.py
+++ b/dewridge/standins/plain.py
@@ -20,7 +20,7 @@
 
 
 class OperationCall(msgspec.Struct):
-    """Body of a call of an operation."""
+    """Body of a call to an operation."""
 
     input: str
     attempt: str = ""
@@ -61,7 +61,7 @@
         self._serials = count(1)
 
     def find_rejection(self) -> str | None:
-        """Return the error type if the call must be rejected."""
+        """Return the error type if a call is rejected before it starts."""
         if self.leaving:
             return "leaving"
         if self.running >= self.options.capacity:
