--- a/dewridge/standins/hostlist.py
+++ b/dewridge/standins/hostlist.py
@@ -1,4 +1,4 @@
-"""Host list, which lags, and the cloud's notices."""
+"""Simulated host list with a configurable lag, and the cloud's reclaim notices."""
 
 import time
 from collections import deque
@@ -7,14 +7,18 @@
 from quart import Response
 from quart_trio import QuartTrio
 
-from dewridge.standins.faults import FaultBoard, suffer_after, suffer_before
+from dewridge.standins.faults import (
+    FaultInjector,
+    inject_after_call,
+    inject_before_call,
+)
 from dewridge.standins.serving import make_app, read_body, reply
 
-CHANGES_KEPT = 100_000
+MAX_CHANGES = 100_000
 
 
 class HostRecord(msgspec.Struct, frozen=True):
-    """A backend server as it registered itself."""
+    """A registered backend server."""
 
     backend_server: str
     address: str
@@ -30,42 +34,42 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """The cloud's word that a host goes at a time (seconds since 1970)."""
+    """The cloud's notice that it reclaims a host at a time (seconds since 1970)."""
 
     subject: str
     at: float
 
 
 class HostDirectory:
-    """All that was registered, as it is and as it was `lag` seconds ago."""
+    """History of registrations: the current list and that of `lag` seconds ago."""
 
     def __init__(self) -> None:
         self.lag = 0.0
         self.notices: dict[str, Notice] = {}
-        self._changes: deque[tuple[float, HostRecord]] = deque(maxlen=CHANGES_KEPT)
+        self._changes: deque[tuple[float, HostRecord]] = deque(maxlen=MAX_CHANGES)
 
     def register(self, record: HostRecord) -> None:
         """Add or replace a backend server."""
         self._changes.append((time.time(), record))
 
     def set_state(self, backend_server: str, state: str) -> bool:
-        """Set the state of a backend server."""
-        found = self._read(time.time()).get(backend_server)
+        """Set the state of a backend server; False if it is not registered."""
+        found = self._list_as_of(time.time()).get(backend_server)
         if found is None:
             return False
         self.register(msgspec.structs.replace(found, state=state))
         return True
 
-    def list_lagging(self) -> list[HostRecord]:
-        """Return the list as callers see it."""
-        seen = self._read(time.time() - self.lag)
-        return [record for record in seen.values() if record.state != "gone"]
+    def list_lagged(self) -> list[HostRecord]:
+        """Return the list that callers see, which is `lag` seconds old."""
+        records = self._list_as_of(time.time() - self.lag)
+        return [record for record in records.values() if record.state != "gone"]
 
-    def list_now(self) -> list[HostRecord]:
-        """Return the list without its lag."""
-        return list(self._read(time.time()).values())
+    def list_current(self) -> list[HostRecord]:
+        """Return the current list, including removed servers."""
+        return list(self._list_as_of(time.time()).values())
 
-    def _read(self, until: float) -> dict[str, HostRecord]:
+    def _list_as_of(self, until: float) -> dict[str, HostRecord]:
         records: dict[str, HostRecord] = {}
         for at, record in self._changes:
             if at <= until:
@@ -73,16 +77,16 @@
         return records
 
 
-def build_host_list_app(directory: HostDirectory, faults: FaultBoard) -> QuartTrio:
+def build_host_list_app(directory: HostDirectory, faults: FaultInjector) -> QuartTrio:
     """Return the host list's HTTP application."""
     app = make_app("host-list")
 
     @app.get("/v1/hosts")
     async def list_hosts() -> Response:
-        fault = faults.strike("host_list", "list")
-        early = await suffer_before(fault)
-        found = {"hosts": directory.list_lagging()}
-        return early or await suffer_after(fault, reply(found))
+        fault = faults.intercept("host_list", "list")
+        early_response = await inject_before_call(fault)
+        body = {"hosts": directory.list_lagged()}
+        return early_response or await inject_after_call(fault, reply(body))
 
     @app.post("/v1/hosts")
     async def register() -> Response:
@@ -92,15 +96,15 @@
     return app
 
 
-def build_cloud_app(directory: HostDirectory, faults: FaultBoard) -> QuartTrio:
+def build_cloud_app(directory: HostDirectory, faults: FaultInjector) -> QuartTrio:
     """Return the cloud's HTTP application."""
     app = make_app("cloud")
 
     @app.get("/v1/notices")
     async def list_notices() -> Response:
-        fault = faults.strike("cloud", "list")
-        early = await suffer_before(fault)
-        found = {"notices": list(directory.notices.values())}
-        return early or await suffer_after(fault, reply(found))
+        fault = faults.intercept("cloud", "list")
+        early_response = await inject_before_call(fault)
+        body = {"notices": list(directory.notices.values())}
+        return early_response or await inject_after_call(fault, reply(body))
 
     return app
--- a/dewridge/standins/platform.py
+++ b/dewridge/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's services in one process, with an endpoint that injects faults."""
+"""The simulated platform services in one process, with fault injection."""
 
 import time
 from typing import Any
@@ -8,7 +8,7 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from dewridge.standins.faults import Fault, FaultBoard, FaultMode
+from dewridge.standins.faults import Fault, FaultInjector, FaultMode
 from dewridge.standins.hostlist import (
     HostDirectory,
     Notice,
@@ -20,7 +20,7 @@
 
 
 class NoticeOrder(msgspec.Struct):
-    """Asks for a reclaim notice `in_seconds` ahead, or takes it back."""
+    """Announces a reclaim `in_seconds` from now, or withdraws the notice."""
 
     subject: str
     in_seconds: float = 2.0
@@ -28,32 +28,32 @@
 
 
 class StateOrder(msgspec.Struct):
-    """Sets what the host list says of a backend server."""
+    """Sets the state of a backend server in the host list."""
 
     backend_server: str
     state: str
 
 
 class LagOrder(msgspec.Struct):
-    """Sets how far the host list lags."""
+    """Sets the lag of the host list."""
 
     seconds: float
 
 
 class RestoreOrder(msgspec.Struct):
-    """Puts back an older version of a key; see `KeyValueStore.restore`."""
+    """Restores an older version of a key; see `KeyValueStore.restore`."""
 
     key: str
     revision: int = 0
 
 
 class Platform:
-    """The key-value service, host list, cloud and control, each on a port."""
+    """The key-value service, host list, cloud and control, each on its own port."""
 
     def __init__(self, first_port: int = 0) -> None:
         self.store = KeyValueStore()
         self.directory = HostDirectory()
-        self.faults = FaultBoard()
+        self.faults = FaultInjector()
         ports = [first_port + n if first_port else 0 for n in range(4)]
         self.listeners = {
             "key_value": Listener(
@@ -67,15 +67,15 @@
         }
 
     async def start(self, nursery: trio.Nursery) -> dict[str, Any]:
-        """Listen, and return the addresses."""
-        nursery.start_soon(self.store.run_leases)
+        """Start all listeners and return their URLs."""
+        nursery.start_soon(self.store.expire_leases)
         for listener in self.listeners.values():
             await nursery.start(listener.run)
         urls = {name: listener.url for name, listener in self.listeners.items()}
         return {"standin": "platform", **urls}
 
     def set_fault(self, fault: Fault) -> bool:
-        """Put a fault in force; False if there is no such service."""
+        """Activate a fault; False if there is no such service."""
         listener = self.listeners.get(fault.target)
         if listener is None or fault.target == "control":
             return False
@@ -88,7 +88,7 @@
 
 
 def build_control_app(platform: Platform) -> QuartTrio:
-    """Return the application by which tests steer the stand-in."""
+    """Return the HTTP application through which tests control the services."""
     app = make_app("platform-control")
     directory = platform.directory
 
@@ -118,7 +118,7 @@
 
     @app.get("/control/servers")
     async def list_servers() -> Response:
-        return reply(directory.list_now())
+        return reply(directory.list_current())
 
     @app.post("/control/lag")
     async def set_lag() -> Response:
@@ -128,8 +128,8 @@
     @app.post("/control/restore")
     async def restore() -> Response:
         order = await read_body(RestoreOrder)
-        chosen = platform.store.restore(order.key, order.revision)
-        return reply(chosen, 200 if chosen else 404)
+        restored = platform.store.restore(order.key, order.revision)
+        return reply(restored, 200 if restored else 404)
 
     @app.get("/control/calls")
     async def read_calls() -> Response:
--- a/dewridge/testbed/places.py
+++ b/dewridge/testbed/places.py
@@ -1,16 +1,18 @@
-"""The two deployments of the brief: their places, services and profiles."""
+"""Specifications of two example deployments: pools, services and profiles."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 
 @dataclass(frozen=True)
-class EnginePlan:
-    """Backend servers of one kind in each failure domain.
+class ServerPoolSpec:
+    """Backend servers of one service, spread over the failure domains.
 
     Attributes:
-        prices: money an hour, by failure domain in turn.
-        counts: servers, by failure domain in turn.
+        service: name of the service.
+        is_model: whether the servers are model engines rather than plain services.
+        prices: price per hour, one for each failure domain.
+        counts: number of servers, one for each failure domain.
     """
 
     service: str
@@ -21,18 +23,18 @@
 
 
 @dataclass(frozen=True)
-class Place:
-    """A deployment: where it is, what it serves, and under which profiles.
+class DeploymentSpec:
+    """Specification of a deployment: region, services, servers and profiles.
 
     Attributes:
-        accounts: names of the client accounts, the largest first.
+        accounts: names of the client accounts, the largest account first.
     """
 
     name: str
     region: str
     failure_domains: tuple[str, ...]
     accounts: tuple[str, ...]
-    plans: tuple[EnginePlan, ...]
+    server_pools: tuple[ServerPoolSpec, ...]
     profiles: tuple[dict[str, Any], ...]
     services: tuple[dict[str, Any], ...] = field(default=())
 
@@ -58,16 +60,18 @@
     }
 
 
-SELLO_VERDE = Place(
+SELLO_VERDE = DeploymentSpec(
     name="sello-verde",
     region="gt-central",
     failure_domains=("zona-a", "zona-b", "mixco", "villa-nueva"),
     accounts=("matadero", "aduana", "importador", "cooperativa", "oficina"),
-    plans=(
-        EnginePlan(
+    server_pools=(
+        ServerPoolSpec(
             "findings", True, "gpu-standard", (2.0, 2.4, 1.8, 2.2), (3, 2, 2, 2)
         ),
-        EnginePlan("registry", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)),
+        ServerPoolSpec(
+            "registry", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)
+        ),
     ),
     profiles=(
         _make_profile("prompt-answers", "cost_aware"),
@@ -92,7 +96,7 @@
     ),
 )
 
-KAROO = Place(
+KAROO = DeploymentSpec(
     name="karoo",
     region="gauteng",
     failure_domains=("midrand-a", "midrand-b", "isando-1", "isando-2"),
@@ -103,11 +107,13 @@
         "inspectorate",
         "portal",
     ),
-    plans=(
-        EnginePlan(
+    server_pools=(
+        ServerPoolSpec(
             "drafting", True, "gpu-standard", (1.6, 1.9, 2.1, 1.7), (3, 2, 2, 2)
         ),
-        EnginePlan("portal", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)),
+        ServerPoolSpec(
+            "portal", False, "cpu-small", (0.2, 0.2, 0.2, 0.2), (1, 1, 1, 1)
+        ),
     ),
     profiles=(
         _make_profile("at-the-valve", "cost_aware"),
@@ -138,4 +144,4 @@
     ),
 )
 
-PLACES = {place.name: place for place in (SELLO_VERDE, KAROO)}
+DEPLOYMENT_SPECS = {spec.name: spec for spec in (SELLO_VERDE, KAROO)}
--- a/dewridge/tests/soak/faults.py
+++ b/dewridge/tests/soak/faults.py
@@ -46,9 +46,9 @@
     process = gateway.process
     environment.record_disturbance(gateway.name, seconds + 0.5)
     if process is not None:
-        process.freeze()
+        process.suspend()
         await trio.sleep(seconds)
-        process.thaw()
+        process.resume()
 
 
 async def roll(environment: SoakEnvironment, seconds: float) -> None:
@@ -64,7 +64,7 @@
         return
     environment.record_disturbance(gateway.name, SHUTDOWN_GRACE, is_planned=True)
     process.terminate()
-    await process.wait_ended(SHUTDOWN_GRACE)
+    await process.wait_for_exit(SHUTDOWN_GRACE)
 
 
 async def reload_all(environment: SoakEnvironment, seconds: float) -> None:
--- a/dewridge/tests/soak/stage.py
+++ b/dewridge/tests/soak/stage.py
@@ -313,7 +313,7 @@
             for gateway in self.gateways:
                 gateway.should_restart = False
                 if gateway.process is not None and gateway.process.is_running:
-                    gateway.process.thaw()
+                    gateway.process.resume()
                     gateway.process.kill()
                     await gateway.process.handle.wait()
 
