--- a/dewridge/client/model.py
+++ b/dewridge/client/model.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from dewridge.codes import TABLE, Outcome, ResultCode
+from dewridge.codes import CODE_TABLE, Outcome, ResultCode
 from dewridge.ids import RequestKey
 from dewridge.requests.model import AnswerEvent, AnswerSummary
 
@@ -63,7 +63,7 @@
     @property
     def outcome(self) -> Outcome:
         """What is known about whether the call ran."""
-        return TABLE[self.code].outcome
+        return CODE_TABLE[self.code].outcome
 
 
 @dataclass(frozen=True, slots=True)
--- a/dewridge/codes.py
+++ b/dewridge/codes.py
@@ -121,7 +121,7 @@
 _NOTE = Outcome.NOT_APPLICABLE
 _FAILED = Outcome.FAILED
 
-TABLE: dict[ResultCode, CodeEntry] = {
+CODE_TABLE: dict[ResultCode, CodeEntry] = {
     ResultCode.OK: CodeEntry(200, Outcome.DONE, "Answered in full", "Nothing."),
     ResultCode.ACCEPTED: CodeEntry(
         202, Outcome.RUNNING, "Accepted and running", "Follow the answer by its key."
--- a/dewridge/commands/codes.py
+++ b/dewridge/commands/codes.py
@@ -4,8 +4,8 @@
 
 import typer
 
-from dewridge.codes import TABLE
-from dewridge.commands.options import AsJson, end_usage, print_json
+from dewridge.codes import CODE_TABLE
+from dewridge.commands.options import AsJson, exit_with_usage_error, print_json
 
 
 def codes(
@@ -18,9 +18,11 @@
 
     Example: dewridge codes 204
     """
-    shown = {code: TABLE[code] for code in TABLE if number in (None, int(code))}
+    shown = {
+        code: CODE_TABLE[code] for code in CODE_TABLE if number in (None, int(code))
+    }
     if not shown:
-        end_usage(f"there is no code {number}")
+        exit_with_usage_error(f"there is no code {number}")
     if as_json:
         print_json(
             [
--- a/dewridge/commands/dump.py
+++ b/dewridge/commands/dump.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from dewridge.commands.operating import run_call
+from dewridge.commands.operating import call_operator_api
 from dewridge.commands.options import (
     Addresses,
     AsJson,
@@ -35,7 +35,7 @@
     async def collect(client: "OperatorClient") -> dict[str, Any]:
         return {each: await client.read_at(each, "/v1/dump") for each in addresses}
 
-    dumps = run_call(address, token_file, as_json, collect)
+    dumps = call_operator_api(address, token_file, as_json, collect)
     failed = {key: value for key, value in dumps.items() if isinstance(value, Failure)}
     shown = {key: describe_failure(value) for key, value in failed.items()}
     print_json({**dumps, **shown})
--- a/dewridge/commands/entry_hosts.py
+++ b/dewridge/commands/entry_hosts.py
@@ -7,7 +7,7 @@
     AsJson,
     TokenFile,
     check_addresses,
-    end_failed,
+    exit_with_failure,
     print_json,
     read_token,
 )
@@ -31,7 +31,7 @@
         async with Client(addresses, token) as client:
             listed = await client.list_entry_hosts()
         if isinstance(listed, Failure):
-            end_failed(listed, as_json)
+            exit_with_failure(listed, as_json)
         hosts = [(host.address, host.failure_domain) for host in listed.hosts]
         if as_json:
             rows = [{"address": where, "failure_domain": at} for where, at in hosts]
--- a/dewridge/commands/load.py
+++ b/dewridge/commands/load.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from dewridge.commands.options import ExitStatus, end_usage, read_file
+from dewridge.commands.options import ExitStatus, exit_with_usage_error, read_file
 
 DEFAULT_RATE = 20.0
 DEFAULT_SECONDS = 20.0
@@ -80,9 +80,9 @@
     try:
         figures = trio.run(run_load, options)
     except OptionError as error:
-        end_usage(str(error))
+        exit_with_usage_error(str(error))
     except httpx.HTTPError as error:
-        end_usage(f"no entry list from {entry_host[0]}: {error}")
+        exit_with_usage_error(f"no entry list from {entry_host[0]}: {error}")
     typer.echo(json.dumps(figures) if as_json else format_report(figures))
     if set(figures["total"]["outcomes"]) - {ANSWERED}:
         raise typer.Exit(ExitStatus.FAILED)
@@ -92,5 +92,5 @@
     """Split options of the form NAME=VALUE; the value is never repeated."""
     split = [pair.partition("=") for pair in pairs]
     if not all(name and value for name, _, value in split):
-        end_usage(f"write {form}")
+        exit_with_usage_error(f"write {form}")
     return [(name, value) for name, _, value in split]
--- a/dewridge/commands/operating.py
+++ b/dewridge/commands/operating.py
@@ -9,8 +9,8 @@
 
 from dewridge.commands.options import (
     check_addresses,
-    end_failed,
-    end_usage,
+    exit_with_failure,
+    exit_with_usage_error,
     print_json,
     read_file,
     read_token,
@@ -32,7 +32,7 @@
 Name = Annotated[str, typer.Argument(help="Its name.")]
 
 
-def run_call(
+def call_operator_api(
     addresses: list[str],
     token_file: Path | None,
     as_json: bool,
@@ -51,20 +51,20 @@
 
     result = trio.run(run)
     if isinstance(result, Failure):
-        end_failed(result, as_json)
+        exit_with_failure(result, as_json)
     return result
 
 
-def read_object(path: Path) -> dict[str, Any]:
+def read_named_object(path: Path) -> dict[str, Any]:
     """Return the object of a JSON file with comments; ends if it is none."""
     import json5  # noqa: PLC0415
 
     try:
         content = json5.loads(read_file(path), allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
-        end_usage(f"{path}: not JSON: {str(error).splitlines()[0][:200]}")
+        exit_with_usage_error(f"{path}: not JSON: {str(error).splitlines()[0][:200]}")
     if not isinstance(content, dict) or not isinstance(content.get("name"), str):
-        end_usage(f"{path}: expected an object with a `name`")
+        exit_with_usage_error(f"{path}: expected an object with a `name`")
     return content
 
 
--- a/dewridge/commands/options.py
+++ b/dewridge/commands/options.py
@@ -77,7 +77,7 @@
 }
 
 
-def find_status(failure: Failure) -> ExitStatus:
+def get_exit_status(failure: Failure) -> ExitStatus:
     """Return the exit status for a failure."""
     return _BY_CODE.get(failure.code) or _BY_OUTCOME[failure.outcome]
 
@@ -87,7 +87,9 @@
     token = read_file(path) if path else os.environ.get(TOKEN_VARIABLE, "")
     token = token.strip()
     if not token or not token.isascii() or not token.isprintable():
-        end_usage(f"no usable token: give --token-file or set {TOKEN_VARIABLE}")
+        exit_with_usage_error(
+            f"no usable token: give --token-file or set {TOKEN_VARIABLE}"
+        )
     return token
 
 
@@ -96,7 +98,9 @@
     try:
         return sys.stdin.read() if str(path) == "-" else path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        end_usage(f"can't read {path}: {getattr(error, 'strerror', 'not UTF-8')}")
+        exit_with_usage_error(
+            f"can't read {path}: {getattr(error, 'strerror', 'not UTF-8')}"
+        )
 
 
 def check_addresses(addresses: list[str]) -> list[str]:
@@ -106,7 +110,9 @@
     split = [part for text in addresses for part in text.replace(",", " ").split()]
     for address in split:
         if not is_address(address):
-            end_usage(f"`{address}` is not an IP number and port such as 10.0.0.7:8080")
+            exit_with_usage_error(
+                f"`{address}` is not an IP number and port such as 10.0.0.7:8080"
+            )
     return split
 
 
@@ -115,19 +121,19 @@
     typer.echo(json.dumps(document, ensure_ascii=False, indent=2))
 
 
-def end_usage(text: str) -> NoReturn:
+def exit_with_usage_error(text: str) -> NoReturn:
     """End a wrong call with one plain line."""
     typer.echo(f"dewridge: {text}", err=True)
     raise typer.Exit(ExitStatus.USAGE)
 
 
-def end_failed(failure: Failure, as_json: bool = False) -> NoReturn:
+def exit_with_failure(failure: Failure, as_json: bool = False) -> NoReturn:
     """End a command that failed with one plain line, or a JSON document."""
     if as_json:
         print_json(describe_failure(failure))
     else:
-        typer.echo(f"dewridge: {explain_failure(failure)}", err=True)
-    raise typer.Exit(find_status(failure))
+        typer.echo(f"dewridge: {format_failure(failure)}", err=True)
+    raise typer.Exit(get_exit_status(failure))
 
 
 def describe_failure(failure: Failure) -> dict[str, Any]:
@@ -141,11 +147,11 @@
     }
 
 
-def explain_failure(failure: Failure) -> str:
+def format_failure(failure: Failure) -> str:
     """Return a failure in one line for people."""
-    from dewridge.codes import TABLE  # noqa: PLC0415
+    from dewridge.codes import CODE_TABLE  # noqa: PLC0415
 
-    parts = [f"{int(failure.code)} {TABLE[failure.code].title}"]
+    parts = [f"{int(failure.code)} {CODE_TABLE[failure.code].title}"]
     if failure.reason:
         parts.append(failure.reason)
     if failure.outcome is not Outcome.NOT_APPLICABLE:
--- a/dewridge/commands/pages.py
+++ b/dewridge/commands/pages.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any, get_args, get_origin
 
-from dewridge.codes import TABLE
+from dewridge.codes import CODE_TABLE
 from dewridge.commands.options import ExitStatus
-from dewridge.settings.loading import find_default, list_options
+from dewridge.settings.loading import get_default, list_options
 from dewridge.settings.schema import Settings
 
 DOCS = Path(__file__).parents[2] / "docs"
@@ -28,7 +28,7 @@
 }
 
 
-def make_codes_page() -> str:
+def render_codes_page() -> str:
     """Return the page of result codes and exit statuses."""
     lines = [
         "# Result codes",
@@ -45,7 +45,7 @@
         "| Code | Name | HTTP | Outcome | Meaning | What to do |",
         "| ---: | --- | ---: | --- | --- | --- |",
     ]
-    for code, entry in TABLE.items():
+    for code, entry in CODE_TABLE.items():
         cells = [
             str(int(code)),
             f"`{code.name}`",
@@ -62,7 +62,7 @@
     return "\n".join([*lines, ""])
 
 
-def make_settings_page() -> str:
+def render_settings_page() -> str:
     """Return the page of settings."""
     lines = [
         "# Settings",
@@ -112,7 +112,7 @@
 def _format_default(option: Any) -> str:
     if option.metadata["required"]:
         return "required"
-    default = find_default(option)
+    default = get_default(option)
     if default in ("", ()):
         return "empty"
     unit = option.metadata["unit"]
@@ -128,7 +128,7 @@
     return f"{metadata['low']:,} to {metadata['high']:,} {metadata['unit']}".strip()
 
 
-PAGES = {"result-codes.md": make_codes_page, "settings.md": make_settings_page}
+PAGES = {"result-codes.md": render_codes_page, "settings.md": render_settings_page}
 
 
 def write_pages() -> None:
--- a/dewridge/commands/profile.py
+++ b/dewridge/commands/profile.py
@@ -8,10 +8,10 @@
     Name,
     ObjectFile,
     Revision,
+    call_operator_api,
     make_path,
     print_change,
-    read_object,
-    run_call,
+    read_named_object,
 )
 from dewridge.commands.options import Addresses, AsJson, TokenFile, print_json
 
@@ -62,9 +62,9 @@
     token_file: TokenFile,
     as_json: bool,
 ) -> None:
-    profile = read_object(file)
+    profile = read_named_object(file)
     path = make_path("profiles", profile["name"])
-    change = run_call(
+    change = call_operator_api(
         address,
         token_file,
         as_json,
@@ -88,7 +88,7 @@
     -a 10.0.0.7:8080 --token-file operator.token
     """
     path = make_path("profiles", name)
-    change = run_call(
+    change = call_operator_api(
         address,
         token_file,
         as_json,
@@ -105,7 +105,7 @@
 
     Example: dewridge profile list -a 10.0.0.7:8080 --token-file operator.token
     """
-    found = run_call(
+    found = call_operator_api(
         address, token_file, as_json, lambda client: client.read("/v1/profiles")
     )
     if as_json:
@@ -136,7 +136,9 @@
     --token-file operator.token
     """
     path = make_path("profiles", name)
-    found = run_call(address, token_file, as_json, lambda client: client.read(path))
+    found = call_operator_api(
+        address, token_file, as_json, lambda client: client.read(path)
+    )
     if not as_json:
         typer.echo(f"revision {found['revision']}", err=True)
     print_json(found if as_json else found["value"])
@@ -156,7 +158,9 @@
     --token-file operator.token
     """
     path = make_path("profiles", name, "report")
-    found = run_call(address, token_file, as_json, lambda client: client.read(path))
+    found = call_operator_api(
+        address, token_file, as_json, lambda client: client.read(path)
+    )
     if as_json:
         print_json(found)
         return
--- a/dewridge/commands/request.py
+++ b/dewridge/commands/request.py
@@ -12,8 +12,8 @@
     TokenFile,
     check_addresses,
     describe_failure,
-    end_failed,
-    end_usage,
+    exit_with_failure,
+    exit_with_usage_error,
     print_json,
     read_file,
     read_token,
@@ -64,7 +64,7 @@
 
     content = _read_input(text, data, file)
     if key and isinstance(parse_key(key), Failure):
-        end_usage("--key must be a UUIDv7")
+        exit_with_usage_error("--key must be a UUIDv7")
     call = Call(service, operation, content, deadline, max_tokens, key)
     on_event = None if as_json else _print_tokens
     answer = _run(check_addresses(address), read_token(token_file), call, on_event)
@@ -74,13 +74,13 @@
         _print_end(answer)
     if not answer.is_whole:
         end = Failure(answer.code, f"{answer.reason} (key {answer.key})".strip())
-        end_failed(Failure(end.code, end.reason, answer.retry_after))
+        exit_with_failure(Failure(end.code, end.reason, answer.retry_after))
 
 
 def _read_input(text: str | None, data: str | None, file: Path | None) -> Any:
     given = [option for option in (text, data, file) if option is not None]
     if len(given) != 1:
-        end_usage("give the input by one of --text, --data and --file")
+        exit_with_usage_error("give the input by one of --text, --data and --file")
     if text is not None:
         return text
     if file is not None:
@@ -88,7 +88,7 @@
     try:
         return json.loads(data or "")
     except (ValueError, RecursionError):
-        end_usage("--data is not JSON")
+        exit_with_usage_error("--data is not JSON")
 
 
 def _run(
--- a/dewridge/commands/serve.py
+++ b/dewridge/commands/serve.py
@@ -30,10 +30,10 @@
     import trio  # noqa: PLC0415 - other commands start faster without it
 
     from dewridge.composition import run_host  # noqa: PLC0415
-    from dewridge.lifecycle import Ending  # noqa: PLC0415
+    from dewridge.lifecycle import ExitReason  # noqa: PLC0415
     from dewridge.logs import set_up_logs  # noqa: PLC0415
 
     set_up_logs(loaded.settings.log)
     ending = trio.run(run_host, loaded.settings)
-    if ending is Ending.FAILED:
+    if ending is ExitReason.FAILED:
         raise typer.Exit(ExitStatus.FAILED)
--- a/dewridge/commands/service.py
+++ b/dewridge/commands/service.py
@@ -8,10 +8,10 @@
     Name,
     ObjectFile,
     Revision,
+    call_operator_api,
     make_path,
     print_change,
-    read_object,
-    run_call,
+    read_named_object,
 )
 from dewridge.commands.options import Addresses, AsJson, TokenFile, print_json
 
@@ -30,7 +30,7 @@
 
     Example: dewridge service list -a 10.0.0.7:8080 --token-file operator.token
     """
-    found = run_call(
+    found = call_operator_api(
         address, token_file, as_json, lambda client: client.read("/v1/services")
     )
     if as_json:
@@ -62,9 +62,9 @@
     Example: dewridge service publish examples/services/registry.json
     -a 10.0.0.7:8080 --token-file operator.token
     """
-    service = read_object(file)
+    service = read_named_object(file)
     path = make_path("services", service["name"])
-    change = run_call(
+    change = call_operator_api(
         address,
         token_file,
         as_json,
@@ -90,7 +90,7 @@
     """
     path = make_path("services", name, "profile")
     body = {"profile": profile}
-    change = run_call(
+    change = call_operator_api(
         address,
         token_file,
         as_json,
--- a/dewridge/composition.py
+++ b/dewridge/composition.py
@@ -19,7 +19,7 @@
 from dewridge.fleet.table import ServerTable
 from dewridge.fleet.watcher import FleetWatcher
 from dewridge.ids import FailureDomain, HostId, Incarnation
-from dewridge.lifecycle import Ending, Lifecycle
+from dewridge.lifecycle import ExitReason, Lifecycle
 from dewridge.membership.model import Member
 from dewridge.membership.registration import Registration
 from dewridge.membership.service import MembershipService
@@ -33,11 +33,11 @@
 from dewridge.requests.service import RequestService
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import Settings
-from dewridge.supervision.dumps import DumpBoard
+from dewridge.supervision.dumps import DumpCollector
 from dewridge.supervision.tree import RestartLimitError, Supervisor
 
 
-async def run_host(settings: Settings) -> Ending:
+async def run_host(settings: Settings) -> ExitReason:
     """Run an entry host until it has left; a fenced one starts anew.
 
     Returns:
@@ -45,23 +45,23 @@
     """
     while True:
         ending = await _run_incarnation(settings)
-        if ending is not Ending.FENCED:
+        if ending is not ExitReason.FENCED:
             return ending
         log.warning("starting as a new incarnation")
 
 
-async def _run_incarnation(settings: Settings) -> Ending:
+async def _run_incarnation(settings: Settings) -> ExitReason:
     lifecycle = Lifecycle()
     async with AsyncExitStack() as stack:
         outside = await _open_outside(settings, stack)
         host = _build_host(settings, lifecycle, outside)
-        ending = Ending.LEFT
+        ending = ExitReason.LEFT
         try:
             await _run_parts(host)
         except* RestartLimitError as group:
             log.error("giving up: {}", group.exceptions[0])
-            ending = Ending.FAILED
-    return Ending.FENCED if lifecycle.fenced.is_set() else ending
+            ending = ExitReason.FAILED
+    return ExitReason.FENCED if lifecycle.fenced.is_set() else ending
 
 
 async def _run_parts(host: "Host") -> None:
@@ -127,7 +127,7 @@
     watcher: FleetWatcher
     requests: RequestService
     supervisor: Supervisor
-    dumps: DumpBoard
+    dumps: DumpCollector
     close_frontend: trio.Event = field(default_factory=trio.Event)
     frontend_closed: trio.Event = field(default_factory=trio.Event)
 
@@ -139,13 +139,13 @@
         frontend closes last, since callers read to the end.
         """
         longest = self.settings.frontend.drain_seconds
-        time_left = self.lifecycle.find_drain_time(longest)
+        time_left = self.lifecycle.compute_drain_time(longest)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.membership.leave)
             nursery.start_soon(self.registration.remove)
-            await self.requests.drain(time_left, self.lifecycle.find_patience())
+            await self.requests.drain(time_left, self.lifecycle.get_answer_grace())
         self.close_frontend.set()
-        with trio.move_on_after(self.lifecycle.find_drain_time(longest)):
+        with trio.move_on_after(self.lifecycle.compute_drain_time(longest)):
             await self.frontend_closed.wait()
         log.info("left")
 
@@ -260,7 +260,7 @@
         watcher,
         requests,
         Supervisor("host", supervision.restarts, supervision.window),
-        DumpBoard(supervision.dump_timeout),
+        DumpCollector(supervision.dump_timeout),
     )
     _add_tasks(host)
     _add_dumps(host)
--- a/dewridge/digests.py
+++ b/dewridge/digests.py
@@ -8,8 +8,8 @@
 DIGEST_BYTES = 8
 
 
-def make_content_digest(
-    account: ClientAccount, head: Iterable[bytes], body: bytes
+def compute_content_digest(
+    account: ClientAccount, call_parts: Iterable[bytes], body: bytes
 ) -> RequestDigest:
     """Return the digest of a request, the same for each repeat of it at any host.
 
@@ -18,11 +18,11 @@
 
     Args:
         account: whose request it is; empty without an account.
-        head: what is asked, in parts that don't run into each other.
+        call_parts: what is asked, in parts that don't run into each other.
         body: the content.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
-    for part in (account.encode(), *head):
+    for part in (account.encode(), *call_parts):
         digest.update(len(part).to_bytes(4, "big"))
         digest.update(part)
     digest.update(body)
--- a/dewridge/frontend/app.py
+++ b/dewridge/frontend/app.py
@@ -24,7 +24,7 @@
 from dewridge.requests.model import Requests
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import Settings
-from dewridge.supervision.dumps import DumpBoard
+from dewridge.supervision.dumps import DumpCollector
 
 
 def build_app(
@@ -34,7 +34,7 @@
     configuration: ConfigurationStore,
     membership: MembershipView,
     usage: ReadUsage,
-    dumps: DumpBoard,
+    dumps: DumpCollector,
     metrics: Metrics,
     is_leaving: Callable[[], bool],
 ) -> QuartTrio:
--- a/dewridge/frontend/events.py
+++ b/dewridge/frontend/events.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewridge.codes import TABLE, ResultCode
+from dewridge.codes import CODE_TABLE, ResultCode
 from dewridge.requests.model import (
     Accepted,
     AnswerEvent,
@@ -118,7 +118,7 @@
     """Describe an end towards a caller."""
     return EndFrame(
         code=int(event.code),
-        outcome=TABLE[event.code].outcome.value,
+        outcome=CODE_TABLE[event.code].outcome.value,
         reason=event.reason,
         retry_after=event.retry_after,
         result=read_result(event.body),
--- a/dewridge/frontend/model.py
+++ b/dewridge/frontend/model.py
@@ -13,7 +13,7 @@
 from dewridge.requests.model import Requests
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import Settings
-from dewridge.supervision.dumps import DumpBoard
+from dewridge.supervision.dumps import DumpCollector
 
 ReadUsage = Callable[[ProfileName], Awaitable[dict[str, float]]]
 """Reads what a profile cost and lost, summed over the entry hosts."""
@@ -63,7 +63,7 @@
     configuration: ConfigurationStore
     membership: MembershipView
     usage: ReadUsage
-    dumps: DumpBoard
+    dumps: DumpCollector
     metrics: Metrics
     tokens: TokenBook
     streams: StreamLimits
--- a/dewridge/frontend/operators.py
+++ b/dewridge/frontend/operators.py
@@ -155,9 +155,9 @@
     @app.get("/metrics")
     @_for_operators(parts)
     async def show_metrics(operator: OperatorName) -> Response:
-        from dewridge.metrics.exposition import CONTENT_TYPE, expose  # noqa: PLC0415
+        from dewridge.metrics.exposition import CONTENT_TYPE, format_metrics  # noqa: PLC0415
 
-        return Response(expose(parts.metrics), content_type=CONTENT_TYPE)
+        return Response(format_metrics(parts.metrics), content_type=CONTENT_TYPE)
 
 
 def _for_operators(parts: FrontendParts) -> Callable[[Handler], Handler]:
--- a/dewridge/frontend/problems.py
+++ b/dewridge/frontend/problems.py
@@ -6,7 +6,7 @@
 import msgspec
 from quart import Response
 
-from dewridge.codes import TABLE, Outcome, ResultCode
+from dewridge.codes import CODE_TABLE, Outcome, ResultCode
 from dewridge.sentinels import Failure
 
 PROBLEM_TYPE = "application/problem+json"
@@ -38,7 +38,7 @@
     failure: Failure, *, status: int | None = None, outcome: Outcome | None = None
 ) -> Problem:
     """Describe a failure, with the table's words unless others are given."""
-    entry = TABLE[failure.code]
+    entry = CODE_TABLE[failure.code]
     return Problem(
         type=f"urn:dewridge:code:{int(failure.code)}",
         title=entry.title,
--- a/dewridge/frontend/streams.py
+++ b/dewridge/frontend/streams.py
@@ -10,7 +10,7 @@
 from quart import Response
 from quart.wrappers.response import ResponseBody
 
-from dewridge.codes import TABLE, ResultCode
+from dewridge.codes import CODE_TABLE, ResultCode
 from dewridge.frontend.events import (
     encode_accepted,
     encode_events,
@@ -235,7 +235,7 @@
 
 def _answer_unfinished(key: RequestKey, addresses: tuple[str, ...]) -> Response:
     code = ResultCode.ACCEPTED
-    entry = TABLE[code]
+    entry = CODE_TABLE[code]
     content = UnfinishedAnswer(key, int(code), entry.outcome.value, addresses)
     answer = answer_json(content, entry.http_status)
     answer.headers["Location"] = f"/v1/requests/{key}"
@@ -248,7 +248,7 @@
     content: Any = WholeAnswer(
         key=key,
         code=int(ended.code),
-        outcome=TABLE[ended.code].outcome.value,
+        outcome=CODE_TABLE[ended.code].outcome.value,
         generation=gathered.generation,
         summary=ended.summary,
         text="".join(gathered.tokens) if not ended.body else None,
--- a/dewridge/gateway/digests.py
+++ b/dewridge/gateway/digests.py
@@ -1,6 +1,6 @@
 """Digests that identify requests of callers by their content."""
 
-from dewridge.digests import make_content_digest
+from dewridge.digests import compute_content_digest
 from dewridge.gateway.model import CallerRequest
 from dewridge.ids import ClientAccount, RequestDigest
 
@@ -12,4 +12,4 @@
     arrive over another connection and at another host.
     """
     head = (request.method, request.target)
-    return make_content_digest(account or ClientAccount(""), head, request.body)
+    return compute_content_digest(account or ClientAccount(""), head, request.body)
--- a/dewridge/gateway/ingress.py
+++ b/dewridge/gateway/ingress.py
@@ -8,7 +8,7 @@
 import trio
 from loguru import logger as log
 
-from dewridge.codes import TABLE, ResultCode
+from dewridge.codes import CODE_TABLE, ResultCode
 from dewridge.gateway.model import AccountKey, AttemptKey, CallerRequest, Limits
 from dewridge.gateway.responder import CallerGoneError, Responder
 from dewridge.http1.headers import find_framing_fault
@@ -301,7 +301,7 @@
     if failure.retry_after is not None:
         headers.append((b"retry-after", f"{failure.retry_after:.3f}".encode()))
     text = f"{failure.code.name}: {failure.reason}\n".encode("ascii", "replace")
-    await responder.send_whole(TABLE[failure.code].http_status, headers, text)
+    await responder.send_whole(CODE_TABLE[failure.code].http_status, headers, text)
 
 
 async def handle_caller(
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -53,11 +53,11 @@
 
     async def _send_metrics(self, out: Responder) -> None:
         # The library takes 12 MB: loaded in the processes that are asked only.
-        from dewridge.metrics.exposition import CONTENT_TYPE, expose  # noqa: PLC0415
+        from dewridge.metrics.exposition import CONTENT_TYPE, format_metrics  # noqa: PLC0415
 
         update_gauges(self._state)
         headers = [(b"content-type", CONTENT_TYPE.encode())]
-        await out.send_whole(200, headers, expose(self._state.metrics))
+        await out.send_whole(200, headers, format_metrics(self._state.metrics))
 
 
 def is_let_through(request: CallerRequest) -> bool:
@@ -94,9 +94,9 @@
             "period_seconds": round(state.sharing.period, 3),
             "heard": state.sharing.reports_received,
             "missed": state.sharing.reports_missed,
-            "datagrams_sent": state.metrics.read("datagrams_sent"),
-            "datagram_bytes_sent": state.metrics.read("datagram_bytes_sent"),
-            "datagrams_outdated": state.metrics.read("datagrams_outdated"),
+            "datagrams_sent": state.metrics.read_counter("datagrams_sent"),
+            "datagram_bytes_sent": state.metrics.read_counter("datagram_bytes_sent"),
+            "datagrams_outdated": state.metrics.read_counter("datagrams_outdated"),
             "holder": state.sharing.holder[1],
         },
         "suspects": [_describe_suspect(one, now) for one in state.suspects.list_all()],
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -296,7 +296,7 @@
         departed = [known for known in self.health if self.servers.find(known) is None]
         for server in departed:
             del self.health[server]
-            self.metrics.forget(SERVER_ANSWER_TIME_METRIC, server=server)
+            self.metrics.remove_histogram(SERVER_ANSWER_TIME_METRIC, server=server)
         self.suspects.drop_expired(trio.current_time())
         self.observed_crashes = {
             digest for digest in self.observed_crashes if self.suspects.find(digest)
--- a/dewridge/ids.py
+++ b/dewridge/ids.py
@@ -45,14 +45,15 @@
     return RequestId(f"{account}/{key}")
 
 
-def make_server_id(name: ServerName, born: int | None) -> BackendServerId:
+def make_server_id(name: ServerName, started_at_ms: int | None) -> BackendServerId:
     """Return the id of one start of a backend server.
 
     Args:
         name: what the server calls itself.
-        born: when that start was, in milliseconds since 1970; None if not told.
+        started_at_ms: when this process started, in milliseconds since 1970; None if
+            not reported.
     """
-    return BackendServerId(name if born is None else f"{name}@{born}")
+    return BackendServerId(name if started_at_ms is None else f"{name}@{started_at_ms}")
 
 
 def split_request_id(request: RequestId) -> tuple[ClientAccount, RequestKey]:
--- a/dewridge/lifecycle.py
+++ b/dewridge/lifecycle.py
@@ -19,7 +19,7 @@
 """Seconds for a drain even when the notice is used up; a handoff takes less."""
 
 
-class Ending(Enum):
+class ExitReason(Enum):
     """Why an incarnation ended."""
 
     LEFT = "left"
@@ -34,32 +34,32 @@
 
     Attributes:
         leaving: set once the host is to leave.
-        leave_by: seconds since 1970 when it is taken away, if that is known.
+        reclaim_at: seconds since 1970 when it is taken away, if that is known.
         fenced: set once peers refuse this incarnation.
     """
 
     leaving: trio.Event = field(default_factory=trio.Event)
-    leave_by: float | None = None
+    reclaim_at: float | None = None
     fenced: trio.Event = field(default_factory=trio.Event)
 
-    def start_leaving(self, leave_by: float | None = None) -> None:
+    def start_leaving(self, reclaim_at: float | None = None) -> None:
         """Leave, by a time if given; the earliest of several counts."""
-        if leave_by is not None:
-            self.leave_by = min(leave_by, self.leave_by or leave_by)
+        if reclaim_at is not None:
+            self.reclaim_at = min(reclaim_at, self.reclaim_at or reclaim_at)
         if not self.leaving.is_set():
             log.info("leaving")
             self.leaving.set()
 
-    def find_drain_time(self, longest: float) -> float:
+    def compute_drain_time(self, max_seconds: float) -> float:
         """Return how many seconds are left to end or hand off requests."""
-        if self.leave_by is None:
-            return longest
-        left = self.leave_by - time.time() - RECLAIM_MARGIN
-        return max(SHORTEST_DRAIN, min(longest, left))
+        if self.reclaim_at is None:
+            return max_seconds
+        left = self.reclaim_at - time.time() - RECLAIM_MARGIN
+        return max(SHORTEST_DRAIN, min(max_seconds, left))
 
-    def find_patience(self) -> float:
+    def get_answer_grace(self) -> float:
         """Return how many seconds answers may still come after the drain's time."""
-        return 0.0 if self.leave_by is None else RECLAIM_MARGIN - ANSWER_MARGIN
+        return 0.0 if self.reclaim_at is None else RECLAIM_MARGIN - ANSWER_MARGIN
 
     async def wait(self) -> None:
         """Wait until this incarnation is to leave or was fenced."""
--- a/dewridge/metrics/exposition.py
+++ b/dewridge/metrics/exposition.py
@@ -24,7 +24,7 @@
 Entry = TypeVar("Entry", bound=tuple[Any, ...])
 
 
-def expose(metrics: Metrics) -> bytes:
+def format_metrics(metrics: Metrics) -> bytes:
     """Return all that a process has counted, in the text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Collector(metrics))
--- a/dewridge/metrics/registry.py
+++ b/dewridge/metrics/registry.py
@@ -38,11 +38,11 @@
             self._histograms[place] = histogram
         histogram.record_value(max(LOWEST_MICROSECONDS, round(seconds * 1e6)))
 
-    def forget(self, name: str, **labels: str) -> None:
+    def remove_histogram(self, name: str, **labels: str) -> None:
         """Drop a duration's record: what its labels name is gone for good."""
         self._histograms.pop((name, tuple(sorted(labels.items()))), None)
 
-    def read(self, name: str, **labels: str) -> float:
+    def read_counter(self, name: str, **labels: str) -> float:
         """Return a counter's value; 0 if it never counted."""
         return self._counters.get((name, tuple(sorted(labels.items()))), 0.0)
 
--- a/dewridge/peers/connection.py
+++ b/dewridge/peers/connection.py
@@ -285,7 +285,7 @@
         while True:
             first: list[Outgoing] = []
             with trio.move_on_after(pause):
-                first.append(await self._mailbox.take())
+                first.append(await self._mailbox.receive())
             data = self._gather(first)
             if trio.current_time() - self._checked_at >= pause:
                 if not self._check_idle(pause):
@@ -297,7 +297,7 @@
     def _gather(self, first: list[Outgoing]) -> bytes:
         frames = []
         now = trio.current_time()
-        for outgoing in first + (self._mailbox.take_all() if first else []):
+        for outgoing in first + (self._mailbox.receive_all() if first else []):
             self._queued_bytes -= len(outgoing.frame)
             if not outgoing.is_withdrawn:
                 outgoing.written_at = now
@@ -376,7 +376,9 @@
             if outgoing.promise is not None:
                 was_sent = outgoing.written_at is not None
                 outgoing.promise.fulfil(maybe_sent if was_sent else never_sent)
-        lost = sum(1 for outgoing in self._mailbox.take_all() if not outgoing.promise)
+        lost = sum(
+            1 for outgoing in self._mailbox.receive_all() if not outgoing.promise
+        )
         if lost:
             self._options.metrics.add("peer_frames_dropped", lost, reason="closed")
 
--- a/dewridge/requests/ending.py
+++ b/dewridge/requests/ending.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger as log
 
-from dewridge.codes import TABLE, Outcome, ResultCode
+from dewridge.codes import CODE_TABLE, Outcome, ResultCode
 from dewridge.ids import HostId
 from dewridge.membership.ranking import find_home
 from dewridge.policy.model import Abandoned
@@ -73,7 +73,7 @@
         record = answer.record
         if record.ended is not None:
             return
-        outcome = TABLE[event.code].outcome
+        outcome = CODE_TABLE[event.code].outcome
         self._shared.metrics.add("requests_ended", code=event.code.name.lower())
         if outcome in (Outcome.UNKNOWN, Outcome.FAILED):
             log.info(
--- a/dewridge/requests/following.py
+++ b/dewridge/requests/following.py
@@ -232,7 +232,7 @@
                         return
                     frame = None
                     with trio.move_on_after(STREAM_CHECK_INTERVAL):
-                        frame = await mailbox.take()
+                        frame = await mailbox.receive()
                     if frame is None:
                         break
                     if frame.moved:
--- a/dewridge/requests/model.py
+++ b/dewridge/requests/model.py
@@ -123,7 +123,7 @@
     """The final result of a request; no event follows it.
 
     Attributes:
-        code: OK, or why there is no complete answer (see `codes.TABLE`).
+        code: OK, or why there is no complete answer (see `codes.CODE_TABLE`).
         body: a plain service's answer as JSON text.
     """
 
--- a/dewridge/requests/outcomes.py
+++ b/dewridge/requests/outcomes.py
@@ -1,6 +1,6 @@
 """Pure functions that determine the final results of requests."""
 
-from dewridge.codes import TABLE, Outcome, ResultCode
+from dewridge.codes import CODE_TABLE, Outcome, ResultCode
 from dewridge.policy.model import AttemptOutcome
 from dewridge.requests.model import AnswerSummary, EndedEvent
 from dewridge.requests.records import Record
@@ -43,13 +43,13 @@
 def make_end_event(record: Record, failure: Failure) -> EndedEvent:
     """Return the end of a failed request; its code reflects what may have run."""
     code = failure.code
-    outcome = TABLE[code].outcome
+    outcome = CODE_TABLE[code].outcome
     if record.maybe_run and outcome in (Outcome.NOT_RUN, Outcome.NOT_APPLICABLE):
         code = _choose_running_code(record, code)
     elif outcome in (Outcome.UNKNOWN, Outcome.NOT_APPLICABLE):
         code = _choose_unknown_code(record, code)
     retry_after = failure.retry_after
-    if TABLE[code].outcome is Outcome.UNKNOWN and retry_after is None:
+    if CODE_TABLE[code].outcome is Outcome.UNKNOWN and retry_after is None:
         retry_after = UNKNOWN_RETRY_AFTER
     return EndedEvent(code, failure.reason, retry_after, summary=summarize(record))
 
--- a/dewridge/requests/records.py
+++ b/dewridge/requests/records.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from dewridge.codes import TABLE, Outcome, ResultCode
+from dewridge.codes import CODE_TABLE, Outcome, ResultCode
 from dewridge.ids import (
     Generation,
     HostId,
@@ -106,7 +106,11 @@
     @property
     def outcome(self) -> Outcome:
         """The outcome of its end, or RUNNING if it has not ended."""
-        return Outcome.RUNNING if self.ended is None else TABLE[self.ended.code].outcome
+        return (
+            Outcome.RUNNING
+            if self.ended is None
+            else CODE_TABLE[self.ended.code].outcome
+        )
 
     @property
     def state(self) -> RequestState:
@@ -136,7 +140,7 @@
         Outcome.NOT_RUN: RequestState.REFUSED,
         Outcome.UNKNOWN: RequestState.UNKNOWN,
     }
-    return states.get(TABLE[code].outcome, RequestState.FAILED)
+    return states.get(CODE_TABLE[code].outcome, RequestState.FAILED)
 
 
 def make_record(
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -64,7 +64,7 @@
 )
 from dewridge.sentinels import Failure
 from dewridge.settings.schema import RequestSettings
-from dewridge.supervision.tree import Run
+from dewridge.supervision.tree import TaskFunction
 
 CLEANUP_INTERVAL = 2.0
 """Seconds between two removals of expired records and answers."""
@@ -197,7 +197,7 @@
         peers.handle(wire.Handoff, self._taker.receive_handoff)
         peers.handle(wire.Cancel, self._serve_cancel)
 
-    def list_tasks(self) -> list[tuple[str, Run]]:
+    def list_tasks(self) -> list[tuple[str, TaskFunction]]:
         """Return the names and functions of the tasks that the supervisor runs."""
         return [
             ("jobs", self._shared.jobs.run),
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -7,7 +7,7 @@
 from loguru import logger as log
 
 from dewridge.codes import ResultCode
-from dewridge.digests import make_content_digest
+from dewridge.digests import compute_content_digest
 from dewridge.fleet.model import BackendServer, ServerState
 from dewridge.ids import (
     BackendServerId,
@@ -206,4 +206,4 @@
 ) -> RequestDigest:
     """Return a digest of a request's content, independent of its key."""
     head = (service.encode(), operation.encode())
-    return make_content_digest(account, head, content.encode())
+    return compute_content_digest(account, head, content.encode())
--- a/dewridge/sentinels.py
+++ b/dewridge/sentinels.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from dewridge.codes import TABLE, Outcome, ResultCode
+from dewridge.codes import CODE_TABLE, Outcome, ResultCode
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     @property
     def outcome(self) -> Outcome:
         """What the code says about the caller's request."""
-        return TABLE[self.code].outcome
+        return CODE_TABLE[self.code].outcome
 
     @property
     def is_not_run(self) -> bool:
--- a/dewridge/settings/checks.py
+++ b/dewridge/settings/checks.py
@@ -12,7 +12,7 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 DIGEST = re.compile(r"[0-9a-fA-F]{64}")
 EMPTY_DIGEST = hashlib.sha256(b"").hexdigest()
-ANY_ADDRESSES = ("0.0.0.0", "::")
+WILDCARD_ADDRESSES = ("0.0.0.0", "::")
 
 Identity = AccountSettings | OperatorSettings
 
@@ -76,7 +76,7 @@
     for section, part in (("frontend", frontend), ("peers", peers)):
         if not _is_number(part.address):
             yield Problem(f"{section}.address", "must be an IP number")
-        elif part.address in ANY_ADDRESSES and not part.advertised:
+        elif part.address in WILDCARD_ADDRESSES and not part.advertised:
             text = "is needed, since others can't connect to the address listened on"
             yield Problem(f"{section}.advertised", text)
         if part.advertised and not is_address(part.advertised):
--- a/dewridge/settings/loading.py
+++ b/dewridge/settings/loading.py
@@ -16,7 +16,7 @@
 Check = Callable[[Schema], tuple[list[Problem], list[Problem]]]
 """Returns the errors and the warnings of settings that fit their schema."""
 
-FILE_LIMIT = 1_000_000
+MAX_FILE_BYTES = 1_000_000
 """Bytes of a settings file. The parser is slow on large input, and a file of
 this size is no settings file: a wrong path would hang the start instead."""
 
@@ -61,8 +61,8 @@
     """Check a file's content against a schema, then by a function, and build it."""
     import json5  # noqa: PLC0415
 
-    if len(raw) > FILE_LIMIT:
-        return _fail(f"larger than {FILE_LIMIT} bytes")
+    if len(raw) > MAX_FILE_BYTES:
+        return _fail(f"larger than {MAX_FILE_BYTES} bytes")
     try:
         document = json5.loads(raw.decode(), object_pairs_hook=Pairs)
     except UnicodeDecodeError as error:
@@ -117,7 +117,7 @@
             elif option.metadata["required"]:
                 self._note(place, f"is missing. {option.metadata['description']}")
             else:
-                found[option.name] = find_default(option)
+                found[option.name] = get_default(option)
         return None if self.errors else section(**found)
 
     def _gather_names(self, section: type, value: Pairs, path: str) -> dict[str, Any]:
@@ -204,7 +204,7 @@
     return f"{path}.{shown}" if path else shown
 
 
-def find_default(option: Field[Any]) -> Any:
+def get_default(option: Field[Any]) -> Any:
     """Return the value of an option that the file does not name."""
     if option.default_factory is not MISSING:
         return option.default_factory()
--- a/dewridge/supervision/dumps.py
+++ b/dewridge/supervision/dumps.py
@@ -5,19 +5,19 @@
 
 import trio
 
-Describe = Callable[[], Awaitable[Any]]
+DescribeState = Callable[[], Awaitable[Any]]
 """Returns a part's state as plain JSON values, asked of the task that owns it.
 It holds no token, prompt or answer."""
 
 
-class DumpBoard:
+class DumpCollector:
     """The parts of this process that can describe themselves."""
 
     def __init__(self, timeout: float = 1.0) -> None:
         self._timeout = timeout
-        self._parts: dict[str, Describe] = {}
+        self._parts: dict[str, DescribeState] = {}
 
-    def add(self, part: str, describe: Describe) -> None:
+    def add(self, part: str, describe: DescribeState) -> None:
         """Register a part."""
         self._parts[part] = describe
 
@@ -32,7 +32,7 @@
         found: dict[str, Any] = {}
         missing: dict[str, str] = {}
 
-        async def ask(part: str, describe: Describe) -> None:
+        async def ask(part: str, describe: DescribeState) -> None:
             try:
                 with trio.fail_after(self._timeout):
                     found[part] = await describe()
--- a/dewridge/supervision/mailbox.py
+++ b/dewridge/supervision/mailbox.py
@@ -32,11 +32,11 @@
         """Leave a message, waiting while the mailbox is full."""
         await self._send.send(message)
 
-    async def take(self) -> T:
+    async def receive(self) -> T:
         """Wait for the next message."""
         return await self._receive.receive()
 
-    def take_all(self) -> list[T]:
+    def receive_all(self) -> list[T]:
         """Take what lies here now, without waiting."""
         messages: list[T] = []
         while True:
--- a/dewridge/supervision/tree.py
+++ b/dewridge/supervision/tree.py
@@ -7,13 +7,13 @@
 import trio
 from loguru import logger as log
 
-Run = Callable[[], Awaitable[None]]
+TaskFunction = Callable[[], Awaitable[None]]
 """What a task does; it opens what it owns on an exit stack of its own."""
 
-FIRST_PAUSE = 0.05
+INITIAL_BACKOFF = 0.05
 """Seconds before the first restart. A task that fails at once on a fault that
-lasts would otherwise use a whole core; the pause doubles up to LAST_PAUSE."""
-LAST_PAUSE = 2.0
+lasts would otherwise use a whole core; the pause doubles up to MAX_BACKOFF."""
+MAX_BACKOFF = 2.0
 
 
 class RestartLimitError(Exception):
@@ -25,7 +25,7 @@
     """A supervised task and how often it was restarted lately."""
 
     name: str
-    run: Run
+    run: TaskFunction
     restarts: deque[float] = field(default_factory=deque)
     total_restarts: int = 0
     last_error: str = ""
@@ -47,7 +47,7 @@
         self._window = window
         self._children: list[Child] = []
 
-    def add(self, name: str, run: Run) -> None:
+    def add(self, name: str, run: TaskFunction) -> None:
         """Add a task; call before `run`."""
         self._children.append(Child(name, run))
 
@@ -89,7 +89,7 @@
 
     def _find_pause(self, child: Child) -> float:
         doublings = max(0, len(child.restarts) - 1)
-        return min(LAST_PAUSE, FIRST_PAUSE * 2.0**doublings)
+        return min(MAX_BACKOFF, INITIAL_BACKOFF * 2.0**doublings)
 
     def describe(self) -> dict[str, object]:
         """Return each task's state, for a dump."""
--- a/dewridge/tests/configuration/service_tests.py
+++ b/dewridge/tests/configuration/service_tests.py
@@ -60,7 +60,9 @@
         network: dict[str, DirectPeers] = {}
         self.memberships = [FakeMembership(list(members), m.host) for m in members]
         for membership in self.memberships:
-            membership.others = [m for m in self.memberships if m is not membership]
+            membership.linked_fakes = [
+                m for m in self.memberships if m is not membership
+            ]
         self.peers = [DirectPeers(network, m.address) for m in members]
         settings = PlatformSettings(key_value="", host_list="", cloud="")
         self.hosts = [
@@ -80,7 +82,7 @@
         ]
         for membership in self.memberships:
             for member in members:
-                membership.change(member)
+                membership.update_member(member)
 
     def revisions(self) -> list[int]:
         return [host.current().revision for host in self.hosts]
@@ -146,7 +148,7 @@
     # operator who is told "failed" would publish again, or believe that the old
     # profile is still in force.
     fleet = Fleet(3)
-    fleet.key_value.lost_answers = 2
+    fleet.key_value.answers_to_lose = 2
     assert await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA) == 1
     head = json.loads(fleet.key_value.entries[HEAD].value)
     assert [change["revision"] for change in head["recent"]] == [1]
@@ -157,7 +159,7 @@
 ) -> None:
     # Here the write itself is lost and nobody can tell that from a lost answer.
     fleet = Fleet(3)
-    fleet.key_value.lost_writes = 2
+    fleet.key_value.writes_to_lose = 2
     assert await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA) == 1
 
 
@@ -216,7 +218,7 @@
     assert cut.check_fresh() is None
     for number in range(1, 4):
         dead = dataclasses.replace(make_member(number), state=MemberState.DEAD)
-        membership.change(dead)
+        membership.update_member(dead)
     await trio.sleep(9)
     stale = cut.check_fresh()
     assert stale is not None
@@ -270,7 +272,7 @@
     # Berta's change without a conflict, and her host would serve her values
     # under Berta's revision.
     fleet = Fleet(2)
-    fleet.key_value.lost_answers = 2
+    fleet.key_value.answers_to_lose = 2
     told: list[int | Failure] = []
 
     async def publish() -> None:
--- a/dewridge/tests/fakes.py
+++ b/dewridge/tests/fakes.py
@@ -16,15 +16,15 @@
 
     Attributes:
         is_down: every call fails as if it had not been sent.
-        lost_answers: so many writes take effect while their answer is lost.
-        lost_writes: so many writes are lost before they take effect, unknown.
+        answers_to_lose: so many writes take effect while their answer is lost.
+        writes_to_lose: so many writes are lost before they take effect, unknown.
     """
 
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}
         self.is_down = False
-        self.lost_answers = 0
-        self.lost_writes = 0
+        self.answers_to_lose = 0
+        self.writes_to_lose = 0
         self.calls: list[str] = []
         self._revision = 0
         self._changed = trio.Event()
@@ -53,8 +53,8 @@
         if failure is not None:
             return failure
         self.before_swap(key)
-        if self.lost_writes > 0:
-            self.lost_writes -= 1
+        if self.writes_to_lose > 0:
+            self.writes_to_lose -= 1
             return Failure(ResultCode.KEY_VALUE_UNKNOWN, "lost")
         present = self.entries.get(key)
         if (present.revision if present else 0) != expected_revision:
@@ -62,8 +62,8 @@
         return self._answer(self.write(key, value))
 
     def _answer(self, entry: Entry) -> Entry | Failure:
-        if self.lost_answers > 0:
-            self.lost_answers -= 1
+        if self.answers_to_lose > 0:
+            self.answers_to_lose -= 1
             return Failure(ResultCode.KEY_VALUE_UNKNOWN, "answer lost")
         return entry
 
@@ -107,29 +107,29 @@
     """A membership that a test sets by hand; rumors reach its other fakes."""
 
     def __init__(self, members: list[Member], host: str) -> None:
-        self.all = {member.host: member for member in members}
+        self.members_by_host = {member.host: member for member in members}
         self._host = HostId(host)
         self._listeners: list[Callable[[Member], None]] = []
         self._rumor_listeners: dict[str, list[Callable[[Rumor], None]]] = {}
         self.rumors: dict[tuple[str, str], Rumor] = {}
-        self.others: list[FakeMembership] = []
+        self.linked_fakes: list[FakeMembership] = []
 
     @property
     def me(self) -> Member:
-        return self.all[self._host]
+        return self.members_by_host[self._host]
 
     def members(self) -> list[Member]:
-        return [m for m in self.all.values() if m.state.value < 3]
+        return [m for m in self.members_by_host.values() if m.state.value < 3]
 
     def find(self, host: HostId) -> Member | None:
-        return self.all.get(host)
+        return self.members_by_host.get(host)
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
         self._listeners.append(listener)
 
-    def change(self, member: Member) -> None:
+    def update_member(self, member: Member) -> None:
         """Change a member, as probes would."""
-        self.all[member.host] = member
+        self.members_by_host[member.host] = member
         for listener in self._listeners:
             listener(member)
 
@@ -141,7 +141,7 @@
         self.rumors[place] = rumor
         for listener in self._rumor_listeners.get(rumor.kind, []):
             listener(rumor)
-        for other in self.others:
+        for other in self.linked_fakes:
             other.spread(rumor)
 
     def subscribe_rumors(self, kind: str, listener: Callable[[Rumor], None]) -> None:
--- a/dewridge/tests/fleet/watcher_tests.py
+++ b/dewridge/tests/fleet/watcher_tests.py
@@ -80,7 +80,7 @@
         self.platform = FakePlatform()
         self.views = [FakeMembership(members, m.host) for m in members]
         for view in self.views:
-            view.others = [other for other in self.views if other is not view]
+            view.linked_fakes = [other for other in self.views if other is not view]
         self.own_notices: list[tuple[int, float]] = []
         self.tables = [ServerTable(self.clock) for _ in members]
         self.watchers = [self.make_watcher(n) for n in range(len(members))]
@@ -184,7 +184,7 @@
     await fleet.step()
     lonely = next(n for n in range(8) if not fleet.watchers[n].must_poll())
     for view in fleet.views:
-        view.others = []
+        view.linked_fakes = []
     for _ in range(30):
         fleet.clock.now += SETTINGS.poll_period
     assert fleet.watchers[lonely].must_poll()
--- a/dewridge/tests/frontend/fakes.py
+++ b/dewridge/tests/frontend/fakes.py
@@ -52,7 +52,7 @@
     PlatformSettings,
     Settings,
 )
-from dewridge.supervision.dumps import DumpBoard
+from dewridge.supervision.dumps import DumpCollector
 
 AUDITOR = "auditor-token"
 RIVAL = "rival-token"
@@ -286,7 +286,7 @@
         configuration=FakeConfiguration(),
         membership=membership or FakeMembership([make_member("host-1", "zona-a")]),
         usage=read_usage,
-        dumps=DumpBoard(0.2),
+        dumps=DumpCollector(0.2),
         metrics=Metrics(),
         is_leaving=lambda: is_leaving,
     )
--- a/dewridge/tests/metrics/exposition_tests.py
+++ b/dewridge/tests/metrics/exposition_tests.py
@@ -2,7 +2,7 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from dewridge.metrics.exposition import expose
+from dewridge.metrics.exposition import format_metrics
 from dewridge.metrics.registry import Metrics
 
 
@@ -14,7 +14,7 @@
     metrics.set_gauge("queue", 4)
     for seconds in (0.1, 0.1, 0.4):
         metrics.observe("wait_seconds", seconds, operation="x")
-    text = expose(metrics).decode()
+    text = format_metrics(metrics).decode()
     assert text.count("# TYPE dewridge_answers_total counter") == 1
     families = {family.name: family for family in text_string_to_metric_families(text)}
     answers = families["dewridge_answers"].samples
--- a/dewridge/tests/requests/history_tests.py
+++ b/dewridge/tests/requests/history_tests.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewridge.codes import TABLE, Outcome, ResultCode
+from dewridge.codes import CODE_TABLE, Outcome, ResultCode
 from dewridge.ids import RequestKey
 from dewridge.requests.model import Accepted
 from dewridge.sentinels import Failure
@@ -88,7 +88,7 @@
             ended = story.seen.ended
             if ended is not None:
                 story.results.append((story.number, ended.code))
-                outcome = TABLE[ended.code].outcome
+                outcome = CODE_TABLE[ended.code].outcome
                 story.is_finished = outcome in (Outcome.DONE, Outcome.FAILED)
                 story.is_finished |= self._rng.random() < 0.3
                 if not story.is_finished:
@@ -185,7 +185,7 @@
             f"{story.operation} ran {runs} times: {story}"
         )
     last = [code for number, code in story.results if number == story.number]
-    if any(TABLE[code].outcome is Outcome.NOT_RUN for code in last):
+    if any(CODE_TABLE[code].outcome is Outcome.NOT_RUN for code in last):
         assert runs == 0, f"reported as not run, but ran {runs} times: {story}"
     ended = story.seen.ended
     if ended is None or ended.code is not ResultCode.OK:
@@ -239,6 +239,6 @@
         for story in stories:
             check_story(cluster, story)
         for node in cluster.nodes.values():
-            assert node.metrics.read("request_job_faults") == 0
+            assert node.metrics.read_counter("request_job_faults") == 0
 
     run_cluster(scenario, size=6, seed=seed)
--- a/dewridge/tests/supervision/tree_tests.py
+++ b/dewridge/tests/supervision/tree_tests.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from dewridge.supervision.dumps import DumpBoard
+from dewridge.supervision.dumps import DumpCollector
 from dewridge.supervision.mailbox import Mailbox
 from dewridge.supervision.tree import RestartLimitError, Supervisor
 
@@ -50,7 +50,7 @@
     async def answer() -> dict[str, int]:
         return {"size": 3}
 
-    board = DumpBoard(timeout=0.05)
+    board = DumpCollector(timeout=0.05)
     board.add("good", answer)
     board.add("hung", trio.sleep_forever)
     with trio.fail_after(2):
@@ -65,4 +65,4 @@
     mailbox: Mailbox[int] = Mailbox(2)
     assert [mailbox.post(n) for n in range(3)] == [True, True, False]
     assert mailbox.dropped == 1
-    assert mailbox.take_all() == [0, 1]
+    assert mailbox.receive_all() == [0, 1]
