--- a/dewridge/commands/__init__.py
+++ b/dewridge/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One small module for each command of the command line."""
+"""The commands of the command line, one module for each."""
--- a/dewridge/commands/check_settings.py
+++ b/dewridge/commands/check_settings.py
@@ -1,4 +1,4 @@
-"""`dewridge check-settings`: all errors and warnings of a settings file."""
+"""`dewridge check-settings`: report errors and warnings of a settings file."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -22,8 +22,8 @@
     if as_json:
         print_json(
             {
-                "errors": [describe(each) for each in loaded.errors],
-                "warnings": [describe(each) for each in loaded.warnings],
+                "errors": [describe_problem(problem) for problem in loaded.errors],
+                "warnings": [describe_problem(problem) for problem in loaded.warnings],
             }
         )
     else:
@@ -34,13 +34,13 @@
         raise typer.Exit(ExitStatus.USAGE)
 
 
-def describe(problem: Problem) -> dict[str, str]:
-    """Return a problem for machines."""
+def describe_problem(problem: Problem) -> dict[str, str]:
+    """Return a problem as a JSON object."""
     return {"path": problem.path, "text": problem.text}
 
 
 def print_problems(loaded: LoadedSettings[Any]) -> None:
-    """Print the problems of a settings file, one line each."""
+    """Print the problems of a settings file, one line problem."""
     for problem in loaded.errors:
         typer.echo(f"error: {problem}", err=True)
     for problem in loaded.warnings:
--- a/dewridge/commands/codes.py
+++ b/dewridge/commands/codes.py
@@ -1,4 +1,4 @@
-"""`dewridge codes`: the table of result codes."""
+"""`dewridge codes`: list the result codes."""
 
 from typing import Annotated
 
@@ -14,14 +14,14 @@
     ] = None,
     as_json: AsJson = False,
 ) -> None:
-    """List the result codes with what each says and what to do.
+    """List the result codes with their meaning and the advised action.
 
     Example: dewridge codes 204
     """
-    shown = {
+    selected = {
         code: CODE_TABLE[code] for code in CODE_TABLE if number in (None, int(code))
     }
-    if not shown:
+    if not selected:
         exit_with_usage_error(f"there is no code {number}")
     if as_json:
         print_json(
@@ -34,10 +34,10 @@
                     "title": entry.title,
                     "advice": entry.advice,
                 }
-                for code, entry in shown.items()
+                for code, entry in selected.items()
             ]
         )
         return
-    for code, entry in shown.items():
+    for code, entry in selected.items():
         typer.echo(f"{int(code):>4}  {entry.outcome.value:<14}  {entry.title}.")
         typer.echo(f"      {entry.advice}")
--- a/dewridge/commands/demo.py
+++ b/dewridge/commands/demo.py
@@ -1,4 +1,4 @@
-"""`dewridge demo`: the main job on a deployment of this machine."""
+"""`dewridge demo`: run a demonstration on a local deployment."""
 
 import typer
 
@@ -6,7 +6,7 @@
 
 
 def demo() -> None:
-    """Start a small deployment on loopback and run the main job through it.
+    """Start a small deployment on loopback and send sample calls through it.
 
     Example: dewridge demo
     """
@@ -15,16 +15,16 @@
     from dewridge.testbed.demonstration import demonstrate  # noqa: PLC0415
     from dewridge.testbed.processes import StartError  # noqa: PLC0415
 
-    def tell(line: str) -> None:
+    def print_line(line: str) -> None:
         typer.echo(line)
 
     try:
-        good = trio.run(demonstrate, tell)
+        is_successful = trio.run(demonstrate, print_line)
     except* StartError as group:
         typer.echo(f"error: {group.exceptions[0]}", err=True)
-        good = False
+        is_successful = False
     except* KeyboardInterrupt:
         typer.echo("interrupted", err=True)
         raise typer.Exit(130) from None
-    if not good:
+    if not is_successful:
         raise typer.Exit(ExitStatus.FAILED)
--- a/dewridge/commands/dump.py
+++ b/dewridge/commands/dump.py
@@ -1,4 +1,4 @@
-"""`dewridge dump`: the state of entry hosts' processes."""
+"""`dewridge dump`: print state dumps of entry hosts."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -23,21 +23,21 @@
 def dump(
     *, address: Addresses, token_file: TokenFile = None, as_json: AsJson = False
 ) -> None:
-    """Print each given entry host's state: one part for each of its tasks.
+    """Print the state of each given entry host, one part for each of its tasks.
 
-    A part that does not answer in time is named under `missing`. The document
-    is JSON with and without --json; it holds no token, prompt or answer.
+    A part that does not answer in time is listed under `missing`. The output is
+    JSON with and without --json; it contains no token, prompt or answer.
 
     Example: dewridge dump -a 10.0.0.7:8080 --token-file operator.token
     """
     addresses = check_addresses(address)
 
     async def collect(client: "OperatorClient") -> dict[str, Any]:
-        return {each: await client.read_at(each, "/v1/dump") for each in addresses}
+        return {host: await client.read_at(host, "/v1/dump") for host in addresses}
 
     dumps = call_operator_api(address, token_file, as_json, collect)
-    failed = {key: value for key, value in dumps.items() if isinstance(value, Failure)}
-    shown = {key: describe_failure(value) for key, value in failed.items()}
-    print_json({**dumps, **shown})
-    if failed:
+    failures = {host: dump for host, dump in dumps.items() if isinstance(dump, Failure)}
+    described = {host: describe_failure(failure) for host, failure in failures.items()}
+    print_json({**dumps, **described})
+    if failures:
         raise typer.Exit(ExitStatus.UNREACHABLE)
--- a/dewridge/commands/entry_hosts.py
+++ b/dewridge/commands/entry_hosts.py
@@ -1,4 +1,4 @@
-"""`dewridge entry-hosts`: which addresses callers should use."""
+"""`dewridge entry-hosts`: list the entry hosts that callers should use."""
 
 import typer
 
@@ -17,7 +17,7 @@
 def entry_hosts(
     address: Addresses, token_file: TokenFile = None, as_json: AsJson = False
 ) -> None:
-    """Show the entry hosts for your client account, the best first.
+    """Show the entry hosts for your client account, in order of preference.
 
     Example: dewridge entry-hosts -a 10.0.0.7:8080 --token-file account.token
     """
@@ -29,16 +29,19 @@
 
     async def fetch() -> None:
         async with Client(addresses, token) as client:
-            listed = await client.list_entry_hosts()
-        if isinstance(listed, Failure):
-            exit_with_failure(listed, as_json)
-        hosts = [(host.address, host.failure_domain) for host in listed.hosts]
+            entry_list = await client.list_entry_hosts()
+        if isinstance(entry_list, Failure):
+            exit_with_failure(entry_list, as_json)
+        hosts = [(host.address, host.failure_domain) for host in entry_list.hosts]
         if as_json:
-            rows = [{"address": where, "failure_domain": at} for where, at in hosts]
-            print_json({"hosts": rows, "ttl": listed.ttl})
+            rows = [
+                {"address": host_address, "failure_domain": failure_domain}
+                for host_address, failure_domain in hosts
+            ]
+            print_json({"hosts": rows, "ttl": entry_list.ttl})
             return
-        for where, domain in hosts:
-            typer.echo(f"{where:<24} {domain}")
-        typer.echo(f"keep for {listed.ttl:g} s")
+        for host_address, domain in hosts:
+            typer.echo(f"{host_address:<24} {domain}")
+        typer.echo(f"keep for {entry_list.ttl:g} s")
 
     trio.run(fetch)
--- a/dewridge/commands/explain.py
+++ b/dewridge/commands/explain.py
@@ -1,4 +1,4 @@
-"""`dewridge explain`: tell from logs what became of one request."""
+"""`dewridge explain`: reconstruct the history of one request from logs."""
 
 import sys
 from pathlib import Path
@@ -17,30 +17,30 @@
         typer.Argument(help="Log files of gateways; none: standard input."),
     ] = None,
 ) -> None:
-    """Print the story of one request from the log lines of several hosts.
+    """Print the history of one request from the log lines of several hosts.
 
-    Lines marked with * tell of the request itself, the others of what its hosts
-    came to believe around it.
+    Lines marked with * are about the request itself. The others record changes
+    of state that its hosts observed around the same time.
 
     Example: dewridge explain 3a7f90b2 gateway-1.log gateway-2.log
     """
-    story = explain_request(_read(logs or []), request)
-    if not story:
+    history = explain_request(_read_logs(logs or []), request)
+    if not history:
         typer.echo(f"dewridge: no line tells of {request}", err=True)
         raise typer.Exit(ExitStatus.FAILED)
-    for line in story:
+    for line in history:
         typer.echo(line)
 
 
-def _read(logs: list[Path]) -> list[LogLine]:
+def _read_logs(logs: list[Path]) -> list[LogLine]:
     if not logs:
         return list(read_lines(sys.stdin))
-    found: list[LogLine] = []
+    lines: list[LogLine] = []
     for path in logs:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
-                found += read_lines(file)
+                lines += read_lines(file)
         except OSError as error:
             typer.echo(f"dewridge: {path}: {error.strerror or error}", err=True)
             raise typer.Exit(ExitStatus.USAGE) from error
-    return found
+    return lines
--- a/dewridge/commands/load.py
+++ b/dewridge/commands/load.py
@@ -1,4 +1,4 @@
-"""`dewridge load`: puts a deployment's mix of calls on entry hosts or on servers."""
+"""`dewridge load`: generate load on entry hosts or backend servers."""
 
 import json
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 from dewridge.commands.options import ExitStatus, exit_with_usage_error, read_file
 
-DEFAULT_RATE = 20.0
+DEFAULT_RATE = 20.0  # calls a second
 DEFAULT_SECONDS = 20.0
 
 
@@ -40,16 +40,16 @@
     seed: Annotated[int, typer.Option(help="Makes a run repeatable.")] = 1,
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Call entry hosts, or backend servers directly, and print what it measured.
+    """Call entry hosts, or backend servers directly, and print the measurements.
 
-    Calls arrive at their own times, whether or not the earlier ones have been
-    answered, and all latencies count from the time at which a call should have
-    been sent. Exit status 0 when every call was answered in full, 1 when some
-    were not, 2 for a wrong call.
+    The load is open-loop: calls are sent on schedule, whether or not earlier ones
+    have been answered, and latencies are measured from the scheduled send time.
+    Exit status 0 when every call was answered in full, 1 when some were not,
+    2 for a usage error.
 
     Example: dewridge load --entry-host 127.0.0.1:8080 --token cooperativa=TOKEN
     """
-    # Late imports: only this command needs the libraries below it.
+    # Imported here since only this command needs these libraries.
     import httpx  # noqa: PLC0415
     import trio  # noqa: PLC0415
 
@@ -78,19 +78,22 @@
         quiet=as_json,
     )
     try:
-        figures = trio.run(run_load, options)
+        report = trio.run(run_load, options)
     except OptionError as error:
         exit_with_usage_error(str(error))
     except httpx.HTTPError as error:
         exit_with_usage_error(f"no entry list from {entry_host[0]}: {error}")
-    typer.echo(json.dumps(figures) if as_json else format_report(figures))
-    if set(figures["total"]["outcomes"]) - {ANSWERED}:
+    typer.echo(json.dumps(report) if as_json else format_report(report))
+    if set(report["total"]["outcomes"]) - {ANSWERED}:
         raise typer.Exit(ExitStatus.FAILED)
 
 
-def split_pairs(pairs: list[str], form: str) -> list[tuple[str, str]]:
-    """Split options of the form NAME=VALUE; the value is never repeated."""
-    split = [pair.partition("=") for pair in pairs]
-    if not all(name and value for name, _, value in split):
-        exit_with_usage_error(f"write {form}")
-    return [(name, value) for name, _, value in split]
+def split_pairs(pairs: list[str], expected_form: str) -> list[tuple[str, str]]:
+    """Split options of the form NAME=VALUE.
+
+    The error message shows only the expected form, since values may be tokens.
+    """
+    parts = [pair.partition("=") for pair in pairs]
+    if not all(name and value for name, _, value in parts):
+        exit_with_usage_error(f"write {expected_form}")
+    return [(name, value) for name, _, value in parts]
--- a/dewridge/commands/operating.py
+++ b/dewridge/commands/operating.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share."""
+"""Arguments and helpers shared by the operator commands."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -38,15 +38,15 @@
     as_json: bool,
     call: "Callable[[OperatorClient], Awaitable[Any]]",
 ) -> Any:
-    """Make one call of the operators' interface; ends the command if it fails."""
+    """Call the operator API once and return the result; a failure ends the command."""
     import trio  # noqa: PLC0415
 
     from dewridge.client.operators import OperatorClient  # noqa: PLC0415
 
-    checked, token = check_addresses(addresses), read_token(token_file)
+    checked_addresses, token = check_addresses(addresses), read_token(token_file)
 
     async def run() -> Any:
-        async with OperatorClient(checked, token) as client:
+        async with OperatorClient(checked_addresses, token) as client:
             return await call(client)
 
     result = trio.run(run)
@@ -56,7 +56,10 @@
 
 
 def read_named_object(path: Path) -> dict[str, Any]:
-    """Return the object of a JSON file with comments; ends if it is none."""
+    """Return the named object that a JSON file with comments contains.
+
+    The command ends with a usage error if the file contains none.
+    """
     import json5  # noqa: PLC0415
 
     try:
@@ -69,12 +72,12 @@
 
 
 def make_path(*parts: str) -> str:
-    """Return a path of the interface, its parts quoted."""
+    """Return an API path with its parts URL-quoted."""
     return "/v1/" + "/".join(quote(part, safe="") for part in parts)
 
 
 def print_change(change: Any, as_json: bool) -> None:
-    """Print an accepted change."""
+    """Print the name and revision of an accepted change."""
     if as_json:
         print_json(change)
     else:
--- a/dewridge/commands/options.py
+++ b/dewridge/commands/options.py
@@ -1,4 +1,4 @@
-"""Options that commands share, and how commands end."""
+"""Options shared by the commands, and their exit statuses and error output."""
 
 import json
 import os
@@ -17,24 +17,24 @@
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses of every command; documented in the operators' guide."""
+    """Exit statuses of all commands, as documented in the operators' guide."""
 
     DONE = 0
-    """Done as asked."""
+    """The command succeeded."""
     FAILED = 1
-    """It ran and failed."""
+    """The operation ran and failed."""
     USAGE = 2
-    """A wrong call: an option, a file or the settings are at fault."""
+    """Usage error: an option, a file or the settings are invalid."""
     NOT_RUN = 3
-    """Refused: nothing was run or changed; come back later."""
+    """Rejected: nothing was run or changed; retry later."""
     UNKNOWN = 4
-    """The outcome is unknown; ask again by the key."""
+    """The outcome is unknown; query it by the request key."""
     UNREACHABLE = 5
     """No entry host could be reached."""
     CONFLICT = 6
-    """Someone changed it first; read it again."""
+    """A concurrent change came first; read the object again."""
     REFUSED = 7
-    """The token does not allow this, or there is none."""
+    """The token is missing or does not permit the operation."""
 
 
 STATUSES_HELP = (
@@ -60,14 +60,14 @@
 ]
 AsJson = Annotated[bool, typer.Option("--json", help="Print one JSON document.")]
 
-_BY_CODE = {
+_STATUS_BY_CODE = {
     ResultCode.PEER_UNREACHABLE: ExitStatus.UNREACHABLE,
     ResultCode.REVISION_CONFLICT: ExitStatus.CONFLICT,
     ResultCode.UNAUTHENTICATED: ExitStatus.REFUSED,
     ResultCode.FORBIDDEN: ExitStatus.REFUSED,
     ResultCode.CHANGE_UNKNOWN: ExitStatus.UNKNOWN,
 }
-_BY_OUTCOME = {
+_STATUS_BY_OUTCOME = {
     Outcome.DONE: ExitStatus.DONE,
     Outcome.RUNNING: ExitStatus.DONE,
     Outcome.NOT_RUN: ExitStatus.NOT_RUN,
@@ -79,11 +79,14 @@
 
 def get_exit_status(failure: Failure) -> ExitStatus:
     """Return the exit status for a failure."""
-    return _BY_CODE.get(failure.code) or _BY_OUTCOME[failure.outcome]
+    return _STATUS_BY_CODE.get(failure.code) or _STATUS_BY_OUTCOME[failure.outcome]
 
 
 def read_token(path: Path | None) -> str:
-    """Return the token from its file or the environment; ends if there is none."""
+    """Return the token from its file or the environment.
+
+    Without a usable token the command ends with a usage error.
+    """
     token = read_file(path) if path else os.environ.get(TOKEN_VARIABLE, "")
     token = token.strip()
     if not token or not token.isascii() or not token.isprintable():
@@ -94,7 +97,10 @@
 
 
 def read_file(path: Path) -> str:
-    """Return a text file's content; `-` is standard input. Ends if it can't."""
+    """Return a text file's content; `-` is standard input.
+
+    The command ends with a usage error if the file can't be read.
+    """
     try:
         return sys.stdin.read() if str(path) == "-" else path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -104,7 +110,10 @@
 
 
 def check_addresses(addresses: list[str]) -> list[str]:
-    """Return the addresses given, commas split; ends on a malformed one."""
+    """Return the given addresses, split at commas and spaces.
+
+    A malformed address ends the command with a usage error.
+    """
     from dewridge.settings.checks import is_address  # noqa: PLC0415
 
     split = [part for text in addresses for part in text.replace(",", " ").split()]
@@ -117,18 +126,18 @@
 
 
 def print_json(document: Any) -> None:
-    """Print a document for machines."""
+    """Print a document as JSON."""
     typer.echo(json.dumps(document, ensure_ascii=False, indent=2))
 
 
 def exit_with_usage_error(text: str) -> NoReturn:
-    """End a wrong call with one plain line."""
+    """Print a one-line message and exit with the status for usage errors."""
     typer.echo(f"dewridge: {text}", err=True)
     raise typer.Exit(ExitStatus.USAGE)
 
 
 def exit_with_failure(failure: Failure, as_json: bool = False) -> NoReturn:
-    """End a command that failed with one plain line, or a JSON document."""
+    """Print a failure as one line or as JSON, and exit with its status."""
     if as_json:
         print_json(describe_failure(failure))
     else:
@@ -137,7 +146,7 @@
 
 
 def describe_failure(failure: Failure) -> dict[str, Any]:
-    """Return a failure for machines."""
+    """Return a failure as a JSON object."""
     return {
         "code": int(failure.code),
         "name": failure.code.name,
@@ -148,7 +157,7 @@
 
 
 def format_failure(failure: Failure) -> str:
-    """Return a failure in one line for people."""
+    """Return a failure as one human-readable line."""
     from dewridge.codes import CODE_TABLE  # noqa: PLC0415
 
     parts = [f"{int(failure.code)} {CODE_TABLE[failure.code].title}"]
--- a/dewridge/commands/pages.py
+++ b/dewridge/commands/pages.py
@@ -1,6 +1,7 @@
-"""Pages of the documentation that are made from declarations in the code.
+"""Documentation pages generated from declarations in the code.
 
-`python -m dewridge.commands.pages` writes them; a test compares.
+`python -m dewridge.commands.pages` writes them. A test checks that the committed
+pages are up to date.
 """
 
 from collections.abc import Iterator
@@ -14,7 +15,9 @@
 from dewridge.settings.schema import Settings
 
 DOCS = Path(__file__).parents[2] / "docs"
-NOTE = "<!-- Made by `python -m dewridge.commands.pages`; edit the code instead. -->\n"
+GENERATED_NOTICE = (
+    "<!-- Made by `python -m dewridge.commands.pages`; edit the code instead. -->\n"
+)
 
 STATUS_MEANINGS = {
     ExitStatus.DONE: "Done as asked.",
@@ -29,11 +32,11 @@
 
 
 def render_codes_page() -> str:
-    """Return the page of result codes and exit statuses."""
+    """Return the Markdown page of result codes and exit statuses."""
     lines = [
         "# Result codes",
         "",
-        NOTE,
+        GENERATED_NOTICE,
         "Every error of the HTTP interface is a problem document (RFC 9457) with one",
         "of these numbers in `code`, what is known of the request in `outcome`, and",
         "the seconds until it makes sense to come back in `retry_after`.",
@@ -63,38 +66,38 @@
 
 
 def render_settings_page() -> str:
-    """Return the page of settings."""
+    """Return the Markdown page of settings."""
     lines = [
         "# Settings",
         "",
-        NOTE,
+        GENERATED_NOTICE,
         "The settings file is JSON with comments. `dewridge check-settings FILE` shows",
         "all errors and warnings at once, each with its path in the file.",
         "",
     ]
-    for option, kind in list_options(Settings):
-        section = find_section(kind)
-        suffix = "[]" if get_origin(kind) is tuple else ""
+    for option, value_type in list_options(Settings):
+        section = get_section_type(value_type)
+        suffix = "[]" if get_origin(value_type) is tuple else ""
         needed = " Required." if option.metadata["required"] else ""
         lines += [f"## `{option.name}{suffix}`", ""]
         lines += [f"{option.metadata['description']}{needed}", ""]
         lines += ["| Setting | Type | Default | Bounds | Meaning |"]
         lines += ["| --- | --- | --- | --- | --- |"]
-        lines += list(_list_rows(section))
+        lines += list(_render_rows(section))
         lines.append("")
     return "\n".join(lines)
 
 
-def find_section(kind: Any) -> Any:
-    """Return the dataclass of a section or of the items of a list."""
-    return kind if is_dataclass(kind) else get_args(kind)[0]
+def get_section_type(value_type: Any) -> Any:
+    """Return the dataclass of a section, or of the items if it is a list."""
+    return value_type if is_dataclass(value_type) else get_args(value_type)[0]
 
 
-def _list_rows(section: Any) -> Iterator[str]:
-    for option, kind in list_options(section):
+def _render_rows(section: Any) -> Iterator[str]:
+    for option, value_type in list_options(section):
         cells = [
             f"`{option.name}`",
-            _name_kind(kind),
+            _format_type(value_type),
             _format_default(option),
             _format_bounds(option.metadata),
             option.metadata["description"],
@@ -102,11 +105,11 @@
         yield f"| {' | '.join(cells)} |"
 
 
-def _name_kind(kind: Any) -> str:
+def _format_type(value_type: Any) -> str:
     names = {str: "string", int: "whole number", float: "number", bool: "true/false"}
-    if get_origin(kind) is tuple:
-        return f"list of {names[get_args(kind)[0]]}s"
-    return names[kind]
+    if get_origin(value_type) is tuple:
+        return f"list of {names[get_args(value_type)[0]]}s"
+    return names[value_type]
 
 
 def _format_default(option: Any) -> str:
@@ -132,10 +135,10 @@
 
 
 def write_pages() -> None:
-    """Write all pages."""
+    """Write all generated pages to the documentation folder."""
     DOCS.mkdir(exist_ok=True)
-    for name, make in PAGES.items():
-        (DOCS / name).write_text(make())
+    for name, render_page in PAGES.items():
+        (DOCS / name).write_text(render_page())
 
 
 if __name__ == "__main__":
--- a/dewridge/commands/profile.py
+++ b/dewridge/commands/profile.py
@@ -30,12 +30,12 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Publish a new profile; refused if one of that name exists.
+    """Publish a new profile; rejected if one of that name exists.
 
     Example: dewridge profile publish examples/profiles/interactive.json
     -a 10.0.0.7:8080 --token-file operator.token
     """
-    _send(file, 0, address, token_file, as_json)
+    _put_profile(file, 0, address, token_file, as_json)
 
 
 @app.command()
@@ -47,15 +47,15 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Replace a profile, if it is still at the revision that you read.
+    """Replace a profile if it is still at the given revision.
 
     Example: dewridge profile revise examples/profiles/interactive.json
     --revision 3 -a 10.0.0.7:8080 --token-file operator.token
     """
-    _send(file, revision, address, token_file, as_json)
+    _put_profile(file, revision, address, token_file, as_json)
 
 
-def _send(
+def _put_profile(
     file: ObjectFile,
     revision: int,
     address: Addresses,
@@ -82,7 +82,7 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Retire a profile; refused while a service runs under it.
+    """Retire a profile; rejected while a service runs under it.
 
     Example: dewridge profile retire interactive --revision 3
     -a 10.0.0.7:8080 --token-file operator.token
@@ -112,10 +112,10 @@
         print_json(found)
         return
     for name, published in found.items():
-        typer.echo(_format_line(name, published))
+        typer.echo(_format_profile(name, published))
 
 
-def _format_line(name: str, published: Any) -> str:
+def _format_profile(name: str, published: Any) -> str:
     value = published["value"]
     policies = [value[kind]["name"] for kind in ("placement", "admission", "recovery")]
     retired = "  retired" if value.get("retired") else ""
@@ -130,7 +130,7 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Show a profile; its revision is what `revise` asks for.
+    """Show a profile and its revision, which `revise` requires.
 
     Example: dewridge profile show interactive -a 10.0.0.7:8080
     --token-file operator.token
--- a/dewridge/commands/proofs.py
+++ b/dewridge/commands/proofs.py
@@ -1,4 +1,4 @@
-"""`dewridge proofs`: run the proofs of the promises on real processes."""
+"""`dewridge proofs`: check the system's guarantees on real processes."""
 
 import sys
 from pathlib import Path
@@ -19,7 +19,7 @@
         Path, typer.Option(help="Where histories go, as JSON lines.")
     ] = Path("build/proofs"),
 ) -> None:
-    """Run scenarios under faults and check what callers and servers saw.
+    """Run fault scenarios and check what callers and servers observed.
 
     Example: dewridge proofs --scenario reclaim-domain --seed 7
     """
@@ -28,19 +28,19 @@
     from dewridge.proofs.runs import format_table, run_scenario  # noqa: PLC0415
     from dewridge.proofs.scenarios import SCENARIOS  # noqa: PLC0415
 
-    chosen = [each for each in SCENARIOS if scenario in ("", each.name)]
-    if not chosen:
-        known = ", ".join(each.name for each in SCENARIOS)
-        typer.echo(f"no scenario {scenario!r}; known: {known}", err=True)
+    selection = [item for item in SCENARIOS if scenario in ("", item.name)]
+    if not selection:
+        known_names = ", ".join(item.name for item in SCENARIOS)
+        typer.echo(f"no scenario {scenario!r}; known: {known_names}", err=True)
         raise typer.Exit(ExitStatus.USAGE)
     results = []
-    for each in chosen:
-        for number in range(seed, seed + runs):
-            result = trio.run(run_scenario, each, number, folder)
+    for selected in selection:
+        for run_seed in range(seed, seed + runs):
+            result = trio.run(run_scenario, selected, run_seed, folder)
             results.append(result)
             for violation in result.violations:
                 typer.echo(
-                    f"{each.name} seed {number}: promise {violation.promise}: "
+                    f"{selected.name} seed {run_seed}: promise {violation.promise}: "
                     f"{violation.subject}: {violation.reason}"
                 )
             typer.echo(format_table([result]).splitlines()[-1])
--- a/dewridge/commands/request.py
+++ b/dewridge/commands/request.py
@@ -1,4 +1,4 @@
-"""`dewridge request`: have a call done and print its answer."""
+"""`dewridge request`: send a request and print its answer."""
 
 import json
 from pathlib import Path
@@ -51,10 +51,10 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Send a request, wait for the whole answer and print it.
+    """Send a request, wait for the complete answer and print it.
 
-    A request that is sent again with the key that was printed does not run a
-    second time. Give the input by one of --text, --data and --file.
+    A retry with the printed key does not run the request a second time. Give the
+    input by one of --text, --data and --file.
 
     Example: dewridge request findings draft_finding -a 10.0.0.7:8080
     --token-file account.token --file examples/plant-dossier.txt --max-tokens 200
@@ -67,19 +67,21 @@
         exit_with_usage_error("--key must be a UUIDv7")
     call = Call(service, operation, content, deadline, max_tokens, key)
     on_event = None if as_json else _print_tokens
-    answer = _run(check_addresses(address), read_token(token_file), call, on_event)
+    answer = _send_call(
+        check_addresses(address), read_token(token_file), call, on_event
+    )
     if as_json:
-        print_json(_describe(answer))
+        print_json(_describe_answer(answer))
     else:
-        _print_end(answer)
+        _print_result(answer)
     if not answer.is_whole:
-        end = Failure(answer.code, f"{answer.reason} (key {answer.key})".strip())
-        exit_with_failure(Failure(end.code, end.reason, answer.retry_after))
+        failure = Failure(answer.code, f"{answer.reason} (key {answer.key})".strip())
+        exit_with_failure(Failure(failure.code, failure.reason, answer.retry_after))
 
 
 def _read_input(text: str | None, data: str | None, file: Path | None) -> Any:
-    given = [option for option in (text, data, file) if option is not None]
-    if len(given) != 1:
+    inputs = [option for option in (text, data, file) if option is not None]
+    if len(inputs) != 1:
         exit_with_usage_error("give the input by one of --text, --data and --file")
     if text is not None:
         return text
@@ -91,7 +93,7 @@
         exit_with_usage_error("--data is not JSON")
 
 
-def _run(
+def _send_call(
     addresses: list[str], token: str, call: "Call", on_event: "OnEvent | None"
 ) -> "Answer":
     import trio  # noqa: PLC0415
@@ -114,21 +116,22 @@
         typer.echo("\n[the answer begins anew]", err=True)
 
 
-def _print_end(answer: "Answer") -> None:
+def _print_result(answer: "Answer") -> None:
     if answer.tokens:
         typer.echo()
     if answer.result is not None:
         print_json(answer.result)
     if answer.is_whole:
-        done = answer.summary
+        summary = answer.summary
         typer.echo(
-            f"[{answer.key} {done.backend_server} in {done.failure_domain}, "
-            f"{done.tokens} tokens, {done.attempts} attempts, cost {done.cost:.3g}]",
+            f"[{answer.key} {summary.backend_server} in {summary.failure_domain}, "
+            f"{summary.tokens} tokens, {summary.attempts} attempts, "
+            f"cost {summary.cost:.3g}]",
             err=True,
         )
 
 
-def _describe(answer: "Answer") -> dict[str, Any]:
+def _describe_answer(answer: "Answer") -> dict[str, Any]:
     from dataclasses import asdict  # noqa: PLC0415
 
     failure = Failure(answer.code, answer.reason, answer.retry_after)
--- a/dewridge/commands/serve.py
+++ b/dewridge/commands/serve.py
@@ -16,7 +16,7 @@
         Path, typer.Option("--settings", "-s", help="The settings file.")
     ],
 ) -> None:
-    """Run an entry host until it is told to leave (SIGTERM, Ctrl-C or a reclaim).
+    """Run an entry host until it must shut down (SIGTERM, Ctrl-C or a reclaim).
 
     Example: dewridge serve --settings examples/sello-verde.json
     """
@@ -24,16 +24,17 @@
     print_problems(loaded)
     if loaded.settings is None:
         raise typer.Exit(ExitStatus.USAGE)
-    # httpx's command line brings rich and pygments; a host has no use for them,
-    # and they take 3 to 6 of the 64 MB that control may use.
+    # Prevents httpx from importing its command line, and with it rich and pygments.
+    # A host does not use them, and they take 3 to 6 MB of the 64 MB that the control
+    # plane may use on a host.
     sys.modules.setdefault("httpx._main", None)  # type: ignore[arg-type]
-    import trio  # noqa: PLC0415 - other commands start faster without it
+    import trio  # noqa: PLC0415 - slows the start of other commands
 
     from dewridge.composition import run_host  # noqa: PLC0415
     from dewridge.lifecycle import ExitReason  # noqa: PLC0415
     from dewridge.logs import set_up_logs  # noqa: PLC0415
 
     set_up_logs(loaded.settings.log)
-    ending = trio.run(run_host, loaded.settings)
-    if ending is ExitReason.FAILED:
+    exit_reason = trio.run(run_host, loaded.settings)
+    if exit_reason is ExitReason.FAILED:
         raise typer.Exit(ExitStatus.FAILED)
--- a/dewridge/commands/service.py
+++ b/dewridge/commands/service.py
@@ -1,4 +1,4 @@
-"""`dewridge service`: publish services, list them, move them between profiles."""
+"""`dewridge service`: list and publish services, and move them between profiles."""
 
 from typing import Annotated
 
@@ -30,15 +30,15 @@
 
     Example: dewridge service list -a 10.0.0.7:8080 --token-file operator.token
     """
-    found = call_operator_api(
+    services = call_operator_api(
         address, token_file, as_json, lambda client: client.read("/v1/services")
     )
     if as_json:
-        print_json(found)
+        print_json(services)
         return
-    for name, published in found.items():
+    for name, published in services.items():
         value = published["value"]
-        operations = " ".join(each["name"] for each in value["operations"])
+        operations = " ".join(item["name"] for item in value["operations"])
         typer.echo(
             f"{name:<24} {published['revision']:>8}  {value['kind']:<6} "
             f"{value['profile']:<20} {operations}"
--- a/dewridge/commands/standin.py
+++ b/dewridge/commands/standin.py
@@ -1,4 +1,4 @@
-"""`dewridge standin`: small stand-ins of the platform and of backend servers."""
+"""`dewridge standin`: run test doubles of the platform and of backend servers."""
 
 from typing import Annotated
 
--- a/dewridge/commands/version.py
+++ b/dewridge/commands/version.py
@@ -1,4 +1,4 @@
-"""`dewridge version`: which release this is."""
+"""`dewridge version`: print the release."""
 
 import typer
 
--- a/dewridge/metrics/__init__.py
+++ b/dewridge/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, latency histograms and what each profile cost and lost."""
+"""Counters, gauges and latency histograms of a process, and their text format."""
--- a/dewridge/settings/__init__.py
+++ b/dewridge/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings file: its schema, its loading and its checks."""
+"""Schema, loading and validation of the settings file."""
--- a/dewridge/settings/checks.py
+++ b/dewridge/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of the settings that look at more than one of them."""
+"""Validates settings beyond their schema: formats and relations between them."""
 
 import hashlib
 import re
@@ -9,9 +9,9 @@
 from dewridge.settings.problems import Problem
 from dewridge.settings.schema import AccountSettings, OperatorSettings, Settings
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-DIGEST = re.compile(r"[0-9a-fA-F]{64}")
-EMPTY_DIGEST = hashlib.sha256(b"").hexdigest()
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+DIGEST_PATTERN = re.compile(r"[0-9a-fA-F]{64}")
+EMPTY_TOKEN_DIGEST = hashlib.sha256(b"").hexdigest()
 WILDCARD_ADDRESSES = ("0.0.0.0", "::")
 
 Identity = AccountSettings | OperatorSettings
@@ -24,40 +24,40 @@
         *_check_identities(settings),
         *_check_addresses(settings),
         *_check_urls(settings),
-        *_check_times(settings),
+        *_check_durations(settings),
     ]
     return errors, list(_find_warnings(settings))
 
 
 def _check_names(settings: Settings) -> Iterable[Problem]:
     host = settings.host
-    named = {
+    names_by_path = {
         "host.id": host.id,
         "host.deployment": host.deployment,
         "host.region": host.region,
         "host.failure_domain": host.failure_domain,
     }
-    for path, name in named.items():
-        if not NAME.fullmatch(name):
+    for path, name in names_by_path.items():
+        if not NAME_PATTERN.fullmatch(name):
             yield Problem(path, "must be 1 to 64 of A-Z a-z 0-9 . _ -")
 
 
 def _check_identities(settings: Settings) -> Iterable[Problem]:
-    # Two holders of one token could not be told apart: a rival would read the
-    # other's answers. The check spans accounts and operators.
+    # Two identities with the same token could not be distinguished, and one account
+    # could read the other's answers. The check spans accounts and operators.
     digests: dict[str, str] = {}
     for section, identities in _list_identities(settings):
         names: set[str] = set()
-        for place, identity in enumerate(identities):
-            path = f"{section}[{place}]"
+        for index, identity in enumerate(identities):
+            path = f"{section}[{index}]"
             digest = identity.token_sha256.lower()
-            if not NAME.fullmatch(identity.name):
+            if not NAME_PATTERN.fullmatch(identity.name):
                 yield Problem(f"{path}.name", "must be 1 to 64 of A-Z a-z 0-9 . _ -")
             if identity.name in names:
                 yield Problem(f"{path}.name", f"`{identity.name}` is there twice")
-            if not DIGEST.fullmatch(digest):
+            if not DIGEST_PATTERN.fullmatch(digest):
                 yield Problem(f"{path}.token_sha256", "must be 64 hexadecimal digits")
-            elif digest == EMPTY_DIGEST:
+            elif digest == EMPTY_TOKEN_DIGEST:
                 yield Problem(f"{path}.token_sha256", "is the digest of no token")
             elif digest in digests:
                 text = f"is the same token as that of {digests[digest]}"
@@ -74,29 +74,29 @@
 def _check_addresses(settings: Settings) -> Iterable[Problem]:
     frontend, peers = settings.frontend, settings.peers
     for section, part in (("frontend", frontend), ("peers", peers)):
-        if not _is_number(part.address):
+        if not _is_ip_address(part.address):
             yield Problem(f"{section}.address", "must be an IP number")
         elif part.address in WILDCARD_ADDRESSES and not part.advertised:
             text = "is needed, since others can't connect to the address listened on"
             yield Problem(f"{section}.advertised", text)
         if part.advertised and not is_address(part.advertised):
             yield Problem(f"{section}.advertised", "must be IP number and port")
-    for place, seed in enumerate(peers.seeds):
+    for index, seed in enumerate(peers.seeds):
         if not is_address(seed):
-            yield Problem(f"peers.seeds[{place}]", "must be IP number and port")
+            yield Problem(f"peers.seeds[{index}]", "must be IP number and port")
     if frontend.port == peers.port != 0 and frontend.address == peers.address:
         yield Problem("peers.port", "is the port of the frontend, too")
 
 
 def is_address(text: str) -> bool:
-    """Whether a text is an IP number and a port, `a.b.c.d:n`."""
+    """Return whether a text is an IP address with a port, such as `a.b.c.d:n`."""
     host, _, port = text.rpartition(":")
-    if not _is_number(host.removeprefix("[").removesuffix("]")):
+    if not _is_ip_address(host.removeprefix("[").removesuffix("]")):
         return False
     return port.isascii() and port.isdigit() and 0 < int(port[:6]) < 65536
 
 
-def _is_number(text: str) -> bool:
+def _is_ip_address(text: str) -> bool:
     try:
         ip_address(text)
     except ValueError:
@@ -124,7 +124,7 @@
         return False
 
 
-def _check_times(settings: Settings) -> Iterable[Problem]:
+def _check_durations(settings: Settings) -> Iterable[Problem]:
     membership, requests = settings.membership, settings.requests
     frontend, peers = settings.frontend, settings.peers
     if membership.probe_timeout > membership.probe_period:
@@ -134,7 +134,8 @@
         yield Problem("peers.idle_timeout", text)
     if frontend.default_deadline > frontend.deadline_limit:
         yield Problem("frontend.default_deadline", "is longer than `deadline_limit`")
-    # A key forgotten before its request's deadline could be run a second time.
+    # If a key is removed before its request's deadline, a retry would run the request
+    # a second time.
     if frontend.deadline_limit > requests.retention:
         text = "is longer than `requests.retention`, for which a key is remembered"
         yield Problem("frontend.deadline_limit", text)
--- a/dewridge/settings/gateway.py
+++ b/dewridge/settings/gateway.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class GatewayHost:
-    """Who this host is."""
+    """Identity and resources of this host."""
 
     id: str = option("Name of this host, unique in the deployment.", required=True)
     region: str = option("Region that this host is in.", default="")
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class GatewayServices:
-    """The services that this host calls."""
+    """The external services that this host calls."""
 
     store: str = option("`a.b.c.d:port` of the store.", required=True)
     store_reads: float = option(
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class GatewayBounds:
-    """What operators hold the deployment to."""
+    """Service-level bounds of the deployment that operators rely on."""
 
     revocation_ms: float = option(
         "Time after which a key taken away must not work.",
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """The whole settings file of a gateway."""
+    """The complete settings file of a gateway."""
 
     host: GatewayHost = option("Who this host is.", required=True)
     listen: GatewayListen = option("Addresses to listen on.", required=True)
--- a/dewridge/settings/loading.py
+++ b/dewridge/settings/loading.py
@@ -1,4 +1,4 @@
-"""Loading of the settings file: all errors and warnings at once."""
+"""Loads the settings file and reports all errors and warnings at once."""
 
 import difflib
 import math
@@ -17,61 +17,65 @@
 """Returns the errors and the warnings of settings that fit their schema."""
 
 MAX_FILE_BYTES = 1_000_000
-"""Bytes of a settings file. The parser is slow on large input, and a file of
-this size is no settings file: a wrong path would hang the start instead."""
+"""Largest settings file. The parser is slow on large input, so the path of a large
+unrelated file, given by mistake, would otherwise hang the start."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedSettings(Generic[Schema]):
-    """The result of loading; `settings` is None if there was an error."""
+    """The result of loading; `settings` is None if there were errors."""
 
     settings: Schema | None
     errors: tuple[Problem, ...] = ()
     warnings: tuple[Problem, ...] = ()
 
 
-class Pairs(list[tuple[str, Any]]):
-    """A JSON object as its pairs, so that a name given twice is seen."""
+class ObjectPairs(list[tuple[str, Any]]):
+    """A JSON object as a list of pairs, so that duplicate names can be detected."""
 
 
 def load_settings(path: Path | str) -> LoadedSettings[Settings]:
-    """Read, check and build the settings of a file."""
+    """Read and validate a settings file of an entry host."""
     return load_file(path, Settings, check_settings)
 
 
 def load_file(
     path: Path | str, schema: type[Schema], check: Check[Schema]
 ) -> LoadedSettings[Schema]:
-    """Read a settings file of any schema."""
+    """Read and validate a settings file of any schema."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
-        return _fail(f"can't read {path}: {error.strerror or error}")
+        return _make_error_result(f"can't read {path}: {error.strerror or error}")
     return parse_document(raw, schema, check)
 
 
 def parse_settings(raw: bytes) -> LoadedSettings[Settings]:
-    """Check and build the settings of a file's content."""
+    """Validate the content of a settings file of an entry host."""
     return parse_document(raw, Settings, check_settings)
 
 
 def parse_document(
     raw: bytes, schema: type[Schema], check: Check[Schema]
 ) -> LoadedSettings[Schema]:
-    """Check a file's content against a schema, then by a function, and build it."""
+    """Validate a file's content against a schema and by a check function.
+
+    Returns:
+        The settings as an instance of the schema, or the errors.
+    """
     import json5  # noqa: PLC0415
 
     if len(raw) > MAX_FILE_BYTES:
-        return _fail(f"larger than {MAX_FILE_BYTES} bytes")
+        return _make_error_result(f"larger than {MAX_FILE_BYTES} bytes")
     try:
-        document = json5.loads(raw.decode(), object_pairs_hook=Pairs)
+        document = json5.loads(raw.decode(), object_pairs_hook=ObjectPairs)
     except UnicodeDecodeError as error:
-        return _fail(f"not UTF-8: byte {error.start}")
+        return _make_error_result(f"not UTF-8: byte {error.start}")
     except RecursionError:
-        return _fail("nested too deeply")
+        return _make_error_result("nested too deeply")
     except ValueError as error:
-        return _fail(f"not JSON: {error}".split("\n", 1)[0][:200])
-    reader = _Reader()
+        return _make_error_result(f"not JSON: {error}".split("\n", 1)[0][:200])
+    reader = _SectionReader()
     settings = reader.read_section(schema, document, "")
     if reader.errors:
         return LoadedSettings(None, tuple(reader.errors))
@@ -79,83 +83,93 @@
     return LoadedSettings(None if errors else settings, tuple(errors), tuple(warnings))
 
 
-def _fail(text: str) -> LoadedSettings[Any]:
+def _make_error_result(text: str) -> LoadedSettings[Any]:
     return LoadedSettings(None, (Problem("$", text),))
 
 
 def list_options(section: type) -> Iterator[tuple[Field[Any], Any]]:
-    """Yield each option of a section with its type."""
-    hints = _find_hints(section)
+    """Yield each option of a section with its resolved type."""
+    hints = _get_type_hints(section)
     for option in fields(section):
         yield option, hints[option.name]
 
 
 @cache
-def _find_hints(section: type) -> dict[str, Any]:
+def _get_type_hints(section: type) -> dict[str, Any]:
     return get_type_hints(section)
 
 
-class _Reader:
-    """Walks the document beside the schema and gathers every error."""
+class _SectionReader:
+    """Converts a document by its schema and collects all errors."""
 
     def __init__(self) -> None:
         self.errors: list[Problem] = []
 
     def read_section(self, section: type, value: Any, path: str) -> Any:
-        """Build a section, or return None after an error."""
-        if not isinstance(value, Pairs):
-            self._note(path, f"expected an object, got {name_type(value)}")
+        """Return a section, or None if the document has errors so far."""
+        if not isinstance(value, ObjectPairs):
+            self._add_error(path, f"expected an object, got {name_type(value)}")
             return None
-        given = self._gather_names(section, value, path)
-        found: dict[str, Any] = {}
-        for option, kind in list_options(section):
-            place = join_path(path, option.name)
+        given = self._collect_names(section, value, path)
+        values: dict[str, Any] = {}
+        for option, value_type in list_options(section):
+            option_path = join_path(path, option.name)
             if option.name in given:
-                found[option.name] = self.read_value(
-                    option, kind, given[option.name], place
+                values[option.name] = self.read_value(
+                    option, value_type, given[option.name], option_path
                 )
             elif option.metadata["required"]:
-                self._note(place, f"is missing. {option.metadata['description']}")
+                self._add_error(
+                    option_path, f"is missing. {option.metadata['description']}"
+                )
             else:
-                found[option.name] = get_default(option)
-        return None if self.errors else section(**found)
+                values[option.name] = get_default(option)
+        return None if self.errors else section(**values)
 
-    def _gather_names(self, section: type, value: Pairs, path: str) -> dict[str, Any]:
+    def _collect_names(
+        self, section: type, pairs: ObjectPairs, path: str
+    ) -> dict[str, Any]:
         known = [option.name for option in fields(section)]
         given: dict[str, Any] = {}
-        for name, item in value:
+        for name, item in pairs:
             if name not in known:
-                self._note(join_path(path, name), describe_unknown(name, known))
+                self._add_error(join_path(path, name), describe_unknown(name, known))
             elif name in given:
-                self._note(join_path(path, name), "is given twice")
+                self._add_error(join_path(path, name), "is given twice")
             else:
                 given[name] = item
         return given
 
-    def read_value(self, option: Field[Any], kind: Any, value: Any, path: str) -> Any:
-        """Build one value and check it against its option."""
-        if is_dataclass(kind):
-            return self.read_section(kind, value, path)  # type: ignore[arg-type]
-        if get_origin(kind) is tuple:
-            return self._read_items(option, get_args(kind)[0], value, path)
-        return self._read_plain(option, kind, value, path)
-
-    def _read_items(
-        self, option: Field[Any], kind: Any, value: Any, path: str
+    def read_value(
+        self, option: Field[Any], value_type: Any, value: Any, path: str
+    ) -> Any:
+        """Convert one value and check it against its option."""
+        if is_dataclass(value_type):
+            return self.read_section(value_type, value, path)  # type: ignore[arg-type]
+        if get_origin(value_type) is tuple:
+            return self._read_list(option, get_args(value_type)[0], value, path)
+        return self._read_scalar(option, value_type, value, path)
+
+    def _read_list(
+        self, option: Field[Any], value_type: Any, value: Any, path: str
     ) -> tuple[Any, ...]:
-        if not isinstance(value, list) or isinstance(value, Pairs):
-            self._note(path, f"expected a list, got {name_type(value)}")
+        if not isinstance(value, list) or isinstance(value, ObjectPairs):
+            self._add_error(path, f"expected a list, got {name_type(value)}")
             return ()
         return tuple(
-            self.read_value(option, kind, item, f"{path}[{place}]")
-            for place, item in enumerate(value)
+            self.read_value(option, value_type, item, f"{path}[{index}]")
+            for index, item in enumerate(value)
         )
 
-    def _read_plain(self, option: Field[Any], kind: type, value: Any, path: str) -> Any:
-        if kind is float and type(value) is int:
-            value = _widen(value)
-        if type(value) is not kind:
-            self._note(path, f"expected {NAMES[kind]}, got {name_type(value)}")
+    def _read_scalar(
+        self, option: Field[Any], value_type: type, value: Any, path: str
+    ) -> Any:
+        if value_type is float and type(value) is int:
+            value = _convert_to_float(value)
+        if type(value) is not value_type:
+            self._add_error(
+                path, f"expected {TYPE_NAMES[value_type]}, got {name_type(value)}"
+            )
             return None
         self._check_bounds(option, value, path)
         return value
@@ -165,53 +179,58 @@
         unit = f" {option.metadata['unit']}" if option.metadata["unit"] else ""
         choices = option.metadata["choices"]
         if isinstance(value, float) and not math.isfinite(value):
-            self._note(path, "is not a finite number")
+            self._add_error(path, "is not a finite number")
         elif low is not None and value < low:
-            self._note(path, f"{value} is below {low:g}{unit}")
+            self._add_error(path, f"{value} is below {low:g}{unit}")
         elif high is not None and value > high:
-            self._note(path, f"{value} is above {high:g}{unit}")
+            self._add_error(path, f"{value} is above {high:g}{unit}")
         elif choices and value not in choices:
-            self._note(path, f"is none of {', '.join(choices)}")
+            self._add_error(path, f"is none of {', '.join(choices)}")
 
-    def _note(self, path: str, text: str) -> None:
+    def _add_error(self, path: str, text: str) -> None:
         self.errors.append(Problem(path or "$", text))
 
 
-NAMES = {str: "a string", int: "a whole number", float: "a number", bool: "true/false"}
-"""How a type is called towards people."""
+TYPE_NAMES = {
+    str: "a string",
+    int: "a whole number",
+    float: "a number",
+    bool: "true/false",
+}
+"""Names of the types in error messages."""
 
 
 def name_type(value: Any) -> str:
-    """Say what a value is, without the value: it may be a secret."""
+    """Return the name of a value's type. The value is left out: it may be a secret."""
     if value is None:
         return "null"
-    if isinstance(value, Pairs):
+    if isinstance(value, ObjectPairs):
         return "an object"
     if isinstance(value, list):
         return "a list"
-    return NAMES.get(type(value), type(value).__name__)
+    return TYPE_NAMES.get(type(value), type(value).__name__)
 
 
 def describe_unknown(name: str, known: list[str]) -> str:
-    """Say that a name is unknown and which known one is nearest."""
-    near = difflib.get_close_matches(name, known, n=1)
-    return f"unknown name; did you mean `{near[0]}`?" if near else "unknown name"
+    """Return an error text for an unknown name, with the closest known name."""
+    matches = difflib.get_close_matches(name, known, n=1)
+    return f"unknown name; did you mean `{matches[0]}`?" if matches else "unknown name"
 
 
 def join_path(path: str, name: str) -> str:
-    """Return the path of a name inside a place, both safe to print."""
+    """Return the path of a name within a section; the name is escaped for printing."""
     shown = name if name.isidentifier() and name.isascii() else ascii(name[:64])
     return f"{path}.{shown}" if path else shown
 
 
 def get_default(option: Field[Any]) -> Any:
-    """Return the value of an option that the file does not name."""
+    """Return the default value of an option."""
     if option.default_factory is not MISSING:
         return option.default_factory()
     return option.default
 
 
-def _widen(value: int) -> float:
+def _convert_to_float(value: int) -> float:
     try:
         return float(value)
     except OverflowError:
--- a/dewridge/settings/problems.py
+++ b/dewridge/settings/problems.py
@@ -1,15 +1,15 @@
-"""What can be wrong in a settings file."""
+"""Problems found in a settings file."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Something wrong at a place in the settings file.
+    """An error or a warning about a value in the settings file.
 
     Attributes:
-        path: place in the file, such as `accounts[1].name`; `$` is the whole.
-        text: one plain line; never the value of a secret.
+        path: location in the file, such as `accounts[1].name`; `$` is the document.
+        text: one line that never contains the value of a secret.
     """
 
     path: str
--- a/dewridge/settings/schema.py
+++ b/dewridge/settings/schema.py
@@ -1,8 +1,8 @@
-"""The one schema of the settings file: each setting with its line of description.
+"""Schema of the settings file, with a one-line description of each setting.
 
-A section is a frozen dataclass; a setting is a field made by `option`. The
+A section is a frozen dataclass; a setting is a field declared with `option`. The
 loader, the checks, `dewridge check-settings` and the settings page of the
-operators' guide all read these declarations.
+operators' guide all use these declarations.
 """
 
 from dataclasses import dataclass, field
@@ -20,17 +20,17 @@
     choices: tuple[str, ...] = (),
     secret: bool = False,
 ) -> Any:
-    """Declare one setting.
+    """Declare a setting as a dataclass field.
 
     Args:
         description: one line for the operators' guide.
-        default: value when the file does not name the setting.
-        required: whether the file must name it.
-        unit: unit of the value, for people.
-        low: least value allowed.
-        high: greatest value allowed.
-        choices: values allowed, if only some are.
-        secret: whether dumps and logs must leave it out.
+        default: value if the file omits the setting.
+        required: whether the file must contain it.
+        unit: unit of the value, shown in messages and in the guide.
+        low: lower bound, inclusive.
+        high: upper bound, inclusive.
+        choices: the allowed values; empty if all are.
+        secret: whether dumps and logs must omit the value.
     """
     metadata = {
         "description": description,
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class HostSettings:
-    """Who this host is."""
+    """Identity of this host."""
 
     id: str = option("Name of this host, unique in the deployment.", required=True)
     deployment: str = option(
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class FrontendSettings:
-    """HTTP towards callers and operators."""
+    """The HTTP interface for callers and operators."""
 
     address: str = option("IP number to listen on.", default="127.0.0.1")
     port: int = option(
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True)
 class MembershipSettings:
-    """Probing among entry hosts."""
+    """Failure detection among entry hosts."""
 
     probe_period: float = option(
         "Time between two probes.", default=0.5, unit="s", low=0.02, high=60
@@ -215,7 +215,7 @@
 
 @dataclass(frozen=True)
 class RequestSettings:
-    """Acceptance, keeping and recovery of requests."""
+    """Acceptance, storage and recovery of requests."""
 
     replicas: int = option(
         "Copies of a request in other failure domains.", default=2, low=1, high=4
@@ -289,7 +289,7 @@
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """The platform's services."""
+    """The platform services that an entry host uses."""
 
     key_value: str = option("URL of the key-value service.", required=True)
     host_list: str = option("URL of the host list.", required=True)
@@ -349,7 +349,7 @@
 
 @dataclass(frozen=True)
 class LogSettings:
-    """Logs."""
+    """Format and level of the logs."""
 
     format: str = option(
         "Form of the lines.", default="plain", choices=("plain", "json")
@@ -363,7 +363,7 @@
 
 @dataclass(frozen=True)
 class SupervisionSettings:
-    """Restarts of tasks that fail."""
+    """Restarts of failed tasks, and state dumps."""
 
     restarts: int = option(
         "Restarts of one task within the window before its parent fails.",
@@ -385,7 +385,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """The whole settings file."""
+    """The complete settings file of an entry host."""
 
     host: HostSettings = option("Who this host is.", required=True)
     platform: PlatformSettings = option("The platform's services.", required=True)
--- a/dewridge/supervision/__init__.py
+++ b/dewridge/supervision/__init__.py
@@ -1,1 +1,1 @@
-"""The supervisor tree, mailboxes and state dumps."""
+"""Supervision of tasks, their mailboxes and state dumps."""
--- a/dewridge/supervision/mailbox.py
+++ b/dewridge/supervision/mailbox.py
@@ -1,4 +1,4 @@
-"""Bounded mailboxes by which tasks talk."""
+"""Bounded mailboxes for messages between tasks, and promises for replies."""
 
 from typing import Any, Generic, TypeVar
 
@@ -11,7 +11,11 @@
 
 
 class Mailbox(Generic[T]):
-    """A bounded queue of messages owned by the one task that receives them."""
+    """A bounded message queue with a single receiving task.
+
+    Attributes:
+        dropped: number of messages dropped because the mailbox was full.
+    """
 
     def __init__(self, capacity: int) -> None:
         self._send: trio.MemorySendChannel[T]
@@ -20,7 +24,11 @@
         self.dropped = 0
 
     def post(self, message: T) -> bool:
-        """Leave a message without waiting; False, counted, when it is full."""
+        """Queue a message without waiting.
+
+        Returns:
+            False if the mailbox is full; the message is then dropped and counted.
+        """
         try:
             self._send.send_nowait(message)
         except trio.WouldBlock:
@@ -29,7 +37,7 @@
         return True
 
     async def put(self, message: T) -> None:
-        """Leave a message, waiting while the mailbox is full."""
+        """Queue a message, waiting while the mailbox is full."""
         await self._send.send(message)
 
     async def receive(self) -> T:
@@ -37,7 +45,7 @@
         return await self._receive.receive()
 
     def receive_all(self) -> list[T]:
-        """Take what lies here now, without waiting."""
+        """Return all queued messages without waiting."""
         messages: list[T] = []
         while True:
             try:
@@ -50,21 +58,21 @@
 
 
 class Promise(Generic[T]):
-    """A place for one reply to a message."""
+    """Holds the single reply to a message."""
 
     def __init__(self) -> None:
         self._event = trio.Event()
         self._value: T | Failure = Failure(ResultCode.INTERNAL, "no reply")
 
     def fulfil(self, value: T | Failure) -> None:
-        """Give the reply; later ones are ignored."""
+        """Set the reply; later replies are ignored."""
         if not self._event.is_set():
             self._value = value
             self._event.set()
 
     @property
     def is_fulfilled(self) -> bool:
-        """Whether the reply has been given."""
+        """Whether the reply has been set."""
         return self._event.is_set()
 
     async def wait(self, timeout: float, on_timeout: Failure) -> T | Failure:
--- a/dewridge/supervision/tree.py
+++ b/dewridge/supervision/tree.py
@@ -1,4 +1,4 @@
-"""The supervisor tree: tasks that are restarted when they fail."""
+"""Supervisors, which restart failed tasks."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -8,21 +8,23 @@
 from loguru import logger as log
 
 TaskFunction = Callable[[], Awaitable[None]]
-"""What a task does; it opens what it owns on an exit stack of its own."""
+"""The body of a task. It opens its resources itself, on its own exit stack, since it
+may run again after a failure."""
 
 INITIAL_BACKOFF = 0.05
-"""Seconds before the first restart. A task that fails at once on a fault that
-lasts would otherwise use a whole core; the pause doubles up to MAX_BACKOFF."""
-MAX_BACKOFF = 2.0
+"""Seconds before the first restart; each further restart within the window doubles
+them, up to MAX_BACKOFF. Without a backoff, a task that keeps failing immediately
+would occupy a CPU core."""
+MAX_BACKOFF = 2.0  # seconds
 
 
 class RestartLimitError(Exception):
-    """A task failed more often than its supervisor allows."""
+    """A task failed more often than its supervisor allows within the window."""
 
 
 @dataclass
 class Child:
-    """A supervised task and how often it was restarted lately."""
+    """A supervised task with its state and the times of its recent failures."""
 
     name: str
     run: TaskFunction
@@ -33,12 +35,12 @@
 
 
 class Supervisor:
-    """Runs tasks side by side and restarts the ones that fail.
+    """Runs tasks concurrently and restarts the ones that fail.
 
-    A task that returns has ended. One that raises is started again after a
-    pause; one that raises more often than the limit takes the supervisor down,
-    so that a fault which restarts do not mend becomes visible one level up and
-    in the end stops the process, which its platform starts afresh.
+    A task that returns is complete. A task that raises is restarted after a backoff.
+    If it fails more often than the limit, the supervisor fails too, so that a fault
+    that restarts do not cure propagates upwards and finally ends the process, which
+    the platform then starts again.
     """
 
     def __init__(self, name: str, restarts: int = 5, window: float = 60.0) -> None:
@@ -48,32 +50,32 @@
         self._children: list[Child] = []
 
     def add(self, name: str, run: TaskFunction) -> None:
-        """Add a task; call before `run`."""
+        """Add a task; must be called before `run`."""
         self._children.append(Child(name, run))
 
     async def run(self) -> None:
-        """Run all tasks until they have ended.
+        """Run all tasks until they are complete.
 
         Raises:
             RestartLimitError: a task failed too often.
         """
         async with trio.open_nursery() as nursery:
             for child in self._children:
-                nursery.start_soon(self._keep_running, child)
+                nursery.start_soon(self._run_with_restarts, child)
 
-    async def _keep_running(self, child: Child) -> None:
+    async def _run_with_restarts(self, child: Child) -> None:
         while True:
             child.state = "running"
             try:
                 await child.run()
-            except Exception as error:  # any fault of a task leads to its restart
-                self._note_fault(child, error)
+            except Exception as error:  # every failure leads to a restart
+                self._record_failure(child, error)
             else:
                 child.state = "ended"
                 return
-            await trio.sleep(self._find_pause(child))
+            await trio.sleep(self._compute_backoff(child))
 
-    def _note_fault(self, child: Child, error: Exception) -> None:
+    def _record_failure(self, child: Child, error: Exception) -> None:
         now = trio.current_time()
         child.state = "failed"
         child.total_restarts += 1
@@ -87,7 +89,7 @@
         if len(child.restarts) > self._limit:
             raise RestartLimitError(f"{self.name}/{child.name}") from error
 
-    def _find_pause(self, child: Child) -> float:
+    def _compute_backoff(self, child: Child) -> float:
         doublings = max(0, len(child.restarts) - 1)
         return min(MAX_BACKOFF, INITIAL_BACKOFF * 2.0**doublings)
 
