--- a/dewridge/__main__.py
+++ b/dewridge/__main__.py
@@ -1,9 +1,9 @@
-"""The command line: options in, one call out."""
+"""Entry point of the command line."""
 
 import sys
 
 import typer
-from typer._click.exceptions import (  # typer brings its own click
+from typer._click.exceptions import (  # typer includes its own copy of click
     ClickException,
     NoArgsIsHelpError,
 )
@@ -23,13 +23,13 @@
 from dewridge.commands.version import version
 
 INTERRUPTED = 130
-"""Exit status after Ctrl-C, as shells expect it."""
+"""Exit status after Ctrl-C: 128 plus the number of SIGINT, as shells expect."""
 
 app = typer.Typer(
     no_args_is_help=True,
     add_completion=False,
     rich_markup_mode=None,
-    # Its tracebacks print the values of variables, tokens and prompts included.
+    # These tracebacks print the values of variables, such as tokens and prompts.
     pretty_exceptions_enable=False,
     epilog=STATUSES_HELP,
 )
@@ -57,7 +57,7 @@
 
 
 def run() -> None:
-    """Run the command line; a wrong call ends with one plain line."""
+    """Run the command line; a usage error prints one line, without a traceback."""
     try:
         status = app(standalone_mode=False)
     except NoArgsIsHelpError as error:
--- a/dewridge/codes.py
+++ b/dewridge/codes.py
@@ -1,28 +1,28 @@
-"""Numbered result codes: the one table behind HTTP answers, logs and docs."""
+"""Numbered result codes, shared by HTTP responses, logs and documentation."""
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
 
 class Outcome(Enum):
-    """What a code says about the request that it answers."""
+    """What a result code states about the request."""
 
     DONE = "done"
-    """The request ran and its answer is whole."""
+    """The request ran and its answer is complete."""
     RUNNING = "running"
-    """The request was accepted and goes on."""
+    """The request was accepted and is still in progress."""
     NOT_RUN = "not_run"
-    """No backend server has worked or will work on this submission."""
+    """No backend server has processed or will process this submission."""
     UNKNOWN = "unknown"
     """The request may or may not have run."""
     FAILED = "failed"
-    """The request ran and ended without a whole answer."""
+    """The request ran and ended without a complete answer."""
     NOT_APPLICABLE = "not_applicable"
-    """The code does not speak about a caller's request."""
+    """The code is not about a caller's request."""
 
 
 class ResultCode(IntEnum):
-    """Every result that a caller, an operator or a peer can be given."""
+    """All results that can be returned to a caller, an operator or a peer."""
 
     OK = 0
     ACCEPTED = 1
@@ -101,12 +101,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CodeEntry:
-    """One line of the table of result codes.
+    """Description of a result code.
 
     Attributes:
-        http_status: status of an HTTP answer that carries the code.
-        outcome: what the code says about the request.
-        title: one line for people.
+        http_status: status of an HTTP response with this code.
+        outcome: what the code states about the request.
+        title: one human-readable line.
         advice: what the receiver should do.
     """
 
@@ -118,7 +118,7 @@
 
 _NOT_RUN = Outcome.NOT_RUN
 _UNKNOWN = Outcome.UNKNOWN
-_NOTE = Outcome.NOT_APPLICABLE
+_NOT_APPLICABLE = Outcome.NOT_APPLICABLE
 _FAILED = Outcome.FAILED
 
 CODE_TABLE: dict[ResultCode, CodeEntry] = {
@@ -163,7 +163,7 @@
         "Send again with the next submission number.",
     ),
     ResultCode.MALFORMED_SETTINGS: CodeEntry(
-        400, _NOTE, "The settings are malformed", "Correct each line shown."
+        400, _NOT_APPLICABLE, "The settings are malformed", "Correct each line shown."
     ),
     ResultCode.UNAUTHENTICATED: CodeEntry(
         401, _NOT_RUN, "No valid token", "Send the account's or operator's token."
@@ -256,67 +256,82 @@
         504, _FAILED, "The deadline passed while it ran", "Allow more time."
     ),
     ResultCode.REVISION_CONFLICT: CodeEntry(
-        412, _NOTE, "Someone changed it first", "Read the new revision and redo."
+        412,
+        _NOT_APPLICABLE,
+        "Someone changed it first",
+        "Read the new revision and redo.",
     ),
     ResultCode.UNKNOWN_PROFILE: CodeEntry(
-        404, _NOTE, "No such profile", "Correct the profile's name."
+        404, _NOT_APPLICABLE, "No such profile", "Correct the profile's name."
     ),
     ResultCode.PROFILE_IN_USE: CodeEntry(
-        409, _NOTE, "Services run under the profile", "Move them first."
+        409, _NOT_APPLICABLE, "Services run under the profile", "Move them first."
     ),
     ResultCode.MALFORMED_PROFILE: CodeEntry(
-        422, _NOTE, "The profile or service is malformed", "Correct as detailed."
+        422,
+        _NOT_APPLICABLE,
+        "The profile or service is malformed",
+        "Correct as detailed.",
     ),
     ResultCode.CHANGE_UNKNOWN: CodeEntry(
-        502, _NOTE, "The change may have taken effect", "Read it back first."
+        502, _NOT_APPLICABLE, "The change may have taken effect", "Read it back first."
     ),
     ResultCode.PRECONDITION_REQUIRED: CodeEntry(
-        428, _NOTE, "The change names no revision", "Read it and send its revision."
+        428,
+        _NOT_APPLICABLE,
+        "The change names no revision",
+        "Read it and send its revision.",
     ),
     ResultCode.KEY_VALUE_DOWN: CodeEntry(
-        503, _NOTE, "The key-value service is down", "Wait for it."
+        503, _NOT_APPLICABLE, "The key-value service is down", "Wait for it."
     ),
     ResultCode.KEY_VALUE_CONFLICT: CodeEntry(
-        409, _NOTE, "The compare-and-swap lost", "Read again."
+        409, _NOT_APPLICABLE, "The compare-and-swap lost", "Read again."
     ),
     ResultCode.KEY_VALUE_UNKNOWN: CodeEntry(
-        502, _NOTE, "The write's answer was lost", "Read it back."
+        502, _NOT_APPLICABLE, "The write's answer was lost", "Read it back."
     ),
     ResultCode.KEY_VALUE_TIMEOUT: CodeEntry(
-        504, _NOTE, "Nothing changed while watching", "Watch again."
+        504, _NOT_APPLICABLE, "Nothing changed while watching", "Watch again."
     ),
     ResultCode.KEY_VALUE_COMPACTED: CodeEntry(
-        410, _NOTE, "The history to watch from is gone", "Read again, then watch."
+        410,
+        _NOT_APPLICABLE,
+        "The history to watch from is gone",
+        "Read again, then watch.",
     ),
     ResultCode.KEY_VALUE_LEASE_ENDED: CodeEntry(
-        404, _NOTE, "The lease has ended", "Ask for a new one."
+        404, _NOT_APPLICABLE, "The lease has ended", "Ask for a new one."
     ),
     ResultCode.PLATFORM_DOWN: CodeEntry(
-        503, _NOTE, "A platform service is down", "Wait for it."
+        503, _NOT_APPLICABLE, "A platform service is down", "Wait for it."
     ),
     ResultCode.PLATFORM_MALFORMED: CodeEntry(
-        502, _NOTE, "A platform service's answer is malformed", "Look at its log."
+        502,
+        _NOT_APPLICABLE,
+        "A platform service's answer is malformed",
+        "Look at its log.",
     ),
     ResultCode.MOVE_FAILED: CodeEntry(
         502,
-        _NOTE,
+        _NOT_APPLICABLE,
         "A running stream could not be moved to another backend server",
         "Nothing: it goes on where it is until its server goes.",
     ),
     ResultCode.PEER_UNREACHABLE: CodeEntry(
-        503, _NOTE, "The peer can't be reached", "It is tried again."
+        503, _NOT_APPLICABLE, "The peer can't be reached", "It is tried again."
     ),
     ResultCode.PEER_TIMEOUT: CodeEntry(
-        504, _NOTE, "The peer did not answer in time", "It is tried again."
+        504, _NOT_APPLICABLE, "The peer did not answer in time", "It is tried again."
     ),
     ResultCode.PEER_REFUSED: CodeEntry(
-        409, _NOTE, "The peer refused the message", "See the peer's counters."
+        409, _NOT_APPLICABLE, "The peer refused the message", "See the peer's counters."
     ),
     ResultCode.FRAME_MALFORMED: CodeEntry(
-        400, _NOTE, "A frame was malformed", "The connection is closed."
+        400, _NOT_APPLICABLE, "A frame was malformed", "The connection is closed."
     ),
     ResultCode.FENCED: CodeEntry(
-        409, _NOTE, "This incarnation is fenced", "It restarts as a new one."
+        409, _NOT_APPLICABLE, "This incarnation is fenced", "It restarts as a new one."
     ),
     ResultCode.NOT_STARTED: CodeEntry(
         503, _NOT_RUN, "The attempt provably did not start", "It is tried elsewhere."
--- a/dewridge/commands/check_settings.py
+++ b/dewridge/commands/check_settings.py
@@ -40,7 +40,7 @@
 
 
 def print_problems(loaded: LoadedSettings[Any]) -> None:
-    """Print the problems of a settings file, one line problem."""
+    """Print the problems of a settings file, one on each line."""
     for problem in loaded.errors:
         typer.echo(f"error: {problem}", err=True)
     for problem in loaded.warnings:
--- a/dewridge/commands/profile.py
+++ b/dewridge/commands/profile.py
@@ -105,13 +105,13 @@
 
     Example: dewridge profile list -a 10.0.0.7:8080 --token-file operator.token
     """
-    found = call_operator_api(
+    profiles = call_operator_api(
         address, token_file, as_json, lambda client: client.read("/v1/profiles")
     )
     if as_json:
-        print_json(found)
+        print_json(profiles)
         return
-    for name, published in found.items():
+    for name, published in profiles.items():
         typer.echo(_format_profile(name, published))
 
 
@@ -136,12 +136,12 @@
     --token-file operator.token
     """
     path = make_path("profiles", name)
-    found = call_operator_api(
+    result = call_operator_api(
         address, token_file, as_json, lambda client: client.read(path)
     )
     if not as_json:
-        typer.echo(f"revision {found['revision']}", err=True)
-    print_json(found if as_json else found["value"])
+        typer.echo(f"revision {result['revision']}", err=True)
+    print_json(result if as_json else result["value"])
 
 
 @app.command()
@@ -158,11 +158,11 @@
     --token-file operator.token
     """
     path = make_path("profiles", name, "report")
-    found = call_operator_api(
+    result = call_operator_api(
         address, token_file, as_json, lambda client: client.read(path)
     )
     if as_json:
-        print_json(found)
+        print_json(result)
         return
-    for counter, value in found["counters"].items():
+    for counter, value in result["counters"].items():
         typer.echo(f"{counter:<48} {value:>16.6g}")
--- a/dewridge/commands/proofs.py
+++ b/dewridge/commands/proofs.py
@@ -28,19 +28,20 @@
     from dewridge.proofs.runs import format_table, run_scenario  # noqa: PLC0415
     from dewridge.proofs.scenarios import SCENARIOS  # noqa: PLC0415
 
-    selection = [item for item in SCENARIOS if scenario in ("", item.name)]
-    if not selection:
+    selected_scenarios = [item for item in SCENARIOS if scenario in ("", item.name)]
+    if not selected_scenarios:
         known_names = ", ".join(item.name for item in SCENARIOS)
         typer.echo(f"no scenario {scenario!r}; known: {known_names}", err=True)
         raise typer.Exit(ExitStatus.USAGE)
     results = []
-    for selected in selection:
+    for selected_scenario in selected_scenarios:
         for run_seed in range(seed, seed + runs):
-            result = trio.run(run_scenario, selected, run_seed, folder)
+            result = trio.run(run_scenario, selected_scenario, run_seed, folder)
             results.append(result)
             for violation in result.violations:
                 typer.echo(
-                    f"{selected.name} seed {run_seed}: promise {violation.promise}: "
+                    f"{selected_scenario.name} seed {run_seed}: "
+                    f"promise {violation.promise}: "
                     f"{violation.subject}: {violation.reason}"
                 )
             typer.echo(format_table([result]).splitlines()[-1])
--- a/dewridge/composition.py
+++ b/dewridge/composition.py
@@ -1,4 +1,4 @@
-"""The one composition root: builds an entry host's parts and runs them."""
+"""Composition root of an entry host: builds its components and runs them."""
 
 import signal
 import time
@@ -38,36 +38,38 @@
 
 
 async def run_host(settings: Settings) -> ExitReason:
-    """Run an entry host until it has left; a fenced one starts anew.
+    """Run an entry host until it shuts down.
+
+    A fenced host starts again as a new incarnation.
 
     Returns:
-        LEFT after a graceful shutdown, FAILED when restarts did not help.
+        LEFT after a graceful shutdown, FAILED if a task reached its restart limit.
     """
     while True:
-        ending = await _run_incarnation(settings)
-        if ending is not ExitReason.FENCED:
-            return ending
+        exit_reason = await _run_incarnation(settings)
+        if exit_reason is not ExitReason.FENCED:
+            return exit_reason
         log.warning("starting as a new incarnation")
 
 
 async def _run_incarnation(settings: Settings) -> ExitReason:
     lifecycle = Lifecycle()
     async with AsyncExitStack() as stack:
-        outside = await _open_outside(settings, stack)
-        host = _build_host(settings, lifecycle, outside)
-        ending = ExitReason.LEFT
+        external = await _open_external_services(settings, stack)
+        host = _build_host(settings, lifecycle, external)
+        exit_reason = ExitReason.LEFT
         try:
-            await _run_parts(host)
+            await _run_components(host)
         except* RestartLimitError as group:
-            log.error("giving up: {}", group.exceptions[0])
-            ending = ExitReason.FAILED
-    return ExitReason.FENCED if lifecycle.fenced.is_set() else ending
+            log.error("restart limit reached: {}", group.exceptions[0])
+            exit_reason = ExitReason.FAILED
+    return ExitReason.FENCED if lifecycle.fenced.is_set() else exit_reason
 
 
-async def _run_parts(host: "Host") -> None:
-    """Run an incarnation's parts until it has left or was fenced."""
+async def _run_components(host: "Host") -> None:
+    """Run an incarnation's components until it has shut down or was fenced."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_watch_signals, host.lifecycle)
+        nursery.start_soon(_handle_signals, host.lifecycle)
         nursery.start_soon(host.supervisor.run)
         await host.lifecycle.wait()
         if not host.lifecycle.fenced.is_set():
@@ -75,15 +77,15 @@
         nursery.cancel_scope.cancel()
 
 
-async def _watch_signals(lifecycle: Lifecycle) -> None:
+async def _handle_signals(lifecycle: Lifecycle) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             lifecycle.start_leaving()
 
 
 @dataclass(frozen=True)
-class Outside:
-    """What an incarnation uses outside of its process, and what counts it."""
+class ExternalServices:
+    """Clients of the services that an incarnation uses, and its metrics."""
 
     metrics: Metrics
     key_value: KeyValue
@@ -93,13 +95,15 @@
     orders: Orders
 
 
-async def _open_outside(settings: Settings, stack: AsyncExitStack) -> Outside:
+async def _open_external_services(
+    settings: Settings, stack: AsyncExitStack
+) -> ExternalServices:
     metrics = Metrics()
     enter = stack.enter_async_context
     platform = settings.platform
     timeout = platform.call_timeout
     connect_timeout = settings.peers.connect_timeout
-    return Outside(
+    return ExternalServices(
         metrics,
         await enter(
             make_key_value(platform.key_value, timeout=timeout, metrics=metrics)
@@ -115,11 +119,11 @@
 
 @dataclass(frozen=True)
 class Host:
-    """The parts of one incarnation, wired together."""
+    """The connected components of one incarnation."""
 
     settings: Settings
     lifecycle: Lifecycle
-    outside: Outside
+    external: ExternalServices
     peers: PeerTransport
     membership: MembershipService
     registration: Registration
@@ -132,26 +136,28 @@
     frontend_closed: trio.Event = field(default_factory=trio.Event)
 
     async def leave(self) -> None:
-        """Go without losing a request: no new ones, hand off, then close.
+        """Shut down without losing a request: hand off all requests, then close.
 
-        Handing off begins at once, beside telling peers and the platform: on a
-        slow host those took 1.3 s of the two that a reclaim may leave. The
-        frontend closes last, since callers read to the end.
+        New requests are already rejected. The handoff runs concurrently with
+        informing the peers and the platform: on a slow host these took 1.3 s of
+        the 2 s that a reclaim may leave. The frontend closes last so that callers
+        can read their answers to the end.
         """
-        longest = self.settings.frontend.drain_seconds
-        time_left = self.lifecycle.compute_drain_time(longest)
+        max_seconds = self.settings.frontend.drain_seconds
+        drain_time = self.lifecycle.compute_drain_time(max_seconds)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.membership.leave)
             nursery.start_soon(self.registration.remove)
-            await self.requests.drain(time_left, self.lifecycle.get_answer_grace())
+            await self.requests.drain(drain_time, self.lifecycle.get_answer_grace())
         self.close_frontend.set()
-        with trio.move_on_after(self.lifecycle.compute_drain_time(longest)):
+        with trio.move_on_after(self.lifecycle.compute_drain_time(max_seconds)):
             await self.frontend_closed.wait()
         log.info("left")
 
     async def run_frontend(self) -> None:
-        """Serve callers and operators."""
-        # quart and hypercorn take long to import; what peers need is up before.
+        """Run the HTTP interface for callers and operators."""
+        # quart and hypercorn are slow to import. Imported here, they do not delay the
+        # components that peers need.
         from dewridge.frontend.app import build_app  # noqa: PLC0415
         from dewridge.frontend.server import serve  # noqa: PLC0415
 
@@ -162,7 +168,7 @@
             membership=self.membership,
             usage=self.requests.read_usage_everywhere,
             dumps=self.dumps,
-            metrics=self.outside.metrics,
+            metrics=self.external.metrics,
             is_leaving=self.lifecycle.leaving.is_set,
         )
         name = self.settings.host.id
@@ -171,13 +177,13 @@
             self.settings.frontend,
             self.close_frontend,
             lambda address: log.info("host {} serves at {}", name, address),
-            self.outside.metrics,
+            self.external.metrics,
         )
         self.frontend_closed.set()
 
 
 def make_member(settings: Settings, incarnation: Incarnation) -> Member:
-    """Return this host's own membership entry, from its settings."""
+    """Return the membership entry of this host, from its settings."""
     peers, frontend = settings.peers, settings.frontend
     return Member(
         HostId(settings.host.id),
@@ -188,24 +194,28 @@
     )
 
 
-def _build_host(settings: Settings, lifecycle: Lifecycle, outside: Outside) -> Host:
-    """Build all parts of one incarnation and wire them together."""
-    me = make_member(settings, Incarnation(time.time_ns() // 1000))
-    seed = Random(f"{me.host}/{me.incarnation}").randrange(2**32)
-    metrics, platform = outside.metrics, settings.platform
+def _build_host(
+    settings: Settings, lifecycle: Lifecycle, external: ExternalServices
+) -> Host:
+    """Build and connect all components of one incarnation."""
+    local_member = make_member(settings, Incarnation(time.time_ns() // 1000))
+    seed = Random(f"{local_member.host}/{local_member.incarnation}").randrange(2**32)
+    metrics, platform = external.metrics, settings.platform
     peers = PeerTransport(
         settings=settings.peers,
         deployment=settings.host.deployment,
-        me=PeerIdentity(me.host, me.incarnation, me.failure_domain),
+        me=PeerIdentity(
+            local_member.host, local_member.incarnation, local_member.failure_domain
+        ),
         metrics=metrics,
     )
     registration = Registration(
-        outside.key_value, platform.prefix, settings.peers.seeds, me
+        external.key_value, platform.prefix, settings.peers.seeds, local_member
     )
     membership = MembershipService(
         settings=settings.membership,
         peers=peers,
-        me=me,
+        me=local_member,
         seeds=registration.find_seeds,
         metrics=metrics,
         seed=seed,
@@ -214,7 +224,7 @@
     peers.is_refused = membership.check_peer
     configuration = ConfigurationService(
         settings=platform,
-        key_value=outside.key_value,
+        key_value=external.key_value,
         peers=peers,
         membership=membership,
         rumors=membership,
@@ -225,8 +235,8 @@
     watcher = FleetWatcher(
         settings=platform,
         table=servers,
-        host_list=outside.host_list,
-        cloud=outside.cloud,
+        host_list=external.host_list,
+        cloud=external.cloud,
         membership=membership,
         rumors=membership,
         metrics=metrics,
@@ -237,22 +247,22 @@
         peers=peers,
         membership=membership,
         rumors=membership,
-        key_value=outside.key_value,
+        key_value=external.key_value,
         key_prefix=platform.prefix,
         writes_per_second=platform.writes_per_second,
         configuration=configuration.current,
         servers=servers,
-        dispatch=outside.dispatch,
-        admission_gate=_make_gate(lifecycle, configuration),
+        dispatch=external.dispatch,
+        admission_gate=_make_admission_gate(lifecycle, configuration),
         metrics=metrics,
         seed=seed,
-        orders=outside.orders,
+        orders=external.orders,
     )
     supervision = settings.supervision
     host = Host(
         settings,
         lifecycle,
-        outside,
+        external,
         peers,
         membership,
         registration,
@@ -267,7 +277,7 @@
     return host
 
 
-def _make_gate(
+def _make_admission_gate(
     lifecycle: Lifecycle, configuration: ConfigurationService
 ) -> Callable[[], Failure | None]:
     def check_admission() -> Failure | None:
@@ -297,13 +307,13 @@
     add("configuration", host.configuration.describe)
     add("fleet", host.watcher.describe)
     add("requests", host.requests.describe)
-    add("tasks", _describe_later(host.supervisor.describe))
+    add("tasks", _make_async(host.supervisor.describe))
 
 
-def _describe_later(
+def _make_async(
     describe: Callable[[], dict[str, object]],
 ) -> Callable[[], Awaitable[Any]]:
-    async def answer() -> Any:
+    async def describe_async() -> Any:
         return describe()
 
-    return answer
+    return describe_async
--- a/dewridge/digests.py
+++ b/dewridge/digests.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same: the account, what is asked, and the content."""
+"""Digests of requests by their account, called operation and content."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -11,15 +11,17 @@
 def compute_content_digest(
     account: ClientAccount, call_parts: Iterable[bytes], body: bytes
 ) -> RequestDigest:
-    """Return the digest of a request, the same for each repeat of it at any host.
+    """Return the digest of a request; all its retries at any host have the same one.
 
-    The account goes in first, so that no account's request ever has the digest of
-    another one's.
+    The account is part of the digest, so that requests of different accounts never
+    share one.
 
     Args:
-        account: whose request it is; empty without an account.
-        call_parts: what is asked, in parts that don't run into each other.
-        body: the content.
+        account: the account of the request; empty if there is none.
+        call_parts: the parts that name the called operation, such as method and path.
+            Each is hashed with its length, so that different splits of the same bytes
+            have different digests.
+        body: the content of the request.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (account.encode(), *call_parts):
--- a/dewridge/explaining.py
+++ b/dewridge/explaining.py
@@ -1,14 +1,14 @@
-"""The story of one request, put together from the log lines of several hosts."""
+"""Reconstructs the history of a request from the log lines of several hosts."""
 
 import json
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from typing import Any
 
-AROUND = 5.0
-"""Seconds before and after a request in which changes of belief belong to its story:
-a reclaim with its notice, a lease, or an outage's first time-outs."""
-BELIEFS = frozenset(
+CONTEXT_SECONDS = 5.0
+"""Seconds before and after a request within which context events are included. Long
+enough for a reclaim with its notice, a lease, or the first timeouts of an outage."""
+CONTEXT_EVENTS = frozenset(
     {
         "configuration in force",
         "dependency",
@@ -26,9 +26,10 @@
         "stopped",
     }
 )
-"""Events that change what a process believes."""
-SHOWN_FIRST = ("status", "code", "reason", "server", "servers", "loss", "ms")
-HIDDEN = frozenset({"time", "level", "part", "event", "host", "id"})
+"""Events that change what a process assumes about its peers, servers, duties, leases
+and configuration."""
+LEADING_FIELDS = ("status", "code", "reason", "server", "servers", "loss", "ms")
+HIDDEN_FIELDS = frozenset({"time", "level", "part", "event", "host", "id"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,9 +37,9 @@
     """One line of a gateway's log.
 
     Attributes:
-        at: seconds since 1970.
+        at: time of the line, in seconds since 1970.
         host: the host that wrote it.
-        event: what happened.
+        event: name of the event.
         fields: all fields of the line.
     """
 
@@ -49,7 +50,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Read log lines; what stands before a line's JSON, and other text, is skipped."""
+    """Parse log lines; text before the JSON and lines without JSON are skipped."""
     for text in lines:
         start = text.find("{")
         if start < 0:
@@ -64,25 +65,32 @@
 
 
 def explain_request(lines: Iterable[LogLine], request: str) -> list[str]:
-    """Return the story of a request in order of time; empty if nothing is known."""
-    known = list(lines)
-    own = [line for line in known if line.fields.get("id") == request]
-    if not own:
+    """Return the history of a request in order of time; empty if no line has its id."""
+    all_lines = list(lines)
+    request_lines = [line for line in all_lines if line.fields.get("id") == request]
+    if not request_lines:
         return []
-    hosts = {line.host for line in own}
-    servers = _list_servers(own)
-    digests = {str(line.fields["digest"]) for line in own if "digest" in line.fields}
-    begin = min(line.at - float(line.fields.get("ms", 0)) / 1000 for line in own)
-    end = max(line.at for line in own)
-    around = [
+    hosts = {line.host for line in request_lines}
+    servers = _list_servers(request_lines)
+    digests = {
+        str(line.fields["digest"]) for line in request_lines if "digest" in line.fields
+    }
+    begin = min(
+        line.at - float(line.fields.get("ms", 0)) / 1000 for line in request_lines
+    )
+    end = max(line.at for line in request_lines)
+    context_lines = [
         line
-        for line in known
-        if line.event in BELIEFS
-        and begin - AROUND <= line.at <= end + AROUND
-        and _concerns(line, hosts, servers, digests)
+        for line in all_lines
+        if line.event in CONTEXT_EVENTS
+        and begin - CONTEXT_SECONDS <= line.at <= end + CONTEXT_SECONDS
+        and _is_relevant(line, hosts, servers, digests)
+    ]
+    history = sorted([*request_lines, *context_lines], key=lambda line: line.at)
+    return [
+        _format_line(line, begin, is_request_line=line in request_lines)
+        for line in history
     ]
-    story = sorted([*own, *around], key=lambda line: line.at)
-    return [_format(line, begin, is_own=line in own) for line in story]
 
 
 def _list_servers(lines: list[LogLine]) -> set[str]:
@@ -93,7 +101,7 @@
     return servers - {""}
 
 
-def _concerns(
+def _is_relevant(
     line: LogLine, hosts: set[str], servers: set[str], digests: set[str]
 ) -> bool:
     server = line.fields.get("server")
@@ -104,14 +112,16 @@
     return line.host in hosts or line.event == "servers ordered"
 
 
-def _format(line: LogLine, begin: float, *, is_own: bool) -> str:
-    shown = [name for name in SHOWN_FIRST if line.fields.get(name) not in (None, "")]
-    rest = [
+def _format_line(line: LogLine, begin: float, *, is_request_line: bool) -> str:
+    leading = [
+        name for name in LEADING_FIELDS if line.fields.get(name) not in (None, "")
+    ]
+    others = [
         name
         for name, value in line.fields.items()
-        if name not in HIDDEN and name not in shown and value not in (None, "")
+        if name not in HIDDEN_FIELDS and name not in leading and value not in (None, "")
     ]
-    fields = " ".join(f"{name}={line.fields[name]}" for name in (*shown, *rest))
-    mark = "*" if is_own else " "
+    fields = " ".join(f"{name}={line.fields[name]}" for name in (*leading, *others))
+    marker = "*" if is_request_line else " "
     offset = (line.at - begin) * 1000
-    return f"{mark} {offset:+9.1f} ms  {line.host:<24} {line.event}  {fields}"
+    return f"{marker} {offset:+9.1f} ms  {line.host:<24} {line.event}  {fields}"
--- a/dewridge/lifecycle.py
+++ b/dewridge/lifecycle.py
@@ -1,4 +1,4 @@
-"""How an incarnation of an entry host comes to its end."""
+"""Lifecycle of an entry host's incarnation: shutdown, reclaim and fencing."""
 
 import time
 from dataclasses import dataclass, field
@@ -9,33 +9,34 @@
 
 RECLAIM_MARGIN = 0.7
 """Seconds before the announced reclaim by which the last request must have been
-handed off; what is sent later may be cut off on its way."""
+handed off; a later transfer may be interrupted."""
 
 ANSWER_MARGIN = 0.2
-"""Seconds before the announced reclaim until which the answer to a call that was sent
-is waited for; its copy takes some milliseconds to reach another host."""
+"""Seconds before the announced reclaim at which waiting for answers to calls already
+sent ends; the copy of an answer takes some milliseconds to reach another host."""
 
-SHORTEST_DRAIN = 0.2
-"""Seconds for a drain even when the notice is used up; a handoff takes less."""
+MIN_DRAIN_TIME = 0.2
+"""Minimum seconds for a drain, even if the notice period is over. A handoff takes
+less."""
 
 
 class ExitReason(Enum):
-    """Why an incarnation ended."""
+    """Reason for the end of an incarnation."""
 
     LEFT = "left"
     FENCED = "fenced"
-    """Its peers count this incarnation as dead; it starts as a new one."""
+    """Peers consider this incarnation dead; the host starts again as a new one."""
     FAILED = "failed"
 
 
 @dataclass
 class Lifecycle:
-    """Whether this host is to leave, and when at the latest.
+    """Tracks whether this host must shut down, and by when.
 
     Attributes:
-        leaving: set once the host is to leave.
-        reclaim_at: seconds since 1970 when it is taken away, if that is known.
-        fenced: set once peers refuse this incarnation.
+        leaving: set once the host must shut down.
+        reclaim_at: time of the announced reclaim in seconds since 1970, if known.
+        fenced: set once peers reject this incarnation.
     """
 
     leaving: trio.Event = field(default_factory=trio.Event)
@@ -43,7 +44,7 @@
     fenced: trio.Event = field(default_factory=trio.Event)
 
     def start_leaving(self, reclaim_at: float | None = None) -> None:
-        """Leave, by a time if given; the earliest of several counts."""
+        """Start the shutdown; of several reclaim times the earliest applies."""
         if reclaim_at is not None:
             self.reclaim_at = min(reclaim_at, self.reclaim_at or reclaim_at)
         if not self.leaving.is_set():
@@ -51,23 +52,23 @@
             self.leaving.set()
 
     def compute_drain_time(self, max_seconds: float) -> float:
-        """Return how many seconds are left to end or hand off requests."""
+        """Return the seconds left to complete or hand off requests."""
         if self.reclaim_at is None:
             return max_seconds
-        left = self.reclaim_at - time.time() - RECLAIM_MARGIN
-        return max(SHORTEST_DRAIN, min(max_seconds, left))
+        time_left = self.reclaim_at - time.time() - RECLAIM_MARGIN
+        return max(MIN_DRAIN_TIME, min(max_seconds, time_left))
 
     def get_answer_grace(self) -> float:
-        """Return how many seconds answers may still come after the drain's time."""
+        """Return the seconds to wait for answers after the drain time."""
         return 0.0 if self.reclaim_at is None else RECLAIM_MARGIN - ANSWER_MARGIN
 
     async def wait(self) -> None:
-        """Wait until this incarnation is to leave or was fenced."""
+        """Wait until this incarnation must shut down or was fenced."""
         async with trio.open_nursery() as nursery:
 
-            async def wait_for(event: trio.Event) -> None:
+            async def cancel_on(event: trio.Event) -> None:
                 await event.wait()
                 nursery.cancel_scope.cancel()
 
-            nursery.start_soon(wait_for, self.leaving)
-            nursery.start_soon(wait_for, self.fenced)
+            nursery.start_soon(cancel_on, self.leaving)
+            nursery.start_soon(cancel_on, self.fenced)
--- a/dewridge/logs.py
+++ b/dewridge/logs.py
@@ -1,4 +1,4 @@
-"""Set-up of the logs: plain lines or JSON lines on standard error."""
+"""Configures logging: plain text or JSON lines on standard error."""
 
 import json
 import logging
@@ -12,25 +12,31 @@
 
     from dewridge.settings.schema import LogSettings
 
-PLAIN = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level: <7} {name} {message}"
+PLAIN_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level: <7} {name} {message}"
 
 
 def set_up_logs(settings: "LogSettings") -> None:
-    """Send all logs of this process to standard error as the settings say."""
+    """Write all logs of this process to standard error, in the configured format."""
     log.remove()
     log.add(
         write_json if settings.format == "json" else sys.stderr,
         level=settings.level.upper(),
-        format=PLAIN,
+        format=PLAIN_FORMAT,
         backtrace=False,
-        # Its tracebacks print the values of variables: tokens and prompts too.
+        # Diagnostic tracebacks print the values of variables, such as tokens and
+        # prompts.
         diagnose=False,
     )
-    logging.basicConfig(handlers=[_Forwarder()], level=logging.WARNING, force=True)
+    logging.basicConfig(
+        handlers=[_LibraryLogHandler()], level=logging.WARNING, force=True
+    )
 
 
 def write_json(message: "Message") -> None:
-    """Write a line as one JSON object; the library's own names source files."""
+    """Write a log message as one JSON object.
+
+    The JSON format of loguru itself would include source file names.
+    """
     record = message.record
     line = {
         "time": record["time"].isoformat(),
@@ -43,11 +49,11 @@
     sys.stderr.write(json.dumps(line) + "\n")
 
 
-class _Forwarder(logging.Handler):
-    """Passes on what libraries log, without arguments: they may hold input."""
+class _LibraryLogHandler(logging.Handler):
+    """Forwards log records of libraries without arguments, which may contain input."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a library's record as a line of ours."""
-        kind = record.exc_info[0] if record.exc_info else None
-        fault = kind.__name__ if kind else ""
-        log.log(record.levelno, "{}: {} {}", record.name, record.msg, fault)
+        """Forward a record to the log of this process."""
+        exception_type = record.exc_info[0] if record.exc_info else None
+        exception_name = exception_type.__name__ if exception_type else ""
+        log.log(record.levelno, "{}: {} {}", record.name, record.msg, exception_name)
--- a/dewridge/metrics/registry.py
+++ b/dewridge/metrics/registry.py
@@ -42,7 +42,7 @@
         """Remove a histogram; call when the object that its labels name was removed."""
         self._histograms.pop((name, tuple(sorted(labels.items()))), None)
 
-    def read_counter(self, name: str, **labels: str) -> float:
+    def read(self, name: str, **labels: str) -> float:
         """Return a counter's value; 0 if it was never increased."""
         return self._counters.get((name, tuple(sorted(labels.items()))), 0.0)
 
--- a/dewridge/sentinels.py
+++ b/dewridge/sentinels.py
@@ -1,4 +1,4 @@
-"""Sentinel values that stand for a failure and carry its reason."""
+"""The value that functions return on an expected failure, with its reason."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A result that could not be had; told apart by `isinstance`.
+    """A failed operation, returned instead of a result; detected with `isinstance`.
 
     Attributes:
         code: the numbered result code.
-        reason: one plain line for people, without tokens, prompts or answers.
-        retry_after: seconds until it makes sense to come back, if known.
+        reason: one human-readable line, without tokens, prompts or answers.
+        retry_after: seconds after which a retry makes sense, if known.
     """
 
     code: ResultCode
@@ -21,10 +21,10 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What the code says about the caller's request."""
+        """What the code states about the caller's request."""
         return CODE_TABLE[self.code].outcome
 
     @property
     def is_not_run(self) -> bool:
-        """Whether this promises that no backend server worked on the request."""
+        """Whether no backend server has processed or will process the request."""
         return self.outcome is Outcome.NOT_RUN
--- a/dewridge/slopes/members.py
+++ b/dewridge/slopes/members.py
@@ -122,10 +122,10 @@
 
     async def measure(self) -> None:
         """Report the costs so far."""
-        counters = {name: self._metrics.read_counter(name) for name in COUNTERS}
+        counters = {name: self._metrics.read(name) for name in COUNTERS}
         for direction in ("dialled", "accepted"):
             name = "peer_connections_opened"
-            counters[direction] = self._metrics.read_counter(name, direction=direction)
+            counters[direction] = self._metrics.read(name, direction=direction)
         knows = min(
             sum(1 for m in service.members() if m.state is MemberState.ALIVE)
             for service in self._services
--- a/dewridge/tests/__init__.py
+++ b/dewridge/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, laid out as the package is."""
+"""Tests, in the folder structure of the package."""
--- a/dewridge/tests/commands/commands_tests.py
+++ b/dewridge/tests/commands/commands_tests.py
@@ -1,4 +1,4 @@
-"""The command line: exit statuses, one plain line, output for machines."""
+"""The command line: exit statuses, one-line errors and JSON output."""
 
 import json
 from pathlib import Path
@@ -29,15 +29,18 @@
 
 @pytest.fixture
 def cli(monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> Any:
-    """Return a function that runs a command line: status, output, errors."""
+    """Return a function that runs a command line.
+
+    It returns the exit status, standard output and standard error.
+    """
 
     def call(*arguments: str, token: str = AUDITOR) -> tuple[int, str, str]:
         monkeypatch.setenv("DEWRIDGE_TOKEN", token)
         monkeypatch.setattr("sys.argv", ["dewridge", *arguments])
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exited:
             run()
         out, err = capsys.readouterr()
-        return int(ended.value.code or 0), out, err
+        return int(exited.value.code or 0), out, err
 
     return call
 
@@ -59,14 +62,14 @@
         "codes 12345",
     ],
 )
-def test_a_wrong_call_gets_one_plain_line(cli: Any, line: str) -> None:
+def test_a_usage_error_prints_one_line(cli: Any, line: str) -> None:
     status, out, err = cli(*line.split())
     assert status == ExitStatus.USAGE
     assert out == ""
     assert len(err.splitlines()) == 1
 
 
-def test_codes_and_settings_are_shown_for_machines(cli: Any) -> None:
+def test_codes_and_settings_are_printed_as_json(cli: Any) -> None:
     status, out, _ = cli("codes", "201", "--json")
     assert (status, json.loads(out)[0]["name"]) == (0, "QUEUE_FULL")
     status, out, _ = cli("check-settings", str(EXAMPLES / "karoo.json"), "--json")
@@ -90,7 +93,7 @@
     assert document["summary"]["cost"] == 0.2
 
 
-async def test_exit_statuses_tell_outcomes_apart(cli: Any) -> None:
+async def test_exit_statuses_distinguish_outcomes(cli: Any) -> None:
     requests = FakeRequests(SCRIPT)
     async with run_frontend(requests) as frontend:
         line = ("request", "findings", "draft_finding", "-t", "x")
@@ -116,8 +119,8 @@
 
 
 async def test_operators_publish_revise_and_move(cli: Any) -> None:
-    # Two operators revise the same profile; the second is told so by its exit
-    # status, and may read the new revision and redo the change.
+    # Two operators revise the same profile. The second gets the exit status for a
+    # conflict, and can read the new revision and redo the change.
     async with run_frontend(FakeRequests()) as frontend:
 
         async def call(line: str) -> tuple[int, str, str]:
--- a/dewridge/tests/commands/logs_tests.py
+++ b/dewridge/tests/commands/logs_tests.py
@@ -1,4 +1,4 @@
-"""Logs: a line each, for people or machines, without what callers sent."""
+"""Logs: one line for each message, plain or JSON, without input of callers."""
 
 import json
 import logging
@@ -12,7 +12,7 @@
 
 
 @pytest.fixture(autouse=True)
-def restore() -> Iterator[None]:
+def restore_logging() -> Iterator[None]:
     handlers = logging.root.handlers[:]
     yield
     log.remove()
@@ -22,8 +22,8 @@
 def test_tracebacks_do_not_print_the_values_of_variables(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    # A task fails while it holds a token. The library's usual tracebacks print
-    # the value of each variable beside its line.
+    # A task fails while a variable contains a token. By default, loguru's tracebacks
+    # print the values of variables beside each line.
     set_up_logs(LogSettings(format="json"))
     token = "".join(["very", "-", "secret"])
     try:
@@ -37,7 +37,7 @@
     assert "very-secret" not in captured
 
 
-def test_what_libraries_log_keeps_its_arguments_to_itself(
+def test_arguments_of_library_log_calls_are_not_written(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     set_up_logs(LogSettings(level="debug"))
--- a/dewridge/tests/commands/pages_tests.py
+++ b/dewridge/tests/commands/pages_tests.py
@@ -1,4 +1,4 @@
-"""The pages made from the code are those that are committed."""
+"""The committed documentation pages equal those generated from the code."""
 
 import pytest
 
--- a/dewridge/tests/conftest.py
+++ b/dewridge/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Shared by all tests: runs trio tests and passes over what KNOWN-RED.txt names."""
+"""Shared test setup: runs trio tests and tolerates failures that are known.
+
+The known failures are listed in KNOWN-RED.txt.
+"""
 
 import inspect
 from pathlib import Path
@@ -10,19 +13,19 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-KNOWN_RED = Path(__file__).parents[2] / "KNOWN-RED.txt"
+KNOWN_RED_FILE = Path(__file__).parents[2] / "KNOWN-RED.txt"
 
 
 def read_known_red() -> dict[str, str]:
-    """Return each line (`TEST | COMMAND | SEEN | CAUSE | ISSUE`) by its test id."""
-    if not KNOWN_RED.exists():
+    """Return the lines (`TEST | COMMAND | SEEN | CAUSE | ISSUE`) by test id."""
+    if not KNOWN_RED_FILE.exists():
         return {}
-    lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
+    lines = [line for line in KNOWN_RED_FILE.read_text().splitlines() if line.strip()]
     return {line.split("|")[0].strip(): line for line in lines}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark exactly the tests that KNOWN-RED.txt names; they still run."""
+    """Mark the tests listed in KNOWN-RED.txt as expected failures; they still run."""
     known = read_known_red()
     for item in items:
         if item.nodeid in known:
@@ -30,11 +33,12 @@
 
 
 def pytest_collection_finish() -> None:
-    """Let hypothesis build its tables before a test that it times.
+    """Make hypothesis build its tables before the first timed test.
 
-    In a fresh clone the first text that it draws takes a second or two, for its table
-    of characters and the literals of all loaded modules. Drawn in a test, that counts
-    as the test's own slowness and fails its health check, whichever test comes first.
+    In a fresh clone, drawing the first text takes one or two seconds, since hypothesis
+    builds its character table and collects the literals of all loaded modules. Within
+    a test this would count as slow data generation and fail the health check of
+    whichever test runs first.
     """
 
     @settings(max_examples=1, database=None, suppress_health_check=list(HealthCheck))
@@ -47,7 +51,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a coroutine test under trio."""
+    """Run a test that is a coroutine function under trio."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = pyfuncitem._fixtureinfo.argnames
@@ -63,5 +67,5 @@
 
 @pytest.fixture
 def autojump_clock() -> trio.testing.MockClock:
-    """Return a clock by which a test's waits pass at once."""
+    """Return a clock that skips waiting times in a test."""
     return trio.testing.MockClock(autojump_threshold=0)
--- a/dewridge/tests/fakes.py
+++ b/dewridge/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces, in memory, for tests of single parts."""
+"""In-memory fakes of interfaces, for tests of single components."""
 
 from collections.abc import Callable
 
@@ -12,12 +12,16 @@
 
 
 class MemoryKeyValue:
-    """A key-value service in memory, with faults to order.
+    """An in-memory key-value service that can simulate faults.
 
     Attributes:
+        entries: the stored entries by key.
         is_down: every call fails as if it had not been sent.
-        answers_to_lose: so many writes take effect while their answer is lost.
-        writes_to_lose: so many writes are lost before they take effect, unknown.
+        answers_to_lose: number of writes that take effect while their answer is lost.
+        writes_to_lose: number of writes that fail with an unknown outcome and have
+            no effect.
+        calls: kinds of the received calls, in order.
+        before_swap: called with the key before each compare-and-swap.
     """
 
     def __init__(self) -> None:
@@ -30,45 +34,49 @@
         self._changed = trio.Event()
         self.before_swap: Callable[[str], None] = lambda key: None
 
-    def _note(self, call: str) -> Failure | None:
+    def _record_call(self, call: str) -> Failure | None:
         self.calls.append(call)
         return Failure(ResultCode.KEY_VALUE_DOWN, "down") if self.is_down else None
 
     async def get(self, key: str) -> Entry | Failure:
         await trio.lowlevel.checkpoint()
-        return self._note("get") or self.entries.get(key, Entry(key, b"", 0))
+        return self._record_call("get") or self.entries.get(key, Entry(key, b"", 0))
 
     async def list_entries(self, prefix: str) -> list[Entry] | Failure:
         await trio.lowlevel.checkpoint()
-        failure = self._note("list")
+        failure = self._record_call("list")
         if failure is not None:
             return failure
-        return [e for k, e in sorted(self.entries.items()) if k.startswith(prefix)]
+        return [
+            entry
+            for key, entry in sorted(self.entries.items())
+            if key.startswith(prefix)
+        ]
 
     async def compare_and_swap(
         self, key: str, value: bytes, expected_revision: int
     ) -> Entry | Failure:
         await trio.lowlevel.checkpoint()
-        failure = self._note("swap")
+        failure = self._record_call("swap")
         if failure is not None:
             return failure
         self.before_swap(key)
         if self.writes_to_lose > 0:
             self.writes_to_lose -= 1
             return Failure(ResultCode.KEY_VALUE_UNKNOWN, "lost")
-        present = self.entries.get(key)
-        if (present.revision if present else 0) != expected_revision:
+        stored = self.entries.get(key)
+        if (stored.revision if stored else 0) != expected_revision:
             return Failure(ResultCode.KEY_VALUE_CONFLICT, "conflict")
-        return self._answer(self.write(key, value))
+        return self._reply_to_write(self.write(key, value))
 
-    def _answer(self, entry: Entry) -> Entry | Failure:
+    def _reply_to_write(self, entry: Entry) -> Entry | Failure:
         if self.answers_to_lose > 0:
             self.answers_to_lose -= 1
             return Failure(ResultCode.KEY_VALUE_UNKNOWN, "answer lost")
         return entry
 
     def write(self, key: str, value: bytes) -> Entry:
-        """Write a key whatever it holds, as somebody else would."""
+        """Write a key without a revision check, as another client would."""
         self._revision += 1
         self.entries[key] = Entry(key, value, self._revision)
         self._changed.set()
@@ -77,19 +85,19 @@
 
     async def delete(self, key: str, expected_revision: int) -> Entry | Failure:
         await trio.lowlevel.checkpoint()
-        failure = self._note("delete")
+        failure = self._record_call("delete")
         if failure is not None:
             return failure
-        present = self.entries.get(key)
-        if (present.revision if present else 0) != expected_revision:
+        stored = self.entries.get(key)
+        if (stored.revision if stored else 0) != expected_revision:
             return Failure(ResultCode.KEY_VALUE_CONFLICT, "conflict")
         self.entries.pop(key, None)
-        return self._answer(Entry(key, b"", 0))
+        return self._reply_to_write(Entry(key, b"", 0))
 
     async def watch(
         self, key: str, after_revision: int, timeout: float
     ) -> Entry | Failure:
-        failure = self._note("watch")
+        failure = self._record_call("watch")
         if failure is not None:
             await trio.lowlevel.checkpoint()
             return failure
@@ -104,7 +112,13 @@
 
 
 class FakeMembership:
-    """A membership that a test sets by hand; rumors reach its other fakes."""
+    """A membership that a test controls; rumors spread to the linked fakes.
+
+    Attributes:
+        members_by_host: all members, dead ones included.
+        rumors: the latest rumor by kind and subject.
+        linked_fakes: memberships of other hosts that receive the rumors.
+    """
 
     def __init__(self, members: list[Member], host: str) -> None:
         self.members_by_host = {member.host: member for member in members}
@@ -119,7 +133,9 @@
         return self.members_by_host[self._host]
 
     def members(self) -> list[Member]:
-        return [m for m in self.members_by_host.values() if m.state.value < 3]
+        return [
+            member for member in self.members_by_host.values() if member.state.value < 3
+        ]
 
     def find(self, host: HostId) -> Member | None:
         return self.members_by_host.get(host)
@@ -128,28 +144,28 @@
         self._listeners.append(listener)
 
     def update_member(self, member: Member) -> None:
-        """Change a member, as probes would."""
+        """Update a member and notify the listeners, as failure detection would."""
         self.members_by_host[member.host] = member
         for listener in self._listeners:
             listener(member)
 
     def spread(self, rumor: Rumor) -> None:
-        place = rumor.kind, rumor.subject
-        known = self.rumors.get(place)
+        identity = rumor.kind, rumor.subject
+        known = self.rumors.get(identity)
         if known is not None and known.version >= rumor.version:
             return
-        self.rumors[place] = rumor
+        self.rumors[identity] = rumor
         for listener in self._rumor_listeners.get(rumor.kind, []):
             listener(rumor)
-        for other in self.linked_fakes:
-            other.spread(rumor)
+        for linked_fake in self.linked_fakes:
+            linked_fake.spread(rumor)
 
     def subscribe_rumors(self, kind: str, listener: Callable[[Rumor], None]) -> None:
         self._rumor_listeners.setdefault(kind, []).append(listener)
 
 
 def make_member(number: int, failure_domain: str | None = None) -> Member:
-    """Return an entry host `host-N`; by default one of four failure domains."""
+    """Return the entry host `host-N`, by default in one of four failure domains."""
     return Member(
         HostId(f"host-{number}"),
         Incarnation(number + 1),
--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -403,7 +403,7 @@
         for name in ("s-1", "s-2"):
             await world.add_server(name, cut_or_fail, ENGINE)
         answer = await world.ask("/chat/a")
-        failed = world.state.metrics.read_counter(
+        failed = world.state.metrics.read(
             "requests_total", kind="stream", outcome="cut", code="OUTCOME_UNKNOWN"
         )
     assert resumed_after == [b"", b"2"]
--- a/dewridge/tests/metrics/exposition_tests.py
+++ b/dewridge/tests/metrics/exposition_tests.py
@@ -1,4 +1,4 @@
-"""The text format that monitoring systems read."""
+"""The Prometheus text format of metrics."""
 
 from prometheus_client.parser import text_string_to_metric_families
 
@@ -6,7 +6,7 @@
 from dewridge.metrics.registry import Metrics
 
 
-def test_what_was_counted_is_read_back() -> None:
+def test_formatted_metrics_can_be_parsed() -> None:
     metrics = Metrics()
     metrics.add("answers", 2, account="a")
     metrics.add("answers", account="b")
--- a/dewridge/tests/peers/transport_tests.py
+++ b/dewridge/tests/peers/transport_tests.py
@@ -81,7 +81,7 @@
             for length in range(200):
                 nursery.start_soon(ask, length)
         assert all(replies[n].tokens == n for n in range(200))
-        assert metrics.read_counter("peer_connections_opened", direction="dialled") == 1
+        assert metrics.read("peer_connections_opened", direction="dialled") == 1
 
 
 async def test_messages_without_reply_are_handled_in_order() -> None:
@@ -123,11 +123,11 @@
             await trio.sleep(1.2)
             ended = "peer_connections_ended"
             assert (
-                metrics.read_counter(ended, reason="silent")
-                + (metrics.read_counter(ended, reason="unused"))
+                metrics.read(ended, reason="silent")
+                + (metrics.read(ended, reason="unused"))
                 >= 1
             )
-            assert two_metrics.read_counter(ended, reason="silent") == 1
+            assert two_metrics.read(ended, reason="silent") == 1
             nursery.cancel_scope.cancel()
 
 
@@ -198,7 +198,7 @@
             while await stream.receive_some():
                 pass
             await stream.aclose()
-        assert two_metrics.read_counter("peer_frames_malformed") == 3
+        assert two_metrics.read("peer_frames_malformed") == 3
         stranger, _ = make_transport("stranger", deployment="other")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stranger.run)
@@ -207,7 +207,7 @@
             assert code_of(refused) is ResultCode.PEER_REFUSED
             nursery.cancel_scope.cancel()
         assert await can_find(one, two.address)
-        assert metrics.read_counter("peer_connections_opened", direction="dialled") == 1
+        assert metrics.read("peer_connections_opened", direction="dialled") == 1
 
 
 async def test_a_fenced_peer_is_refused_also_on_a_connection_it_has() -> None:
@@ -257,9 +257,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(partial(trio.serve_listeners, greet_only, listeners))
             big = ttypes.Find(request="x" * 40_000)
-            while not metrics.read_counter(
-                "peer_connections_ended", reason="write_blocked"
-            ):
+            while not metrics.read("peer_connections_ended", reason="write_blocked"):
                 one.send(address, big)
                 await trio.sleep(0.002)
             nursery.cancel_scope.cancel()
--- a/dewridge/tests/providers/adapters_tests.py
+++ b/dewridge/tests/providers/adapters_tests.py
@@ -65,7 +65,7 @@
         assert find_code(nothing) is ResultCode.KEY_VALUE_TIMEOUT
         assert await kv.delete("a/b c", 1) == Entry("a/b c", b"", 0)
         kind = {"service": "key_value", "kind": "swap"}
-        assert metrics.read_counter("platform_calls_total", **kind) == 2
+        assert metrics.read("platform_calls_total", **kind) == 2
 
 
 async def test_a_watch_outlasts_the_time_of_a_call() -> None:
--- a/dewridge/tests/requests/history_tests.py
+++ b/dewridge/tests/requests/history_tests.py
@@ -239,6 +239,6 @@
         for story in stories:
             check_story(cluster, story)
         for node in cluster.nodes.values():
-            assert node.metrics.read_counter("request_job_faults") == 0
+            assert node.metrics.read("request_job_faults") == 0
 
     run_cluster(scenario, size=6, seed=seed)
--- a/dewridge/tests/requests/leaving_tests.py
+++ b/dewridge/tests/requests/leaving_tests.py
@@ -127,7 +127,7 @@
             nursery.start_soon(reclaim_host, cluster, "host-0", 2.0, 1.3)
             await trio.sleep(1.0)
             metrics = cluster.nodes["host-0"].metrics
-            assert metrics.read_counter("requests_handed_off") >= 1
+            assert metrics.read("requests_handed_off") >= 1
             nursery.cancel_scope.cancel()
 
     run_cluster(scenario)
--- a/dewridge/tests/settings/loading_tests.py
+++ b/dewridge/tests/settings/loading_tests.py
@@ -1,4 +1,4 @@
-"""The settings file: every fault at once, each with its place."""
+"""The settings file: all errors are reported at once, each with its path."""
 
 import hashlib
 import json
@@ -36,9 +36,9 @@
     return {problem.path: problem.text for problem in load(document).errors}
 
 
-def test_all_errors_are_told_at_once_with_their_places() -> None:
-    # An operator has made several slips in one file. Told one at a time they
-    # would cost a restart each.
+def test_all_errors_are_reported_at_once_with_their_paths() -> None:
+    # A file contains several mistakes. Reported one at a time, each would cost the
+    # operator a restart.
     document = make_document()
     document["host"].pop("region")
     document["host"]["failure_domian"] = "zona-a"
@@ -61,16 +61,16 @@
 
 
 def test_a_name_given_twice_is_an_error() -> None:
-    # The later of two values would win silently.
+    # Otherwise the later of two values would silently apply.
     text = json.dumps(make_document())[:-1] + ', "log": {}, "log": {}}'
     loaded = parse_settings(text.encode())
-    assert [str(each) for each in loaded.errors] == ["log: is given twice"]
+    assert [str(problem) for problem in loaded.errors] == ["log: is given twice"]
 
 
 def test_checks_across_settings() -> None:
-    # Two accounts with one token can't be told apart: rivals would read each
-    # other's answers. A retention below the deadline would let a key be
-    # forgotten, and the call run twice, while its caller still waits.
+    # Two accounts with the same token can't be distinguished and could read each
+    # other's answers. With a retention below the deadline, a key could be removed
+    # while its caller still waits, and a retry would run the call twice.
     document = make_document()
     document["accounts"].append({"name": "auditor", "token_sha256": DIGEST.upper()})
     document["operators"] = [{"name": "olga", "token_sha256": "abc"}]
@@ -89,10 +89,10 @@
     assert all(DIGEST not in text for text in errors.values())
 
 
-def test_warnings_do_not_hinder() -> None:
+def test_warnings_do_not_prevent_loading() -> None:
     loaded = load(make_document())
     assert loaded.settings is not None
-    assert {each.path for each in loaded.warnings} == {"operators", "peers.seeds"}
+    assert {problem.path for problem in loaded.warnings} == {"operators", "peers.seeds"}
 
 
 @pytest.mark.parametrize("name", ["sello-verde", "karoo"])
--- a/dewridge/tests/supervision/tree_tests.py
+++ b/dewridge/tests/supervision/tree_tests.py
@@ -1,4 +1,4 @@
-"""The supervisor tree restarts what fails, within limits."""
+"""Supervisors restart failed tasks within limits; dumps and mailboxes."""
 
 import pytest
 import trio
@@ -9,8 +9,8 @@
 
 
 async def test_a_failed_task_is_restarted() -> None:
-    # A task dies of a fault that goes away. Its neighbours and its users only
-    # notice a short pause.
+    # A task fails because of a transient fault. After a short backoff it runs again,
+    # and other tasks continue.
     starts = 0
 
     async def run() -> None:
@@ -31,22 +31,22 @@
     }
 
 
-async def test_a_task_that_keeps_failing_takes_its_supervisor_down() -> None:
-    # A fault that restarts do not mend. Left alone the process would look alive
-    # and do nothing; it must end, so that the platform starts it afresh.
+async def test_a_task_that_keeps_failing_ends_its_supervisor() -> None:
+    # Restarts do not cure the fault. Without a limit the process would appear alive
+    # but do no work; it must end so that the platform starts it again.
     async def run() -> None:
         raise ValueError("for good")
 
     supervisor = Supervisor("test", restarts=2)
     supervisor.add("broken", run)
-    with trio.fail_after(5), pytest.raises(BaseExceptionGroup) as caught:
+    with trio.fail_after(5), pytest.raises(BaseExceptionGroup) as exception_info:
         await supervisor.run()
-    assert caught.group_contains(RestartLimitError)
+    assert exception_info.group_contains(RestartLimitError)
 
 
-async def test_a_dump_arrives_though_a_part_hangs() -> None:
-    # A task hangs in an endless wait. An operator asks for a dump to find out
-    # which one; the dump must not hang with it.
+async def test_a_dump_completes_while_a_part_hangs() -> None:
+    # A task hangs in an endless wait, and an operator requests a dump to find out
+    # which one. The dump must complete nevertheless.
     async def answer() -> dict[str, int]:
         return {"size": 3}
 
@@ -59,9 +59,9 @@
     assert dump["missing"] == {"hung": "no answer within 0.05 s"}
 
 
-async def test_a_full_mailbox_counts_what_it_drops() -> None:
-    # A task stands still while its neighbours go on posting. Memory must not
-    # grow without end, and an operator sees the count.
+async def test_a_full_mailbox_counts_dropped_messages() -> None:
+    # A task is blocked while other tasks continue to post messages to it. Memory use
+    # must stay bounded, and the count of dropped messages is visible to operators.
     mailbox: Mailbox[int] = Mailbox(2)
     assert [mailbox.post(n) for n in range(3)] == [True, True, False]
     assert mailbox.dropped == 1
