--- a/dewridge/settings/loading.py
+++ b/dewridge/settings/loading.py
@@ -110,13 +110,13 @@
         if not isinstance(value, ObjectPairs):
             self._add_error(path, f"expected an object, got {name_type(value)}")
             return None
-        given = self._collect_names(section, value, path)
+        items_by_name = self._collect_names(section, value, path)
         values: dict[str, Any] = {}
         for option, value_type in list_options(section):
             option_path = join_path(path, option.name)
-            if option.name in given:
+            if option.name in items_by_name:
                 values[option.name] = self.read_value(
-                    option, value_type, given[option.name], option_path
+                    option, value_type, items_by_name[option.name], option_path
                 )
             elif option.metadata["required"]:
                 self._add_error(
@@ -129,16 +129,18 @@
     def _collect_names(
         self, section: type, pairs: ObjectPairs, path: str
     ) -> dict[str, Any]:
-        known = [option.name for option in fields(section)]
-        given: dict[str, Any] = {}
+        known_names = [option.name for option in fields(section)]
+        items_by_name: dict[str, Any] = {}
         for name, item in pairs:
-            if name not in known:
-                self._add_error(join_path(path, name), describe_unknown(name, known))
-            elif name in given:
+            if name not in known_names:
+                self._add_error(
+                    join_path(path, name), describe_unknown(name, known_names)
+                )
+            elif name in items_by_name:
                 self._add_error(join_path(path, name), "is given twice")
             else:
-                given[name] = item
-        return given
+                items_by_name[name] = item
+        return items_by_name
 
     def read_value(
         self, option: Field[Any], value_type: Any, value: Any, path: str
@@ -211,9 +213,9 @@
     return TYPE_NAMES.get(type(value), type(value).__name__)
 
 
-def describe_unknown(name: str, known: list[str]) -> str:
+def describe_unknown(name: str, known_names: list[str]) -> str:
     """Return an error text for an unknown name, with the closest known name."""
-    matches = difflib.get_close_matches(name, known, n=1)
+    matches = difflib.get_close_matches(name, known_names, n=1)
     return f"unknown name; did you mean `{matches[0]}`?" if matches else "unknown name"
 
 
--- a/dewridge/supervision/tree.py
+++ b/dewridge/supervision/tree.py
@@ -12,9 +12,9 @@
 may run again after a failure."""
 
 INITIAL_BACKOFF = 0.05
-"""Seconds before the first restart; each further restart within the window doubles
-them, up to MAX_BACKOFF. Without a backoff, a task that keeps failing immediately
-would occupy a CPU core."""
+"""Seconds before the first restart. The delay doubles with each further failure within
+the window, up to MAX_BACKOFF. Without it, a task that keeps failing immediately would
+occupy a CPU core."""
 MAX_BACKOFF = 2.0  # seconds
 
 
