--- a/dewridge/commands/codes.py
+++ b/dewridge/commands/codes.py
@@ -1,11 +1,11 @@
-"""`dewridge codes`: the table of result codes."""
+"""`dewridge codes`: list the result codes."""
 
 from typing import Annotated
 
 import typer
 
-from dewridge.codes import TABLE
-from dewridge.commands.options import AsJson, end_usage, print_json
+from dewridge.codes import CODE_TABLE
+from dewridge.commands.options import AsJson, exit_with_usage_error, print_json
 
 
 def codes(
@@ -14,13 +14,15 @@
     ] = None,
     as_json: AsJson = False,
 ) -> None:
-    """List the result codes with what each says and what to do.
+    """List the result codes with their meaning and the advised action.
 
     Example: dewridge codes 204
     """
-    shown = {code: TABLE[code] for code in TABLE if number in (None, int(code))}
-    if not shown:
-        end_usage(f"there is no code {number}")
+    selected = {
+        code: CODE_TABLE[code] for code in CODE_TABLE if number in (None, int(code))
+    }
+    if not selected:
+        exit_with_usage_error(f"there is no code {number}")
     if as_json:
         print_json(
             [
@@ -32,10 +34,10 @@
                     "title": entry.title,
                     "advice": entry.advice,
                 }
-                for code, entry in shown.items()
+                for code, entry in selected.items()
             ]
         )
         return
-    for code, entry in shown.items():
+    for code, entry in selected.items():
         typer.echo(f"{int(code):>4}  {entry.outcome.value:<14}  {entry.title}.")
         typer.echo(f"      {entry.advice}")
--- a/dewridge/commands/profile.py
+++ b/dewridge/commands/profile.py
@@ -8,10 +8,10 @@
     Name,
     ObjectFile,
     Revision,
+    call_operator_api,
     make_path,
     print_change,
-    read_object,
-    run_call,
+    read_named_object,
 )
 from dewridge.commands.options import Addresses, AsJson, TokenFile, print_json
 
@@ -30,12 +30,12 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Publish a new profile; refused if one of that name exists.
+    """Publish a new profile; rejected if one of that name exists.
 
     Example: dewridge profile publish examples/profiles/interactive.json
     -a 10.0.0.7:8080 --token-file operator.token
     """
-    _send(file, 0, address, token_file, as_json)
+    _put_profile(file, 0, address, token_file, as_json)
 
 
 @app.command()
@@ -47,24 +47,24 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Replace a profile, if it is still at the revision that you read.
+    """Replace a profile if it is still at the given revision.
 
     Example: dewridge profile revise examples/profiles/interactive.json
     --revision 3 -a 10.0.0.7:8080 --token-file operator.token
     """
-    _send(file, revision, address, token_file, as_json)
+    _put_profile(file, revision, address, token_file, as_json)
 
 
-def _send(
+def _put_profile(
     file: ObjectFile,
     revision: int,
     address: Addresses,
     token_file: TokenFile,
     as_json: bool,
 ) -> None:
-    profile = read_object(file)
+    profile = read_named_object(file)
     path = make_path("profiles", profile["name"])
-    change = run_call(
+    change = call_operator_api(
         address,
         token_file,
         as_json,
@@ -82,13 +82,13 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Retire a profile; refused while a service runs under it.
+    """Retire a profile; rejected while a service runs under it.
 
     Example: dewridge profile retire interactive --revision 3
     -a 10.0.0.7:8080 --token-file operator.token
     """
     path = make_path("profiles", name)
-    change = run_call(
+    change = call_operator_api(
         address,
         token_file,
         as_json,
@@ -105,17 +105,17 @@
 
     Example: dewridge profile list -a 10.0.0.7:8080 --token-file operator.token
     """
-    found = run_call(
+    profiles = call_operator_api(
         address, token_file, as_json, lambda client: client.read("/v1/profiles")
     )
     if as_json:
-        print_json(found)
+        print_json(profiles)
         return
-    for name, published in found.items():
-        typer.echo(_format_line(name, published))
+    for name, published in profiles.items():
+        typer.echo(_format_profile(name, published))
 
 
-def _format_line(name: str, published: Any) -> str:
+def _format_profile(name: str, published: Any) -> str:
     value = published["value"]
     policies = [value[kind]["name"] for kind in ("placement", "admission", "recovery")]
     retired = "  retired" if value.get("retired") else ""
@@ -130,16 +130,18 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Show a profile; its revision is what `revise` asks for.
+    """Show a profile and its revision, which `revise` requires.
 
     Example: dewridge profile show interactive -a 10.0.0.7:8080
     --token-file operator.token
     """
     path = make_path("profiles", name)
-    found = run_call(address, token_file, as_json, lambda client: client.read(path))
+    result = call_operator_api(
+        address, token_file, as_json, lambda client: client.read(path)
+    )
     if not as_json:
-        typer.echo(f"revision {found['revision']}", err=True)
-    print_json(found if as_json else found["value"])
+        typer.echo(f"revision {result['revision']}", err=True)
+    print_json(result if as_json else result["value"])
 
 
 @app.command()
@@ -156,9 +158,11 @@
     --token-file operator.token
     """
     path = make_path("profiles", name, "report")
-    found = run_call(address, token_file, as_json, lambda client: client.read(path))
+    result = call_operator_api(
+        address, token_file, as_json, lambda client: client.read(path)
+    )
     if as_json:
-        print_json(found)
+        print_json(result)
         return
-    for counter, value in found["counters"].items():
+    for counter, value in result["counters"].items():
         typer.echo(f"{counter:<48} {value:>16.6g}")
--- a/dewridge/frontend/operators.py
+++ b/dewridge/frontend/operators.py
@@ -159,9 +159,9 @@
     @app.get("/metrics")
     @_require_operator(components)
     async def show_metrics(operator: OperatorName) -> Response:
-        from dewridge.metrics.exposition import CONTENT_TYPE, expose  # noqa: PLC0415
+        from dewridge.metrics.exposition import CONTENT_TYPE, format_metrics  # noqa: PLC0415
 
-        return Response(expose(components.metrics), content_type=CONTENT_TYPE)
+        return Response(format_metrics(components.metrics), content_type=CONTENT_TYPE)
 
 
 def _require_operator(components: FrontendComponents) -> Callable[[Handler], Handler]:
--- a/dewridge/frontend/streams.py
+++ b/dewridge/frontend/streams.py
@@ -10,7 +10,7 @@
 from quart import Response
 from quart.wrappers.response import ResponseBody
 
-from dewridge.codes import TABLE, ResultCode
+from dewridge.codes import CODE_TABLE, ResultCode
 from dewridge.frontend.events import (
     embed_result,
     encode_accepted,
@@ -243,7 +243,7 @@
 
 def _answer_unfinished(key: RequestKey, addresses: tuple[str, ...]) -> Response:
     code = ResultCode.ACCEPTED
-    entry = TABLE[code]
+    entry = CODE_TABLE[code]
     content = UnfinishedAnswer(key, int(code), entry.outcome.value, addresses)
     response = answer_json(content, entry.http_status)
     response.headers["Location"] = f"/v1/requests/{key}"
@@ -258,7 +258,7 @@
     content: Any = CompleteAnswer(
         key=key,
         code=int(ended.code),
-        outcome=TABLE[ended.code].outcome.value,
+        outcome=CODE_TABLE[ended.code].outcome.value,
         generation=collector.generation,
         summary=ended.summary,
         text="".join(collector.tokens) if not ended.body else None,
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -57,11 +57,11 @@
 
     async def _send_metrics(self, responder: Responder) -> None:
         # The library takes 12 MB of memory: loaded only if metrics are requested.
-        from dewridge.metrics.exposition import CONTENT_TYPE, expose  # noqa: PLC0415
+        from dewridge.metrics.exposition import CONTENT_TYPE, format_metrics  # noqa: PLC0415
 
         update_gauges(self._state)
         headers = [(b"content-type", CONTENT_TYPE.encode())]
-        await responder.send_complete(200, headers, expose(self._state.metrics))
+        await responder.send_complete(200, headers, format_metrics(self._state.metrics))
 
 
 def is_suspect_release(request: CallerRequest) -> bool:
--- a/dewridge/peers/connection.py
+++ b/dewridge/peers/connection.py
@@ -307,7 +307,7 @@
         while True:
             first_frames: list[OutgoingFrame] = []
             with trio.move_on_after(check_interval):
-                first_frames.append(await self._mailbox.take())
+                first_frames.append(await self._mailbox.receive())
             data = self._join_frames(first_frames)
             if trio.current_time() - self._checked_at >= check_interval:
                 if not self._check_liveness(check_interval):
@@ -320,7 +320,7 @@
         frames = []
         now = trio.current_time()
         for outgoing in first_frames + (
-            self._mailbox.take_all() if first_frames else []
+            self._mailbox.receive_all() if first_frames else []
         ):
             self._queued_bytes -= len(outgoing.frame)
             if not outgoing.is_withdrawn:
@@ -404,7 +404,7 @@
                 was_sent = outgoing.written_at is not None
                 outgoing.promise.fulfil(maybe_sent if was_sent else never_sent)
         dropped = sum(
-            1 for outgoing in self._mailbox.take_all() if not outgoing.promise
+            1 for outgoing in self._mailbox.receive_all() if not outgoing.promise
         )
         if dropped:
             self._options.metrics.add("peer_frames_dropped", dropped, reason="closed")
--- a/dewridge/tests/configuration/service_tests.py
+++ b/dewridge/tests/configuration/service_tests.py
@@ -60,7 +60,9 @@
         network: dict[str, DirectPeers] = {}
         self.memberships = [FakeMembership(list(members), m.host) for m in members]
         for membership in self.memberships:
-            membership.others = [m for m in self.memberships if m is not membership]
+            membership.linked_fakes = [
+                m for m in self.memberships if m is not membership
+            ]
         self.peers = [DirectPeers(network, m.address) for m in members]
         settings = PlatformSettings(key_value="", host_list="", cloud="")
         self.hosts = [
@@ -80,7 +82,7 @@
         ]
         for membership in self.memberships:
             for member in members:
-                membership.change(member)
+                membership.update_member(member)
 
     def list_revisions(self) -> list[int]:
         return [host.current().revision for host in self.hosts]
@@ -146,7 +148,7 @@
     # failure were reported, the operator would publish again or believe that the
     # old profile is still in force.
     fleet = Fleet(3)
-    fleet.key_value.lost_answers = 2
+    fleet.key_value.answers_to_lose = 2
     assert await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA) == 1
     head = json.loads(fleet.key_value.entries[HEAD_KEY].value)
     assert [change["revision"] for change in head["recent"]] == [1]
@@ -157,7 +159,7 @@
 ) -> None:
     # The write itself is lost, which can't be distinguished from a lost answer.
     fleet = Fleet(3)
-    fleet.key_value.lost_writes = 2
+    fleet.key_value.writes_to_lose = 2
     assert await fleet.hosts[0].publish_profile(make_profile("a"), 0, ANA) == 1
 
 
@@ -216,7 +218,7 @@
     assert partitioned_host.check_fresh() is None
     for number in range(1, 4):
         dead = dataclasses.replace(make_member(number), state=MemberState.DEAD)
-        membership.change(dead)
+        membership.update_member(dead)
     await trio.sleep(9)
     failure = partitioned_host.check_fresh()
     assert failure is not None
@@ -274,7 +276,7 @@
     # without a conflict, and the host would serve the first values under the
     # second revision.
     fleet = Fleet(2)
-    fleet.key_value.lost_answers = 2
+    fleet.key_value.answers_to_lose = 2
     results: list[int | Failure] = []
 
     async def publish() -> None:
--- a/dewridge/tests/fleet/watcher_tests.py
+++ b/dewridge/tests/fleet/watcher_tests.py
@@ -80,7 +80,7 @@
         self.platform = FakePlatform()
         self.views = [FakeMembership(members, m.host) for m in members]
         for view in self.views:
-            view.others = [other for other in self.views if other is not view]
+            view.linked_fakes = [other for other in self.views if other is not view]
         self.reclaim_notices: list[tuple[int, float]] = []
         self.tables = [ServerTable(self.clock) for _ in members]
         self.watchers = [self.make_watcher(n) for n in range(len(members))]
@@ -185,7 +185,7 @@
     await fleet.step()
     partitioned = next(n for n in range(8) if not fleet.watchers[n].must_poll())
     for view in fleet.views:
-        view.others = []
+        view.linked_fakes = []
     for _ in range(30):
         fleet.clock.now += SETTINGS.poll_period
     assert fleet.watchers[partitioned].must_poll()
