--- a/dewridge/proofs/__init__.py
+++ b/dewridge/proofs/__init__.py
@@ -1,1 +1,4 @@
-"""Proofs of the promises: faults on real processes, and checks of what was seen."""
+"""Fault-injection tests on real processes that check the guarantees of the system.
+
+Each guarantee has a number and is called a promise.
+"""
--- a/dewridge/proofs/crashing.py
+++ b/dewridge/proofs/crashing.py
@@ -1,4 +1,4 @@
-"""A caller whose request ends each backend server that begins to run it."""
+"""A caller whose request crashes each backend server that starts to run it."""
 
 from contextlib import AsyncExitStack
 from random import Random
@@ -7,29 +7,33 @@
 
 from dewridge.client.client import Client
 from dewridge.proofs.history import History
-from dewridge.proofs.workload import DRAFT, LIMITS, record_call
+from dewridge.proofs.workload import CLIENT_LIMITS, DRAFT, record_call
 from dewridge.standins.misbehaviour import CRASH_MARK
 from dewridge.testbed.deployment import Deployment
 
-PROMPT = f"{CRASH_MARK}dossier with a page that no engine reads"
-TOKENS = 60
-DEADLINE = 10.0
+CRASHING_PROMPT = f"{CRASH_MARK}dossier with a page that no engine reads"
+ANSWER_TOKENS = 60
+DEADLINE_SECONDS = 10.0
 
 
 class CrashingCaller:
-    """Sends one request again and again, each time with a new key."""
+    """Sends the same crashing request repeatedly, each time with a new key.
+
+    Args:
+        mean_pause: mean seconds between two requests.
+    """
 
     def __init__(
-        self, deployment: Deployment, history: History, *, seed: int, pause: float
+        self, deployment: Deployment, history: History, *, seed: int, mean_pause: float
     ) -> None:
         self._deployment = deployment
         self._history = history
         self._random = Random(f"crashing/{seed}")
-        self._pause = pause
+        self._mean_pause = mean_pause
         self._stop = trio.Event()
 
     def stop(self) -> None:
-        """Send no more; what is under way goes on to its end."""
+        """Start no new requests; those in flight are completed."""
         self._stop.set()
 
     async def run(self) -> None:
@@ -38,7 +42,10 @@
         frontends = self._deployment.list_frontends()
         async with AsyncExitStack() as stack, trio.open_nursery() as nursery:
             client = Client(
-                frontends, token, limits=LIMITS, seed=self._random.randrange(2**32)
+                frontends,
+                token,
+                limits=CLIENT_LIMITS,
+                seed=self._random.randrange(2**32),
             )
             await stack.enter_async_context(client)
             while not self._stop.is_set():
@@ -48,9 +55,9 @@
                     client,
                     account,
                     DRAFT,
-                    PROMPT,
-                    TOKENS,
-                    DEADLINE,
+                    CRASHING_PROMPT,
+                    ANSWER_TOKENS,
+                    DEADLINE_SECONDS,
                 )
-                with trio.move_on_after(self._random.expovariate(1 / self._pause)):
+                with trio.move_on_after(self._random.expovariate(1 / self._mean_pause)):
                     await self._stop.wait()
--- a/dewridge/proofs/history.py
+++ b/dewridge/proofs/history.py
@@ -1,6 +1,7 @@
-"""What clients, stand-ins, operators and the fault injector did and saw.
+"""Events recorded by clients, simulated servers, operators and the fault injector.
 
-The system's own word is not in a history: only what somebody outside it saw.
+A history holds only what was observed from outside the system under test, never what
+the system reports about itself. Times are seconds since 1970.
 """
 
 import time
@@ -14,10 +15,11 @@
 
 
 class Submitted(msgspec.Struct, frozen=True, tag="submitted"):
-    """A client sends a request, or sends it again.
+    """A client sends a request, for the first time or as a retry.
 
     Attributes:
-        expected: count of tokens asked for; 0 for a plain service.
+        number: submission number; it grows with each new submission of a key.
+        expected: number of tokens requested; 0 for a plain service.
     """
 
     at: float
@@ -33,7 +35,7 @@
 
 
 class Acknowledged(msgspec.Struct, frozen=True, tag="acknowledged"):
-    """A client hears that its request was accepted."""
+    """A client learns that its request was accepted."""
 
     at: float
     key: str
@@ -41,12 +43,13 @@
 
 
 class Concluded(msgspec.Struct, frozen=True, tag="concluded"):
-    """A client has the final word on a submission.
+    """A client has the final outcome of a submission.
 
     Attributes:
-        code: the numbered result code; -1 if the client gave up waiting.
-        text: the tokens as it assembled them, or a plain service's answer.
+        code: the numbered result code; -1 if the client stopped waiting.
+        text: the tokens as the client assembled them, or a plain service's answer.
         deadline: when the answer was due.
+        retry_after: seconds until a retry is worthwhile, if the answer says so.
     """
 
     at: float
@@ -60,7 +63,11 @@
 
 
 class Interrupted(msgspec.Struct, frozen=True, tag="interrupted"):
-    """A client lost its connection, or went on at another host, and why."""
+    """A client lost its connection or continued at another host.
+
+    Attributes:
+        reason: why, as free text.
+    """
 
     at: float
     key: str
@@ -69,12 +76,12 @@
 
 
 class Executed(msgspec.Struct, frozen=True, tag="executed"):
-    """A backend server began a call.
+    """A backend server started to run a call.
 
     Attributes:
-        tokens_done: tokens that it was given to go on from.
-        tokens: tokens that it made.
-        state: how the execution ended, `done` when whole.
+        tokens_done: tokens made by earlier attempts, from which it continued.
+        tokens: tokens that it generated.
+        state: how the execution ended; `done` if it completed.
     """
 
     at: float
@@ -89,11 +96,11 @@
 
 
 class Leaving(msgspec.Struct, frozen=True, tag="leaving"):
-    """A backend server is announced to leave.
+    """The departure of a backend server is announced.
 
     Attributes:
-        at: when the first of cloud, host list or server itself says so.
-        gone_at: when it refuses everything.
+        at: when the first of cloud, host list or server itself announces it.
+        gone_at: from when on the server rejects everything.
     """
 
     at: float
@@ -102,10 +109,10 @@
 
 
 class Injected(msgspec.Struct, frozen=True, tag="injected"):
-    """A fault lands.
+    """A fault is injected.
 
     Attributes:
-        in_flight: requests and changes that somebody was waiting for just then.
+        in_flight: number of requests and changes without an outcome at that time.
     """
 
     at: float
@@ -115,7 +122,11 @@
 
 
 class ChangeAsked(msgspec.Struct, frozen=True, tag="change_asked"):
-    """An operator asks for a change made from an object's revision."""
+    """An operator requests a change of an object.
+
+    Attributes:
+        expected: revision of the object that the change is based on.
+    """
 
     at: float
     change: str
@@ -125,7 +136,13 @@
 
 
 class ChangeAnswered(msgspec.Struct, frozen=True, tag="change_answered"):
-    """An operator is answered: a revision, or 0 and a result code."""
+    """An operator gets the answer to a change.
+
+    Attributes:
+        revision: the new revision; 0 if the change was not accepted.
+        code: result code if it was not accepted; -1 if there is none.
+        in_doubt: whether the change may have taken effect without an answer.
+    """
 
     at: float
     change: str
@@ -136,7 +153,11 @@
 
 
 class Observed(msgspec.Struct, frozen=True, tag="observed"):
-    """Somebody reads an object at a host: its revision and its value."""
+    """An observer reads an object at a host.
+
+    Attributes:
+        admits: whether the host admits work, since its configuration is fresh.
+    """
 
     at: float
     host: str
@@ -161,46 +182,46 @@
 
 
 class History:
-    """The events of one run, in the order in which they were recorded."""
+    """The events of one run in the order of recording; also counts work in flight."""
 
     def __init__(self, events: list[Event] | None = None) -> None:
         self.events: list[Event] = events or []
-        self._open: set[str] = set()
-        self._busy = trio.Event()
+        self._pending: set[str] = set()
+        self._has_pending = trio.Event()
 
     def add(self, event: Event) -> None:
         """Record an event."""
         self.events.append(event)
         match event:
             case Submitted():
-                self._open.add(event.key)
+                self._pending.add(event.key)
             case Concluded():
-                self._open.discard(event.key)
+                self._pending.discard(event.key)
             case ChangeAsked():
-                self._open.add(event.change)
+                self._pending.add(event.change)
             case ChangeAnswered():
-                self._open.discard(event.change)
+                self._pending.discard(event.change)
 
-        if self._open:
-            self._busy.set()
-        elif self._busy.is_set():
-            self._busy = trio.Event()
+        if self._pending:
+            self._has_pending.set()
+        elif self._has_pending.is_set():
+            self._has_pending = trio.Event()
 
-    async def wait_busy(self) -> None:
-        """Wait until somebody waits for an answer."""
-        await self._busy.wait()
+    async def wait_for_pending(self) -> None:
+        """Wait until a request or change is in flight."""
+        await self._has_pending.wait()
 
     @property
     def in_flight(self) -> int:
-        """Requests and changes whose answers somebody waits for now."""
-        return len(self._open)
+        """Number of requests and changes that have no outcome yet."""
+        return len(self._pending)
 
-    def inject(self, fault: str, subject: str) -> None:
-        """Record that a fault lands now."""
+    def record_fault(self, fault: str, subject: str) -> None:
+        """Record that a fault is injected now."""
         self.add(Injected(time.time(), fault, subject, self.in_flight))
 
     def write(self, path: Path) -> None:
-        """Write all events as JSON lines, by time."""
+        """Write all events as JSON lines, ordered by time."""
         ordered = sorted(self.events, key=lambda event: event.at)
         lines = [msgspec.json.encode(event) for event in ordered]
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -208,6 +229,6 @@
 
 
 def read_history(path: Path) -> History:
-    """Read what `History.write` wrote."""
+    """Read a history from a file that `History.write` wrote."""
     lines = path.read_bytes().splitlines()
     return History([msgspec.json.decode(line, type=Event) for line in lines if line])
--- a/dewridge/proofs/operators.py
+++ b/dewridge/proofs/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a proof: they race for profiles, and watch every host for them."""
+"""Operators who change a profile concurrently, and an observer that polls all hosts."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -13,17 +13,21 @@
 from dewridge.testbed.deployment import Deployment, EntryHost
 
 CHANGE_TIMEOUT = 12.0
-WATCH_PERIOD = 0.2
-"""Seconds between two looks at a host; the measure's own grain."""
+"""Seconds to wait for the answer to a change."""
 
-OPERATORS = 3
-CHANGE_PAUSE = 1.0
-"""Operators who revise one profile, and seconds between two changes of one: far
-more than the 21,000 a day of the aim, so that they race."""
+OBSERVATION_INTERVAL = 0.2
+"""Seconds between two polls of a host; the resolution of the measured delays."""
+
+OPERATOR_COUNT = 3
+"""Operators who change the same profile."""
+
+CHANGE_INTERVAL = 1.0
+"""Mean seconds between two changes by one operator. All operators together make far
+more changes than the required 21,000 a day, so that their changes conflict."""
 
 
 class Operators:
-    """Operators who revise one profile at once, and one who watches all hosts."""
+    """Operators who change one profile concurrently, and an observer of all hosts."""
 
     def __init__(
         self, deployment: Deployment, history: History, *, seed: int, profile: str
@@ -31,46 +35,54 @@
         self._deployment = deployment
         self._history = history
         self._random = Random(f"operators/{seed}")
-        self._path = f"/v1/profiles/{profile}"
-        self._name = f"profile/{profile}"
-        self._base = next(p for p in deployment.place.profiles if p["name"] == profile)
-        self._numbers = count(1)
+        self._profile_path = f"/v1/profiles/{profile}"
+        self._object_name = f"profile/{profile}"
+        self._base_profile = next(
+            p for p in deployment.place.profiles if p["name"] == profile
+        )
+        self._change_numbers = count(1)
         self._stop = trio.Event()
 
     def stop(self) -> None:
-        """Ask for no more changes and stop watching."""
+        """Stop requesting changes and polling."""
         self._stop.set()
 
     async def run(self) -> None:
-        """Revise the profile and watch all hosts until stopped."""
+        """Change the profile and poll all hosts until stopped."""
         async with trio.open_nursery() as nursery:
-            for _ in range(OPERATORS):
-                nursery.start_soon(self._repeat, self._revise, CHANGE_PAUSE)
-            nursery.start_soon(self._repeat, self._look_at_all, WATCH_PERIOD)
+            for _ in range(OPERATOR_COUNT):
+                nursery.start_soon(
+                    self._run_periodically, self._revise_profile, CHANGE_INTERVAL
+                )
+            nursery.start_soon(
+                self._run_periodically, self._observe_all_hosts, OBSERVATION_INTERVAL
+            )
 
-    async def _repeat(self, act: Callable[[], Awaitable[None]], pause: float) -> None:
+    async def _run_periodically(
+        self, action: Callable[[], Awaitable[None]], pause: float
+    ) -> None:
         while not self._stop.is_set():
-            await act()
+            await action()
             with trio.move_on_after(self._random.uniform(0.5, 1.5) * pause):
                 await self._stop.wait()
 
-    async def _look_at_all(self) -> None:
+    async def _observe_all_hosts(self) -> None:
         async with trio.open_nursery() as nursery:
             for host in self._deployment.hosts:
                 if host.process.is_running:
-                    nursery.start_soon(self._look, host)
+                    nursery.start_soon(self._observe_host, host)
 
-    async def _look(self, host: EntryHost) -> None:
-        asked = time.time()
-        response = await self._get(f"{host.url}{self._path}")
+    async def _observe_host(self, host: EntryHost) -> None:
+        requested_at = time.time()
+        response = await self._get(f"{host.url}{self._profile_path}")
         if response is None or response.status_code != httpx.codes.OK:
             return
         admits = await self._is_admitting(host)
         self._history.add(
             Observed(
-                asked,
+                requested_at,
                 host.name,
-                self._name,
+                self._object_name,
                 read_revision(response),
                 response.json()["value"]["targets"]["first_token"],
                 admits,
@@ -89,22 +101,31 @@
         except httpx.HTTPError:
             return None
 
-    async def _revise(self) -> None:
-        """Read the profile at one host and revise it there or at another."""
+    async def _revise_profile(self) -> None:
+        """Read the profile at one host and change it at a randomly chosen one."""
         running = [h for h in self._deployment.hosts if h.process.is_running]
-        read = await self._get(f"{self._random.choice(running).url}{self._path}")
-        if read is None or read.status_code != httpx.codes.OK:
+        current = await self._get(
+            f"{self._random.choice(running).url}{self._profile_path}"
+        )
+        if current is None or current.status_code != httpx.codes.OK:
             return
-        change = f"change-{next(self._numbers)}"
+        change = f"change-{next(self._change_numbers)}"
         value = round(self._random.uniform(0.1, 0.9), 6)
-        expected = read_revision(read)
-        self._history.add(ChangeAsked(time.time(), change, self._name, expected, value))
-        content = {**self._base, "targets": {"first_token": value}}
+        expected = read_revision(current)
+        self._history.add(
+            ChangeAsked(time.time(), change, self._object_name, expected, value)
+        )
+        content = {**self._base_profile, "targets": {"first_token": value}}
         host = self._random.choice(running)
-        revision, code = await self._put(host, content, read.headers["ETag"])
+        revision, code = await self._put(host, content, current.headers["ETag"])
         self._history.add(
             ChangeAnswered(
-                time.time(), change, self._name, revision, code, in_doubt=code < 0
+                time.time(),
+                change,
+                self._object_name,
+                revision,
+                code,
+                in_doubt=code < 0,
             )
         )
 
@@ -113,7 +134,7 @@
     ) -> tuple[int, int]:
         try:
             response = await self._deployment.http.put(
-                f"{host.url}{self._path}",
+                f"{host.url}{self._profile_path}",
                 json=content,
                 headers={**self._deployment.operator_headers, "If-Match": etag},
                 timeout=CHANGE_TIMEOUT,
--- a/dewridge/proofs/runs.py
+++ b/dewridge/proofs/runs.py
@@ -1,4 +1,4 @@
-"""Runs scenarios, checks their histories, and tables the results."""
+"""Runs scenarios, checks their histories and formats the results as a table."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -8,12 +8,12 @@
 import trio
 
 from dewridge.proofs.checks import (
-    ALWAYS,
+    UNIVERSAL_PROMISES,
     Violation,
-    check_exercised,
+    check_fault_coverage,
     check_history,
-    list_delays,
     list_late_dispatches,
+    list_propagation_delays,
 )
 from dewridge.proofs.history import (
     Acknowledged,
@@ -26,22 +26,23 @@
 from dewridge.testbed.deployment import Deployment, open_deployment
 from dewridge.testbed.places import SELLO_VERDE
 
-RUN_LIMIT = 300.0
-"""Seconds for one run; over that something hangs, which is a finding itself."""
+RUN_TIMEOUT = 300.0
+"""Seconds after which a run fails: something hangs, which is a fault in itself."""
 
 
 @dataclass(frozen=True)
-class Result:
-    """What one run of a scenario showed.
+class ScenarioResult:
+    """The result of one run of a scenario.
 
     Attributes:
-        operations: requests that clients sent.
-        unknown: requests that ended with an unknown outcome.
-        refused: requests that ended as not run.
-        late_dispatches: seconds after the announcement of each dispatch to a
-            server that was announced to leave.
-        changes: changes of the configuration that were accepted.
-        delays: seconds until each of them was seen at each host.
+        operations: number of submissions that have an outcome.
+        unknown: number of submissions whose outcome is unknown.
+        not_run: number of submissions reported as not run.
+        late_dispatches: seconds between the announced departure of a server and
+            each dispatch to it after that.
+        accepted_changes: number of accepted changes of the configuration.
+        propagation_delays: seconds until each of them was observed at each host.
+        platform_calls: number of calls to the platform, by service and kind.
     """
 
     scenario: str
@@ -52,29 +53,37 @@
     accepted: int
     done: int
     unknown: int
-    refused: int
+    not_run: int
     failed: int
     violations: tuple[Violation, ...]
     late_dispatches: tuple[float, ...]
-    changes: int
-    delays: tuple[float, ...]
+    accepted_changes: int
+    propagation_delays: tuple[float, ...]
     platform_calls: dict[str, int]
 
 
-async def run_scenario(scenario: Scenario, seed: int, folder: Path | None) -> Result:
-    """Run a scenario once and check what was seen."""
+async def run_scenario(
+    scenario: Scenario, seed: int, folder: Path | None
+) -> ScenarioResult:
+    """Run a scenario once and check its history.
+
+    Args:
+        scenario: the scenario to run.
+        seed: seed of all random choices of the faults and the load.
+        folder: where the history is written; None writes none.
+    """
     history = History()
-    with trio.fail_after(RUN_LIMIT):
+    with trio.fail_after(RUN_TIMEOUT):
         async with open_deployment(SELLO_VERDE, scenario.options) as deployment:
-            await _carry_out(scenario, seed, deployment, history)
-            _record_log(history, await deployment.read_logs())
+            await _run_actors(scenario, seed, deployment, history)
+            _record_executions(history, await deployment.read_logs())
             calls = await deployment.read_platform_calls()
     if folder is not None:
         history.write(folder / f"{scenario.name}-{seed}.jsonl")
-    return _judge(scenario, seed, history, calls)
+    return _summarize(scenario, seed, history, calls)
 
 
-async def _carry_out(
+async def _run_actors(
     scenario: Scenario, seed: int, deployment: Deployment, history: History
 ) -> None:
     actors = [make(deployment, history, seed) for make in scenario.actors]
@@ -83,13 +92,13 @@
         for actor in actors:
             nursery.start_soon(actor.run)
         await trio.sleep(scenario.before)
-        await scenario.strike(run)
+        await scenario.inject_faults(run)
         await trio.sleep(scenario.after)
         for actor in actors:
             actor.stop()
 
 
-def _record_log(history: History, lines: list[dict[str, Any]]) -> None:
+def _record_executions(history: History, lines: list[dict[str, Any]]) -> None:
     for line in lines:
         event = Executed(
             line["at"],
@@ -105,21 +114,21 @@
         history.add(event)
 
 
-def _judge(
+def _summarize(
     scenario: Scenario, seed: int, history: History, calls: dict[str, int]
-) -> Result:
-    ends = [e for e in history.events if isinstance(e, Concluded)]
-    verdicts = [end.verdict for end in ends]
+) -> ScenarioResult:
+    conclusions = [e for e in history.events if isinstance(e, Concluded)]
+    verdicts = [conclusion.verdict for conclusion in conclusions]
     violations = [
         *check_history(history, scenario.promises),
-        *check_exercised(history),
+        *check_fault_coverage(history),
     ]
-    return Result(
+    return ScenarioResult(
         scenario.name,
         scenario.fault,
         seed,
-        tuple(sorted({*scenario.promises, *ALWAYS})),
-        len(ends),
+        tuple(sorted({*scenario.promises, *UNIVERSAL_PROMISES})),
+        len(conclusions),
         sum(isinstance(event, Acknowledged) for event in history.events),
         verdicts.count("done"),
         verdicts.count("unknown"),
@@ -128,19 +137,19 @@
         tuple(violations),
         tuple(delay for _, delay in list_late_dispatches(history)),
         sum(isinstance(e, ChangeAnswered) and e.revision > 0 for e in history.events),
-        tuple(delay for _, _, delay in list_delays(history)),
+        tuple(delay for _, _, delay in list_propagation_delays(history)),
         calls,
     )
 
 
-def format_table(results: list[Result]) -> str:
-    """Return the results as a table for the terminal and the docs."""
-    head = (
+def format_table(results: list[ScenarioResult]) -> str:
+    """Return the results as a Markdown table for the terminal and the docs."""
+    header = (
         "| scenario | fault | promises | seed | operations | accepted | done | "
         "not run | unknown | failed | violations | last dispatch when leaving | "
         "changes | in force, last |"
     )
-    rows = [head, "|" + " --- |" * 14]
+    rows = [header, "|" + " --- |" * 14]
     for result in results:
         latest = max(result.late_dispatches, default=0.0)
         cells = (
@@ -151,13 +160,15 @@
             result.operations,
             result.accepted,
             result.done,
-            result.refused,
+            result.not_run,
             result.unknown,
             result.failed,
             len(result.violations),
             f"{latest:.2f} s" if result.late_dispatches else "",
-            result.changes or "",
-            f"{max(result.delays):.2f} s" if result.delays else "",
+            result.accepted_changes or "",
+            f"{max(result.propagation_delays):.2f} s"
+            if result.propagation_delays
+            else "",
         )
         rows.append("| " + " | ".join(map(str, cells)) + " |")
     return "\n".join(rows)
--- a/dewridge/proofs/scenarios.py
+++ b/dewridge/proofs/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: a deployment, a load, faults at seeded times, promises to hold."""
+"""Scenarios: a deployment, a load, seeded faults and the promises to check."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 
 import trio
 
-from dewridge.proofs.copies import CopySenders
+from dewridge.proofs.copies import DuplicateSender
 from dewridge.proofs.crashing import CrashingCaller
 from dewridge.proofs.history import History, Leaving
 from dewridge.proofs.operators import Operators
@@ -29,46 +29,51 @@
     EntryHost,
 )
 
-Strike = Callable[["Run"], Awaitable[None]]
-"""Injects the faults of a scenario while the load runs."""
+FaultScript = Callable[["Run"], Awaitable[None]]
+"""Function that injects the faults of a scenario while the load runs."""
 
-NOTICE = (2.0, 5.0)
-"""Seconds of notice before an announced reclaim; the brief's range."""
+RECLAIM_NOTICE = (2.0, 5.0)
+"""Range of seconds of notice before a reclaim, as the requirements state it."""
 
-OUTAGE = 10.0
-"""Seconds of an outage of the key-value service."""
+OUTAGE_DURATION = 10.0
+"""Seconds for which a fault of the key-value service lasts."""
 
-LEASE_LONG = 8.0
-"""Seconds of a freeze: longer than suspicion, claims and every timeout."""
+FREEZE_DURATION = 8.0
+"""Seconds of a freeze; longer than the suspicion period, claims and every timeout."""
 
-BUSY_LIMIT = 5.0
-"""Seconds to wait for work in flight before a fault lands."""
+MAX_PENDING_WAIT = 5.0
+"""Seconds to wait for work in flight before a fault is injected anyway."""
 
 EIGHT_HOSTS = DeploymentOptions(hosts=8)
 
 
 @dataclass
 class Run:
-    """One run of a scenario."""
+    """One run of a scenario.
+
+    Attributes:
+        random: seeded source of all random choices of the faults.
+        reclaimed: control addresses of the backend processes already reclaimed.
+    """
 
     deployment: Deployment
     history: History
     random: Random
     reclaimed: set[str] = field(default_factory=set)
 
-    async def inject(self, fault: str, subject: str) -> None:
-        """Record a fault that lands now, once somebody waits for an answer."""
-        with trio.move_on_after(BUSY_LIMIT):
-            await self.history.wait_busy()
-        self.history.inject(fault, subject)
+    async def record_fault(self, fault: str, subject: str) -> None:
+        """Wait for work in flight, at most `MAX_PENDING_WAIT`, and record a fault."""
+        with trio.move_on_after(MAX_PENDING_WAIT):
+            await self.history.wait_for_pending()
+        self.history.record_fault(fault, subject)
 
     def choose_host(self) -> EntryHost:
-        """Return an entry host that runs."""
+        """Return a randomly chosen running entry host."""
         running = [h for h in self.deployment.hosts if h.process.is_running]
         return self.random.choice(running)
 
-    def choose_backends(self, domain: str) -> list[BackendProcess]:
-        """Return the backend processes of a failure domain that run."""
+    def list_running_backends(self, domain: str) -> list[BackendProcess]:
+        """Return the backend processes of a failure domain that are not reclaimed."""
         return [
             backend
             for backend in self.deployment.backends
@@ -79,71 +84,79 @@
     async def reclaim_backend(
         self, backend: BackendProcess, *, is_announced_by_cloud: bool = True
     ) -> None:
-        """Announce the reclaim of a process's servers, then take them away.
+        """Announce the reclaim of a process's servers, then stop them.
 
-        The process itself stays, so that its log of what ran can be read.
+        The process itself keeps running, so that its execution log can be read.
+
+        Args:
+            backend: the process.
+            is_announced_by_cloud: if false, only the servers announce it themselves.
         """
-        notice = self.random.uniform(*NOTICE)
+        notice = self.random.uniform(*RECLAIM_NOTICE)
         leaving = {"leaving": not is_announced_by_cloud, "dies_in": notice}
         for server in backend.servers:
             gone_at = time.time() + notice
             if is_announced_by_cloud:
                 gone_at = await self.deployment.announce_reclaim(server, notice)
             self.history.add(Leaving(time.time(), server, gone_at))
-            await self.inject("reclaim of a backend server", server)
+            await self.record_fault("reclaim of a backend server", server)
         await self.deployment.order(f"{backend.control}/control/leaving", leaving)
         self.reclaimed.add(backend.control)
         await trio.sleep(notice)
 
     async def reclaim_host(self, host: EntryHost) -> None:
-        """Announce the reclaim of an entry host, then take it away."""
-        notice = self.random.uniform(*NOTICE)
+        """Announce the reclaim of an entry host, then kill it."""
+        notice = self.random.uniform(*RECLAIM_NOTICE)
         await self.deployment.announce_reclaim(host.name, notice)
-        await self.inject("reclaim of an entry host", host.name)
+        await self.record_fault("reclaim of an entry host", host.name)
         await trio.sleep(notice)
         host.process.kill()
 
     async def reclaim_domain(self, domain: str) -> None:
-        """Take a whole failure domain: its backend servers and its entry hosts."""
+        """Reclaim all backend servers and entry hosts of a failure domain."""
         hosts = [
             h
             for h in self.deployment.hosts
             if h.failure_domain == domain and h.process.is_running
         ]
         async with trio.open_nursery() as nursery:
-            for backend in self.choose_backends(domain):
+            for backend in self.list_running_backends(domain):
                 nursery.start_soon(self.reclaim_backend, backend)
             for host in hosts:
                 nursery.start_soon(self.reclaim_host, host)
 
 
 class Actor(Protocol):
-    """Somebody who acts on a deployment and records what they see."""
+    """A client or operator that acts on a deployment and records what it observes."""
 
     async def run(self) -> None:
-        """Act until stopped, then wait for the last word."""
+        """Act until stopped, then wait for all outcomes."""
 
     def stop(self) -> None:
-        """Begin nothing more."""
+        """Start nothing new."""
 
 
-MakeActor = Callable[[Deployment, History, int], Actor]
-"""Makes an actor for a seed."""
+ActorFactory = Callable[[Deployment, History, int], Actor]
+"""Function that makes an actor for a seed."""
 
 
-def call_at(
+def build_workload_factory(
     rate: float,
     mix: tuple[CallKind, ...] = MIX,
     deadline: float = 30.0,
     submissions: int = 0,
-) -> MakeActor:
-    """Return callers with a mix of calls, so many a second.
-
-    Those with one submission never send a key again: what the system has
-    accepted, it must bring to its end by itself.
+) -> ActorFactory:
+    """Return a factory of callers that send a mix of calls.
+
+    Args:
+        rate: mean number of calls per second.
+        mix: kinds of calls to choose from.
+        deadline: seconds.
+        submissions: maximum submissions of one key; 0 sets no limit. With 1 callers
+            never retry, so the system must complete what it accepted by itself.
     """
 
-    def make(deployment: Deployment, history: History, seed: int) -> Actor:
+    def make_actor(deployment: Deployment, history: History, seed: int) -> Actor:
         return Workload(
             deployment,
             history,
@@ -154,45 +167,53 @@
             submissions=submissions,
         )
 
-    return make
+    return make_actor
+
 
+def build_duplicate_factory(rate: float) -> ActorFactory:
+    """Return a factory of callers that send duplicates, `rate` keys per second."""
 
-def copy_at(rate: float) -> MakeActor:
-    """Return callers whose submissions are copied, so many a second."""
+    def make_actor(deployment: Deployment, history: History, seed: int) -> Actor:
+        return DuplicateSender(deployment, history, seed=seed, rate=rate)
 
-    def make(deployment: Deployment, history: History, seed: int) -> Actor:
-        return CopySenders(deployment, history, seed=seed, rate=rate)
+    return make_actor
 
-    return make
 
+def build_crashing_factory(mean_pause: float) -> ActorFactory:
+    """Return a factory of callers whose request crashes servers.
 
-def crash_each(pause: float) -> MakeActor:
-    """Return a caller whose request ends servers, sent so many seconds apart."""
+    Args:
+        mean_pause: mean seconds between two requests.
+    """
 
-    def make(deployment: Deployment, history: History, seed: int) -> Actor:
-        return CrashingCaller(deployment, history, seed=seed, pause=pause)
+    def make_actor(deployment: Deployment, history: History, seed: int) -> Actor:
+        return CrashingCaller(deployment, history, seed=seed, mean_pause=mean_pause)
 
-    return make
+    return make_actor
 
 
-def operate(deployment: Deployment, history: History, seed: int) -> Actor:
-    """Return operators who race for a profile."""
+def make_operators(deployment: Deployment, history: History, seed: int) -> Actor:
+    """Return operators who change one profile concurrently."""
     return Operators(deployment, history, seed=seed, profile="prompt-answers")
 
 
-ORDINARY = (call_at(20.0),)
-LETTERS = (call_at(40.0, (LETTER,), 15.0),)
-ONCE = (call_at(6.0, (LONG_DRAFT, LETTER), 60.0, submissions=1),)
-RACING = (call_at(5.0, (STATUS,)), operate)
+ORDINARY_CALLS = (build_workload_factory(20.0),)
+LETTER_CALLS = (build_workload_factory(40.0, (LETTER,), 15.0),)
+SINGLE_SUBMISSION_CALLS = (
+    build_workload_factory(6.0, (LONG_DRAFT, LETTER), 60.0, submissions=1),
+)
+RACING_OPERATORS = (build_workload_factory(5.0, (STATUS,)), make_operators)
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A named proof.
+    """A named test: a load, faults and the promises to check.
 
     Attributes:
-        promises: by their numbers in the brief's order; those that always hold
-            are checked besides.
+        fault: description for the table of results.
+        promises: numbers of the promises to check, in the order of the requirements;
+            the universal ones are always checked too.
+        inject_faults: injects the faults.
         before: seconds of load before the first fault.
         after: seconds of load after the last one.
     """
@@ -200,8 +221,8 @@
     name: str
     fault: str
     promises: tuple[int, ...]
-    strike: Strike
-    actors: tuple[MakeActor, ...] = ORDINARY
+    inject_faults: FaultScript
+    actors: tuple[ActorFactory, ...] = ORDINARY_CALLS
     options: DeploymentOptions = EIGHT_HOSTS
     before: float = 2.0
     after: float = 3.0
@@ -211,7 +232,7 @@
     """Reclaim the backend servers of one failure domain."""
     domain = run.random.choice(run.deployment.place.failure_domains)
     async with trio.open_nursery() as nursery:
-        for backend in run.choose_backends(domain):
+        for backend in run.list_running_backends(domain):
             nursery.start_soon(run.reclaim_backend, backend)
 
 
@@ -221,12 +242,12 @@
 
 
 async def reclaim_failure_domain(run: Run) -> None:
-    """Reclaim a failure domain with all that is in it."""
+    """Reclaim the backend servers and entry hosts of one failure domain."""
     await run.reclaim_domain(run.random.choice(run.deployment.place.failure_domains))
 
 
 async def reclaim_two_domains(run: Run) -> None:
-    """Reclaim a second failure domain while the first is still going."""
+    """Reclaim a second failure domain during the notice period of the first."""
     first, second = run.random.sample(run.deployment.place.failure_domains, 2)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(run.reclaim_domain, first)
@@ -234,27 +255,27 @@
         nursery.start_soon(run.reclaim_domain, second)
 
 
-async def lag_host_list(run: Run) -> None:
-    """Let the host list lag by a minute while servers leave."""
+async def reclaim_with_lagging_list(run: Run) -> None:
+    """Reclaim servers while the host list lags by a minute."""
     await run.deployment.order(f"{run.deployment.control}/control/lag", {"seconds": 60})
     await reclaim_servers(run)
 
 
 async def reclaim_without_key_value(run: Run) -> None:
     """Reclaim servers while the key-value service is down."""
-    await run.inject("outage of the key-value service", "key_value")
+    await run.record_fault("outage of the key-value service", "key_value")
     await run.deployment.set_platform_fault("key_value", "down")
     await trio.sleep(1.0)
     await reclaim_servers(run)
     await run.deployment.set_platform_fault("key_value", "none")
 
 
-async def leave_by_own_word(run: Run) -> None:
-    """Let servers leave that only say so themselves; the cloud is down."""
+async def reclaim_without_cloud(run: Run) -> None:
+    """Reclaim servers that announce it only themselves, since the cloud is down."""
     await run.deployment.set_platform_fault("cloud", "down")
     domain = run.random.choice(run.deployment.place.failure_domains)
     async with trio.open_nursery() as nursery:
-        for backend in run.choose_backends(domain):
+        for backend in run.list_running_backends(domain):
             nursery.start_soon(
                 partial(run.reclaim_backend, backend, is_announced_by_cloud=False)
             )
@@ -265,98 +286,99 @@
     """Kill two entry hosts, one after the other."""
     for _ in range(2):
         host = run.choose_host()
-        await run.inject("kill -9 of an entry host", host.name)
+        await run.record_fault("kill -9 of an entry host", host.name)
         host.process.kill()
         await trio.sleep(run.random.uniform(1.0, 3.0))
 
 
 async def freeze_host(run: Run) -> None:
-    """Freeze an entry host for longer than every lease, then wake it."""
+    """Freeze an entry host for longer than every lease, then resume it."""
     host = run.choose_host()
-    await run.inject("freeze of an entry host", host.name)
+    await run.record_fault("freeze of an entry host", host.name)
     host.process.freeze()
-    await trio.sleep(LEASE_LONG)
+    await trio.sleep(FREEZE_DURATION)
     host.process.thaw()
 
 
-async def stop_gracefully(run: Run) -> None:
-    """Shut two entry hosts down together."""
+async def shut_down_two_hosts(run: Run) -> None:
+    """Shut two entry hosts down gracefully at the same time."""
     running = [h for h in run.deployment.hosts if h.process.is_running]
     chosen = run.random.sample(running, 2)
     for host in chosen:
-        await run.inject("graceful shutdown", host.name)
+        await run.record_fault("graceful shutdown", host.name)
         host.process.terminate()
     for host in chosen:
         await host.process.wait_ended()
 
 
-async def restart_in_turn(run: Run) -> None:
-    """Restart every entry host, one after the other, under load."""
+async def restart_hosts_in_turn(run: Run) -> None:
+    """Replace every entry host in turn under load, each shut down gracefully."""
     for host in list(run.deployment.hosts):
-        await run.inject("graceful shutdown", host.name)
+        await run.record_fault("graceful shutdown", host.name)
         replacement = await run.deployment.start_host(host.failure_domain)
         await run.deployment.wait_joined(replacement)
         host.process.terminate()
         await host.process.wait_ended()
 
 
-async def lose_key_value(run: Run) -> None:
-    """Take the key-value service down for a while."""
-    await run.inject("outage of the key-value service", "key_value")
+async def stop_key_value(run: Run) -> None:
+    """Take the key-value service down for `OUTAGE_DURATION`."""
+    await run.record_fault("outage of the key-value service", "key_value")
     await run.deployment.set_platform_fault("key_value", "down")
-    await trio.sleep(OUTAGE)
+    await trio.sleep(OUTAGE_DURATION)
     await run.deployment.set_platform_fault("key_value", "none")
 
 
 async def slow_key_value(run: Run) -> None:
-    """Let each call of the key-value service take a second longer."""
-    await run.inject("key-value service slow", "key_value")
+    """Delay each call of the key-value service by a second."""
+    await run.record_fault("key-value service slow", "key_value")
     await run.deployment.set_platform_fault("key_value", "slow", seconds=1.0)
-    await trio.sleep(OUTAGE)
+    await trio.sleep(OUTAGE_DURATION)
     await run.deployment.set_platform_fault("key_value", "none")
 
 
 async def lose_key_value_answers(run: Run) -> None:
-    """Lose the answers to half the writes, which take effect all the same."""
-    await run.inject("answers of the key-value service lost", "key_value")
+    """Lose the answers to half of the writes, which take effect nevertheless."""
+    await run.record_fault("answers of the key-value service lost", "key_value")
     await run.deployment.set_platform_fault(
         "key_value", "lose_answers", share=0.5, kinds=["swap"]
     )
-    await trio.sleep(OUTAGE)
+    await trio.sleep(OUTAGE_DURATION)
     await run.deployment.set_platform_fault("key_value", "none")
 
 
-def spoil_answers(mode: str) -> Strike:
-    """Return a strike that spoils the answers of one failure domain's servers."""
+def build_answer_fault(mode: str) -> FaultScript:
+    """Return a fault script that corrupts the answers of one domain's servers."""
 
-    async def strike(run: Run) -> None:
+    async def inject_faults(run: Run) -> None:
         domain = run.random.choice(run.deployment.place.failure_domains)
-        for backend in run.choose_backends(domain):
-            await run.inject(f"answers {mode}", backend.servers[0])
+        for backend in run.list_running_backends(domain):
+            await run.record_fault(f"answers {mode}", backend.servers[0])
             order = {"mode": mode, "seconds": 0.3}
             await run.deployment.order(f"{backend.control}/control/fault", order)
         await trio.sleep(6.0)
-        for backend in run.choose_backends(domain):
+        for backend in run.list_running_backends(domain):
             await run.deployment.order(
                 f"{backend.control}/control/fault", {"mode": "none"}
             )
 
-    return strike
+    return inject_faults
+
 
+CRASH_PHASE_DURATION = 12.0
+"""Seconds for which a request that crashes servers is sent repeatedly."""
 
-CRASH_SECONDS = 12.0
-"""Seconds for which a request that ends servers is sent again and again."""
-CRASH_RESTART = 2.0
-"""Seconds until a server that ended is back."""
+CRASH_RESTART_DELAY = 2.0
+"""Seconds until a crashed server is available again."""
 
 
-async def end_under_requests(run: Run) -> None:
-    """Let engines end when they begin to run a marked request."""
-    order = {"mode": "crash", "seconds": CRASH_RESTART}
+async def crash_engines(run: Run) -> None:
+    """Let engines crash when they start to run a request with the crash prefix."""
+    order = {"mode": "crash", "seconds": CRASH_RESTART_DELAY}
     for backend in run.deployment.backends:
         await run.deployment.order(f"{backend.control}/control/fault", order)
-    await run.inject("requests that end servers", "engines")
-    await trio.sleep(CRASH_SECONDS)
+    await run.record_fault("requests that end servers", "engines")
+    await trio.sleep(CRASH_PHASE_DURATION)
 
 
 SCENARIOS: tuple[Scenario, ...] = (
@@ -367,62 +389,110 @@
     ),
     Scenario("reclaim-two", "two failure domains", (1, 5), reclaim_two_domains),
     Scenario(
-        "once-host", "host reclaimed, sent once", (1, 6), reclaim_entry_host, ONCE
+        "once-host",
+        "host reclaimed, sent once",
+        (1, 6),
+        reclaim_entry_host,
+        SINGLE_SUBMISSION_CALLS,
     ),
     Scenario(
-        "once-domain", "domain reclaimed, sent once", (1,), reclaim_failure_domain, ONCE
+        "once-domain",
+        "domain reclaimed, sent once",
+        (1,),
+        reclaim_failure_domain,
+        SINGLE_SUBMISSION_CALLS,
     ),
-    Scenario("once-two", "two domains, sent once", (1,), reclaim_two_domains, ONCE),
     Scenario(
-        "once-stop", "two hosts shut down, sent once", (6,), stop_gracefully, ONCE
+        "once-two",
+        "two domains, sent once",
+        (1,),
+        reclaim_two_domains,
+        SINGLE_SUBMISSION_CALLS,
+    ),
+    Scenario(
+        "once-stop",
+        "two hosts shut down, sent once",
+        (6,),
+        shut_down_two_hosts,
+        SINGLE_SUBMISSION_CALLS,
     ),
     Scenario("kill-hosts", "entry hosts killed", (), kill_hosts),
     Scenario("freeze-host", "entry host frozen and woken", (), freeze_host),
-    Scenario("stop-two", "two hosts shut down together", (6,), stop_gracefully),
-    Scenario("rolling", "rolling restart", (6,), restart_in_turn),
-    Scenario("lagging-list", "host list lags a minute", (1, 5), lag_host_list),
+    Scenario("stop-two", "two hosts shut down together", (6,), shut_down_two_hosts),
+    Scenario("rolling", "rolling restart", (6,), restart_hosts_in_turn),
+    Scenario(
+        "lagging-list", "host list lags a minute", (1, 5), reclaim_with_lagging_list
+    ),
     Scenario(
         "reclaim-kv-down",
         "servers reclaimed, key-value service down",
         (5,),
         reclaim_without_key_value,
-        (call_at(20.0, (DRAFT, STATUS)),),
+        (build_workload_factory(20.0, (DRAFT, STATUS)),),
+    ),
+    Scenario("own-word", "servers leave, cloud down", (1, 5), reclaim_without_cloud),
+    Scenario(
+        "copies-kill",
+        "copies, hosts killed",
+        (),
+        kill_hosts,
+        (build_duplicate_factory(15.0),),
     ),
-    Scenario("own-word", "servers leave, cloud down", (1, 5), leave_by_own_word),
-    Scenario("copies-kill", "copies, hosts killed", (), kill_hosts, (copy_at(15.0),)),
-    Scenario("copies-freeze", "copies, host frozen", (), freeze_host, (copy_at(15.0),)),
-    Scenario("letters-kill", "letters, hosts killed", (), kill_hosts, LETTERS),
-    Scenario("letters-freeze", "letters, host frozen", (), freeze_host, LETTERS),
     Scenario(
-        "letters-kv-lost", "letters, answers lost", (), lose_key_value_answers, LETTERS
+        "copies-freeze",
+        "copies, host frozen",
+        (),
+        freeze_host,
+        (build_duplicate_factory(15.0),),
+    ),
+    Scenario("letters-kill", "letters, hosts killed", (), kill_hosts, LETTER_CALLS),
+    Scenario("letters-freeze", "letters, host frozen", (), freeze_host, LETTER_CALLS),
+    Scenario(
+        "letters-kv-lost",
+        "letters, answers lost",
+        (),
+        lose_key_value_answers,
+        LETTER_CALLS,
     ),
     Scenario(
         "operators",
         "racing operators, answers lost",
         (7,),
         lose_key_value_answers,
-        RACING,
+        RACING_OPERATORS,
+    ),
+    Scenario(
+        "operators-kv-down",
+        "racing, key-value down",
+        (7,),
+        stop_key_value,
+        RACING_OPERATORS,
+    ),
+    Scenario(
+        "operators-kv-slow",
+        "racing, key-value slow",
+        (7,),
+        slow_key_value,
+        RACING_OPERATORS,
     ),
     Scenario(
-        "operators-kv-down", "racing, key-value down", (7,), lose_key_value, RACING
+        "operators-freeze", "racing, host frozen", (7,), freeze_host, RACING_OPERATORS
     ),
     Scenario(
-        "operators-kv-slow", "racing, key-value slow", (7,), slow_key_value, RACING
+        "operators-kill", "racing, hosts killed", (7,), kill_hosts, RACING_OPERATORS
     ),
-    Scenario("operators-freeze", "racing, host frozen", (7,), freeze_host, RACING),
-    Scenario("operators-kill", "racing, hosts killed", (7,), kill_hosts, RACING),
     Scenario(
         "crashing-request",
         "a request ends each server that runs it",
         (8,),
-        end_under_requests,
-        (call_at(10.0, (DRAFT, STATUS)), crash_each(0.4)),
+        crash_engines,
+        (build_workload_factory(10.0, (DRAFT, STATUS)), build_crashing_factory(0.4)),
     ),
-    Scenario("kv-down", "key-value service down", (), lose_key_value),
+    Scenario("kv-down", "key-value service down", (), stop_key_value),
     Scenario("kv-slow", "key-value service slow", (), slow_key_value),
     Scenario("kv-lost", "answers of writes lost", (), lose_key_value_answers),
     *(
-        Scenario(f"answers-{mode}", f"answers {mode}", (), spoil_answers(mode))
+        Scenario(f"answers-{mode}", f"answers {mode}", (), build_answer_fault(mode))
         for mode in (
             "slow",
             "late",
--- a/dewridge/proofs/workload.py
+++ b/dewridge/proofs/workload.py
@@ -1,4 +1,4 @@
-"""Callers of a proof: they send requests, and record what they saw."""
+"""Callers that send requests and record what they observe in a history."""
 
 import time
 from collections.abc import Iterator
@@ -24,14 +24,14 @@
 from dewridge.requests.model import AnswerEvent
 from dewridge.testbed.deployment import Deployment
 
-VERDICTS: dict[Outcome, Verdict] = {
+VERDICT_BY_OUTCOME: dict[Outcome, Verdict] = {
     Outcome.DONE: "done",
     Outcome.NOT_RUN: "not_run",
     Outcome.UNKNOWN: "unknown",
     Outcome.FAILED: "failed",
 }
 
-LIMITS = ClientLimits(silence_timeout=4.0, accept_timeout=5.0)
+CLIENT_LIMITS = ClientLimits(silence_timeout=4.0, accept_timeout=5.0)
 
 
 @dataclass(frozen=True)
@@ -39,6 +39,7 @@
     """A kind of call in a mix.
 
     Attributes:
+        weight: relative frequency in the mix.
         tokens: lengths of answers to choose from; empty for a plain service.
     """
 
@@ -51,7 +52,7 @@
 
 DRAFT = CallKind("findings", "draft_finding", True, 4, (60, 150, 400))
 LONG_DRAFT = CallKind("findings", "draft_finding", True, 4, (1200, 2000))
-"""Drafts that outlast every notice of a reclaim."""
+"""Drafts that take longer than the longest notice of a reclaim."""
 
 STATUS = CallKind("registry", "check_status", True, 3)
 LETTER = CallKind("registry", "issue_letter", False, 3)
@@ -59,7 +60,7 @@
 
 
 class Workload:
-    """Open-loop callers of several accounts, each call recorded in a history."""
+    """Open-loop callers of several accounts that record each call in a history."""
 
     def __init__(
         self,
@@ -72,19 +73,19 @@
         deadline: float = 30.0,
         submissions: int = 0,
     ) -> None:
-        self._limits = replace(LIMITS, submissions=submissions)
+        self._limits = replace(CLIENT_LIMITS, submissions=submissions)
         self._deployment = deployment
         self._history = history
         self._random = Random(f"workload/{seed}")
         self._rate = rate
         self._mix = mix
         self._deadline = deadline
-        self._numbers = count(1)
+        self._counter = count(1)
         self._clients: list[tuple[str, Client]] = []
         self._stop = trio.Event()
 
     def stop(self) -> None:
-        """Send no more calls; those under way go on to their end."""
+        """Start no new calls; those in flight are completed."""
         self._stop.set()
 
     async def run(self) -> None:
@@ -103,13 +104,13 @@
                 await self._send_calls(nursery)
 
     async def _send_calls(self, nursery: trio.Nursery) -> None:
-        for pause in self._list_pauses():
+        for pause in self._generate_pauses():
             with trio.move_on_after(pause):
                 await self._stop.wait()
                 return
             nursery.start_soon(self._call, self._choose_kind())
 
-    def _list_pauses(self) -> Iterator[float]:
+    def _generate_pauses(self) -> Iterator[float]:
         while True:
             yield self._random.expovariate(self._rate)
 
@@ -124,7 +125,7 @@
             client,
             account,
             kind,
-            f"dossier {next(self._numbers)}: plant records of line two, cold room",
+            f"dossier {next(self._counter)}: plant records of line two, cold room",
             self._random.choice(kind.tokens) if kind.tokens else 0,
             self._deadline,
         )
@@ -140,11 +141,11 @@
     deadline: float,
     key: str = "",
 ) -> Answer:
-    """Make one call and record it from sending to final word."""
-    from uuid6 import uuid7  # noqa: PLC0415 - only callers make keys
+    """Make one call and record it from submission to outcome."""
+    from uuid6 import uuid7  # noqa: PLC0415 - only callers generate keys
 
     key = key or str(uuid7())
-    due = time.time() + deadline
+    due_at = time.time() + deadline
     history.add(
         Submitted(
             time.time(),
@@ -153,29 +154,29 @@
             key,
             1,
             kind.operation,
-            # A plain service is given the JSON text of its input.
+            # A plain service receives its input as JSON text.
             prompt if tokens else msgspec.json.encode(prompt).decode(),
             tokens,
             kind.idempotent,
         )
     )
-    heard = False
+    is_acknowledged = False
 
-    def note(event: AnswerEvent) -> None:
-        nonlocal heard
-        if not heard:
-            heard = True
+    def record_acknowledgement(event: AnswerEvent) -> None:
+        nonlocal is_acknowledged
+        if not is_acknowledged:
+            is_acknowledged = True
             history.add(Acknowledged(time.time(), key, 1))
 
     call = Call(kind.service, kind.operation, prompt, deadline, tokens, key)
-    answer = await client.request(call, note)
+    answer = await client.request(call, record_acknowledgement)
     for host in answer.hosts[1:]:
         history.add(Interrupted(time.time(), key, host, "went on here"))
-    history.add(_conclude(answer, key, due))
+    history.add(_make_conclusion(answer, key, due_at))
     return answer
 
 
-def _conclude(answer: Answer, key: str, due: float) -> Concluded:
+def _make_conclusion(answer: Answer, key: str, due_at: float) -> Concluded:
     text = answer.text
     if answer.is_whole and not text:
         text = msgspec.json.encode(answer.result).decode()
@@ -183,9 +184,9 @@
         time.time(),
         key,
         1,
-        VERDICTS.get(answer.outcome, "unknown"),
+        VERDICT_BY_OUTCOME.get(answer.outcome, "unknown"),
         int(answer.code),
         text,
-        due,
+        due_at,
         answer.retry_after,
     )
--- a/dewridge/tests/proofs/__init__.py
+++ b/dewridge/tests/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of dewridge.proofs."""
+"""Tests of the fault-injection scenarios and of their history checks."""
--- a/dewridge/tests/proofs/runs_tests.py
+++ b/dewridge/tests/proofs/runs_tests.py
@@ -1,4 +1,4 @@
-"""A short part of the proofs: one seed of a few scenarios on real processes."""
+"""Runs a few fault-injection scenarios with one seed on real processes."""
 
 import pytest
 import trio
@@ -6,23 +6,24 @@
 from dewridge.proofs.runs import run_scenario
 from dewridge.proofs.scenarios import SCENARIOS
 
-SHORT = (
+SHORT_RUN_SCENARIOS = (
     "reclaim-domain",
     "kill-hosts",
     "copies-kill",
     "operators",
     "crashing-request",
 )
-"""Between them they look at all eight promises but the graceful shutdown, which
-the frontend's and the requests part's own tests cover."""
+"""Together they check all eight promises except the graceful shutdown, which the tests
+of the frontend and of request processing cover."""
 
 
 @pytest.mark.timeout(150)
-@pytest.mark.parametrize("name", SHORT)
-def test_a_scenario_breaks_no_promise(name: str) -> None:
-    # A failure domain is reclaimed, hosts die, submissions are copied, operators
-    # race, each while callers wait. What a user would notice: an answer that
-    # never comes, comes twice or is another's, or a profile that reverts.
-    scenario = next(each for each in SCENARIOS if each.name == name)
+@pytest.mark.parametrize("name", SHORT_RUN_SCENARIOS)
+def test_scenario_breaks_no_promise(name: str) -> None:
+    # Guards against answers that are missing, differ between duplicates or belong to
+    # another request, and against profiles that revert, when a failure domain is
+    # reclaimed, hosts are killed, submissions are duplicated, operators conflict or
+    # requests crash servers while callers wait.
+    scenario = next(candidate for candidate in SCENARIOS if candidate.name == name)
     result = trio.run(run_scenario, scenario, 1, None)
     assert result.violations == ()
