--- a/dewridge/proofs/checks.py
+++ b/dewridge/proofs/checks.py
@@ -39,13 +39,13 @@
 have identified the request."""
 
 MAX_LATE_CRASH_EXECUTIONS = 3
-"""Executions of such a request that may still start after that time."""
+"""Executions of a crashing request that may start later than `MAX_DETECTION_DELAY`."""
 
 MAX_ANSWER_DELAY = 1.0
 """Seconds past its deadline by which a request must have its final answer."""
 
 FIRST_SYSTEM_CODE = 200
-"""Result codes from here on report load or faults; lower ones report invalid input."""
+"""Result codes from here on report load or faults; lower ones concern the input."""
 
 NON_RETRYABLE_CODES = (209, 210)
 """Deadline passed, cancelled: a retry is pointless, so no retry time is required."""
@@ -180,7 +180,7 @@
 
 
 def check_final_answers(history: History) -> list[Violation]:
-    """Promise 3: a final answer arrives in time and says when to retry.
+    """Promise 3: a final answer arrives in time and, if a retry makes sense, says when.
 
     Code -1 is exempt from the time limit: the client itself stopped waiting.
     """
@@ -275,16 +275,16 @@
 
 
 def _check_reverts(history: History) -> list[Violation]:
-    latest: dict[tuple[str, str], int] = {}
+    revisions: dict[tuple[str, str], int] = {}
     violations = []
     for event in sorted(_select_events(history, Observed), key=lambda item: item.at):
         replica = event.host, event.name
-        if event.revision < latest.get(replica, 0):
+        if event.revision < revisions.get(replica, 0):
             reason = (
-                f"{event.host} went from {latest[replica]} back to {event.revision}"
+                f"{event.host} went from {revisions[replica]} back to {event.revision}"
             )
             violations.append(Violation(7, event.name, reason))
-        latest[replica] = max(event.revision, latest.get(replica, 0))
+        revisions[replica] = max(event.revision, revisions.get(replica, 0))
     return violations
 
 
--- a/dewridge/proofs/copies.py
+++ b/dewridge/proofs/copies.py
@@ -122,7 +122,7 @@
     ) -> None:
         """Send one submission to one host and record its outcome.
 
-        If the response is not final, other hosts are polled for the outcome.
+        If the response is not final, running hosts are polled for the outcome.
         """
         due_at = time.time() + SUFFICIENT_DEADLINE
         text = msgspec.json.encode(prompt).decode()
--- a/dewridge/proofs/history.py
+++ b/dewridge/proofs/history.py
@@ -156,7 +156,7 @@
     """An observer reads an object at a host.
 
     Attributes:
-        admits: whether the host admits work, since its configuration is fresh.
+        admits: whether the host admitted work, that is, had a fresh configuration.
     """
 
     at: float
--- a/dewridge/proofs/operators.py
+++ b/dewridge/proofs/operators.py
@@ -22,8 +22,8 @@
 """Operators who change the same profile."""
 
 CHANGE_INTERVAL = 1.0
-"""Mean seconds between two changes by one operator. All operators together make far
-more changes than the required 21,000 a day, so that their changes conflict."""
+"""Mean pause in seconds between two changes by one operator. Together the operators
+make far more changes than the target of 21,000 a day, so that they conflict."""
 
 
 class Operators:
--- a/dewridge/proofs/runs.py
+++ b/dewridge/proofs/runs.py
@@ -41,7 +41,8 @@
         late_dispatches: seconds between the announced departure of a server and
             each dispatch to it after that.
         accepted_changes: number of accepted changes of the configuration.
-        propagation_delays: seconds until each of them was observed at each host.
+        propagation_delays: seconds from acceptance until each of them was observed at
+            each host.
         platform_calls: number of calls to the platform, by service and kind.
     """
 
--- a/dewridge/proofs/scenarios.py
+++ b/dewridge/proofs/scenarios.py
@@ -33,7 +33,7 @@
 """Function that injects the faults of a scenario while the load runs."""
 
 RECLAIM_NOTICE = (2.0, 5.0)
-"""Range of seconds of notice before a reclaim, as the requirements state it."""
+"""Shortest and longest notice of a reclaim in seconds; the required range."""
 
 OUTAGE_DURATION = 10.0
 """Seconds for which a fault of the key-value service lasts."""
@@ -93,14 +93,14 @@
             is_announced_by_cloud: if false, only the servers announce it themselves.
         """
         notice = self.random.uniform(*RECLAIM_NOTICE)
-        leaving = {"leaving": not is_announced_by_cloud, "dies_in": notice}
+        leaving_order = {"leaving": not is_announced_by_cloud, "dies_in": notice}
         for server in backend.servers:
             gone_at = time.time() + notice
             if is_announced_by_cloud:
                 gone_at = await self.deployment.announce_reclaim(server, notice)
             self.history.add(Leaving(time.time(), server, gone_at))
             await self.record_fault("reclaim of a backend server", server)
-        await self.deployment.order(f"{backend.control}/control/leaving", leaving)
+        await self.deployment.order(f"{backend.control}/control/leaving", leaving_order)
         self.reclaimed.add(backend.control)
         await trio.sleep(notice)
 
@@ -151,7 +151,7 @@
     Args:
         rate: mean number of calls per second.
         mix: kinds of calls to choose from.
-        deadline: seconds.
+        deadline: deadline of each call in seconds.
         submissions: maximum submissions of one key; 0 sets no limit. With 1 callers
             never retry, so the system must complete what it accepted by itself.
     """
@@ -373,7 +373,7 @@
 
 
 async def crash_engines(run: Run) -> None:
-    """Let engines crash when they start to run a request with the crash prefix."""
+    """Let engines crash when they start to run an input marked with `CRASH_MARK`."""
     order = {"mode": "crash", "seconds": CRASH_RESTART_DELAY}
     for backend in run.deployment.backends:
         await run.deployment.order(f"{backend.control}/control/fault", order)
--- a/dewridge/proofs/workload.py
+++ b/dewridge/proofs/workload.py
@@ -60,7 +60,13 @@
 
 
 class Workload:
-    """Open-loop callers of several accounts that record each call in a history."""
+    """Open-loop callers of several accounts that record each call in a history.
+
+    Args:
+        rate: mean number of calls per second.
+        deadline: deadline of each call in seconds.
+        submissions: maximum submissions of one key; 0 sets no limit.
+    """
 
     def __init__(
         self,
--- a/dewridge/tests/proofs/runs_tests.py
+++ b/dewridge/tests/proofs/runs_tests.py
@@ -20,8 +20,8 @@
 @pytest.mark.timeout(150)
 @pytest.mark.parametrize("name", SHORT_RUN_SCENARIOS)
 def test_scenario_breaks_no_promise(name: str) -> None:
-    # Guards against answers that are missing, differ between duplicates or belong to
-    # another request, and against profiles that revert, when a failure domain is
+    # Guards against answers that never arrive, arrive twice or belong to another
+    # request, and against profiles that revert, when a failure domain is
     # reclaimed, hosts are killed, submissions are duplicated, operators conflict or
     # requests crash servers while callers wait.
     scenario = next(candidate for candidate in SCENARIOS if candidate.name == name)
