--- a/dewridge/bench/__init__.py
+++ b/dewridge/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the decisions: a small event loop over the pure code, no sockets."""
+"""Benchmarks the scheduling policies in an event-driven simulation without sockets."""
--- a/dewridge/bench/__main__.py
+++ b/dewridge/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the bench: `python -m dewridge.bench`."""
+"""Runs the policy benchmark: `python -m dewridge.bench`."""
 
 import argparse
 import sys
@@ -7,14 +7,21 @@
 from pathlib import Path
 
 from dewridge.bench.cases import CONTENDERS, Case, Result, list_cases, run_case
-from dewridge.bench.decisions import FLEETS, time_decisions
-from dewridge.bench.expectations import judge
+from dewridge.bench.decisions import FLEET_SIZES, time_decisions
+from dewridge.bench.expectations import evaluate_expectations
 from dewridge.bench.notes import NOTES
 from dewridge.bench.report import draw_plot, format_results, write_report
 
 
 def main() -> int:
-    """Run all cases and write the page; 0 once it is written."""
+    """Run the selected cases and report the results.
+
+    A full run writes the report page and the plot; a run of selected cases only
+    prints its tables.
+
+    Returns:
+        The exit status: always 0.
+    """
     parser = argparse.ArgumentParser(prog="dewridge.bench", description=__doc__)
     parser.add_argument("--seeds", type=int, default=2, help="seeds of each run")
     parser.add_argument("--processes", type=int, default=3, help="runs side by side")
@@ -27,19 +34,19 @@
     decisions = [
         time_decisions(contender, servers, hosts)
         for contender in CONTENDERS
-        for servers, hosts in FLEETS
+        for servers, hosts in FLEET_SIZES
     ]
     cases = list_cases(range(1, options.seeds + 1))
     selected = [case for case in cases if _is_selected(case, options)]
-    results = _run(selected, options.processes)
+    results = _run_cases(selected, options.processes)
     if len(selected) < len(cases):
         print(format_results(results))
         return 0
-    verdicts = judge(results, decisions)
+    verdicts = evaluate_expectations(results, decisions)
     write_report(options.output / "bench.md", results, decisions, verdicts, NOTES)
     draw_plot(options.output / "figures" / "bench.png", results)
     for verdict in verdicts:
-        mark = "reached" if verdict.is_reached else f"MISSED by {verdict.gap}"
+        mark = "reached" if verdict.is_met else f"MISSED by {verdict.gap}"
         print(f"{verdict.deployment}: {verdict.expected}: {verdict.measured}: {mark}")
     print(f"{len(cases)} runs in {time.monotonic() - started:.0f} s")
     return 0
@@ -53,7 +60,7 @@
     )
 
 
-def _run(cases: list[Case], processes: int) -> list[Result]:
+def _run_cases(cases: list[Case], processes: int) -> list[Result]:
     results = []
     with ProcessPoolExecutor(processes) as pool:
         for done, result in enumerate(pool.map(run_case, cases), 1):
--- a/dewridge/bench/cases.py
+++ b/dewridge/bench/cases.py
@@ -1,40 +1,45 @@
-"""The runs that are compared: contenders, loads and faults."""
+"""Benchmark cases: the policies compared, the loads and the faults injected."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
 from dewridge.bench.deployments import (
     DEPLOYMENTS,
-    PLAIN_SECONDS,
+    PLAIN_CALL_SECONDS,
     Deployment,
+    compute_slot_seconds,
     draw_arrivals,
-    find_slot_seconds,
-    keep_accounts,
+    filter_accounts,
 )
-from dewridge.bench.outcomes import Record, Summary, find_percentile, summarize
+from dewridge.bench.outcomes import Record, Summary, compute_percentile, summarize
 from dewridge.bench.simulation import Reclaim, Simulation, Slowdown
 from dewridge.configuration.model import PolicyChoice, Profile
 from dewridge.ids import ProfileName
 
-WARM_UP = 20.0
-"""Seconds of arrivals that are not counted: queues fill and credits are learned."""
-LONG_WARM_UP = 60.0
-"""The same above capacity, where queues fill until the longest deadline."""
+WARM_UP_SECONDS = 20.0
+"""Excluded from the figures, while queues fill and credits are learned."""
+OVERLOAD_WARM_UP_SECONDS = 60.0
+"""Warm-up above capacity, where queues fill up to the longest deadline."""
 
-FAULT_AT = 25.0
-NORMAL = 0.6
+FAULT_AT_SECONDS = 25.0
+"""Time in a run at which a fault is injected."""
+
+NORMAL_LOAD = 0.6
 """Load as a multiple of capacity in an ordinary hour."""
-SATURATED = 2.0
-SMALL = 0.06
-"""Part of the arrivals up to which an account counts as small."""
-BURST = 2.5
-TODAY = 1
-TENFOLD = 10
+SATURATED_LOAD = 2.0
+"""Load as a multiple of capacity under overload."""
+MAX_SMALL_ACCOUNT_SHARE = 0.06
+"""Largest share of the arrivals with which an account counts as small."""
+BURST_FACTOR = 2.5
+"""Factor on the arrival rate in bursts."""
+TODAY_SCALE = 1
+TENFOLD_SCALE = 10
+"""Fleet size as a multiple of today's."""
 
 
 @dataclass(frozen=True, slots=True)
 class Contender:
-    """A choice of policies under a short name."""
+    """A named set of policies that the benchmark compares with others."""
 
     name: str
     placement: str
@@ -43,7 +48,7 @@
     drops_expired: bool = True
 
     def make_profile(self) -> Profile:
-        """Return the profile that an operator would publish."""
+        """Return a profile that selects these policies."""
         parameters = {} if self.drops_expired else {"drops_expired": 0.0}
         return Profile(
             name=ProfileName("bench"),
@@ -65,10 +70,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run.
+    """Parameters of one simulation run.
 
     Attributes:
-        accounts: only their arrivals; empty: of all.
+        load: arrival rate as a multiple of capacity.
+        scale: fleet size as a multiple of today's.
+        seconds: duration of the arrivals.
+        warm_up: seconds at the start that are excluded from the figures.
+        burst: factor on the arrival rate in every fifth second.
+        accounts: accounts whose arrivals are simulated; empty for all.
         is_model_only: whether the plain service is left out, to save time.
     """
 
@@ -79,7 +89,7 @@
     seed: int
     scale: int = 1
     seconds: float = 60.0
-    warm_up: float = WARM_UP
+    warm_up: float = WARM_UP_SECONDS
     burst: float = 1.0
     slowdown: Slowdown | None = None
     reclaims: tuple[Reclaim, ...] = ()
@@ -89,15 +99,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What a run gave.
+    """Figures measured in one run.
 
     Attributes:
         services: figures by service.
         overall: figures over all services.
-        work_share: by service, the work of answers within target as a part of
-            what all machines can do in the time counted.
-        accounts: 95th percentile of the latency by account and operation.
-        fairness: least part of its max-min fair share that an account got.
+        work_share: by service, the work of answers within target as a share of
+            what all machines can do after the warm-up.
+        accounts: 95th percentile of the latency in seconds, by account and operation.
+        fairness: smallest fraction of its max-min fair share that an account got.
     """
 
     case: Case
@@ -109,7 +119,7 @@
 
 
 def run_case(case: Case) -> Result:
-    """Run one case to its end."""
+    """Simulate one case and return its figures."""
     arrivals = draw_arrivals(
         case.deployment,
         scale=case.scale,
@@ -119,7 +129,7 @@
         burst=case.burst,
     )
     if case.accounts:
-        arrivals = keep_accounts(arrivals, set(case.accounts))
+        arrivals = filter_accounts(arrivals, set(case.accounts))
     if case.is_model_only:
         name = case.deployment.services[0].name
         arrivals = [arrival for arrival in arrivals if arrival.service == name]
@@ -135,129 +145,147 @@
     return _make_result(case, simulation.run())
 
 
-def _make_result(case: Case, everything: Sequence[Record]) -> Result:
-    records = [r for r in everything if r.work.arrival >= case.warm_up]
-    # What ended in the time counted, whenever it came: what the machines did.
-    ended = [r for r in everything if case.warm_up <= r.ended_at < case.seconds]
+def _make_result(case: Case, all_records: Sequence[Record]) -> Result:
+    records = [r for r in all_records if r.work.arrival >= case.warm_up]
+    # The machines' work after the warm-up, including requests that arrived before.
+    completed_records = [
+        r for r in all_records if case.warm_up <= r.completed_at < case.seconds
+    ]
     services = {}
     work_share = {}
     fairness = 1.0
-    for shape in case.deployment.services:
-        own = [record for record in records if record.service == shape.name]
-        if not own:
+    for spec in case.deployment.services:
+        service_records = [record for record in records if record.service == spec.name]
+        if not service_records:
             continue
-        services[shape.name] = summarize(own)
-        available = shape.find_slots(case.scale) * (case.seconds - case.warm_up)
-        done = [r for r in ended if r.service == shape.name and r.is_in_target]
-        answered = sum(_measure_work(record) for record in done)
-        work_share[shape.name] = answered / available
-        fairness = min(fairness, _find_fairness(own, available))
+        services[spec.name] = summarize(service_records)
+        available = spec.count_slots(case.scale) * (case.seconds - case.warm_up)
+        records_in_target = [
+            r for r in completed_records if r.service == spec.name and r.is_in_target
+        ]
+        answered_work = sum(_compute_work(record) for record in records_in_target)
+        work_share[spec.name] = answered_work / available
+        fairness = min(fairness, _compute_fairness(service_records, available))
     accounts: dict[tuple[str, str], list[float]] = {}
     for record in records:
-        place = (record.work.account, record.work.operation)
+        key = (record.work.account, record.work.operation)
         if record.is_in_target:
-            accounts.setdefault(place, []).append(record.latency)
+            accounts.setdefault(key, []).append(record.latency)
     return Result(
         case,
         services,
         summarize(records),
         work_share,
-        {place: find_percentile(values) for place, values in accounts.items()},
+        {key: compute_percentile(values) for key, values in accounts.items()},
         fairness,
     )
 
 
-def _measure_work(record: Record) -> float:
+def _compute_work(record: Record) -> float:
     if record.work.prompt_tokens == 0:
-        return PLAIN_SECONDS
-    return find_slot_seconds(record.size, record.work.prompt_tokens)
+        return PLAIN_CALL_SECONDS
+    return compute_slot_seconds(record.answer_tokens, record.work.prompt_tokens)
 
 
-def _find_fairness(records: Sequence[Record], available: float) -> float:
-    """Return the least part of its max-min fair share that an account got."""
-    wanted: dict[str, float] = {}
-    got: dict[str, float] = {}
+def _compute_fairness(records: Sequence[Record], available: float) -> float:
+    """Return the smallest fraction of its max-min fair share that an account got."""
+    demand: dict[str, float] = {}
+    answered_by_account: dict[str, float] = {}
     for record in records:
-        work = _measure_work(record)
+        work = _compute_work(record)
         account = record.work.account
-        wanted[account] = wanted.get(account, 0.0) + work
-        got[account] = got.get(account, 0.0) + work * record.is_in_target
-    shares = find_fair_shares(wanted, available)
-    return min((got[name] / shares[name] for name in shares), default=1.0)
+        demand[account] = demand.get(account, 0.0) + work
+        answered_by_account[account] = (
+            answered_by_account.get(account, 0.0) + work * record.is_in_target
+        )
+    shares = compute_fair_shares(demand, available)
+    return min(
+        (answered_by_account[name] / shares[name] for name in shares), default=1.0
+    )
 
 
-def find_fair_shares(wanted: dict[str, float], available: float) -> dict[str, float]:
-    """Divide what is available: nobody gets more unless the others have enough."""
+def compute_fair_shares(demand: dict[str, float], available: float) -> dict[str, float]:
+    """Divide the available work max-min fairly among accounts by their demand."""
     shares = {}
-    left = available
-    for place, name in enumerate(sorted(wanted, key=lambda name: wanted[name])):
-        shares[name] = min(wanted[name], left / (len(wanted) - place))
-        left -= shares[name]
+    remaining = available
+    for index, name in enumerate(sorted(demand, key=lambda name: demand[name])):
+        shares[name] = min(demand[name], remaining / (len(demand) - index))
+        remaining -= shares[name]
     return shares
 
 
 def list_cases(seeds: Sequence[int]) -> list[Case]:
-    """Return all cases of the bench."""
+    """Return all cases of the benchmark."""
     cases: list[Case] = []
     for deployment in DEPLOYMENTS:
         for seed in seeds:
-            cases += _list_today(deployment, seed)
-        cases += _list_tenfold(deployment, seeds[0])
+            cases += _list_today_cases(deployment, seed)
+        cases += _list_tenfold_cases(deployment, seeds[0])
     return cases
 
 
-def _list_today(deployment: Deployment, seed: int) -> list[Case]:
+def _list_today_cases(deployment: Deployment, seed: int) -> list[Case]:
     cases = []
     first_domain = deployment.services[0].pools[0].failure_domain
-    wave = (Reclaim(FAULT_AT, (first_domain,)),)
+    domain_reclaim = (Reclaim(FAULT_AT_SECONDS, (first_domain,)),)
     for contender in CONTENDERS:
-        normal = Case("normal", deployment, contender, NORMAL, seed)
-        slow = Slowdown(FAULT_AT)
+        normal = Case("normal", deployment, contender, NORMAL_LOAD, seed)
+        slow = Slowdown(FAULT_AT_SECONDS)
         cases += [
             normal,
-            saturate(normal, "saturated", SATURATED),
+            make_overload_case(normal, "saturated", SATURATED_LOAD),
             replace(normal, kind="slow", slowdown=slow, is_model_only=True),
-            replace(normal, kind="burst", burst=BURST, is_model_only=True),
-            replace(normal, kind="reclaim", reclaims=wave, is_model_only=True),
+            replace(normal, kind="burst", burst=BURST_FACTOR, is_model_only=True),
+            replace(
+                normal, kind="reclaim", reclaims=domain_reclaim, is_model_only=True
+            ),
             replace(
                 normal,
                 kind="half",
-                reclaims=(Reclaim(FAULT_AT),),
+                reclaims=(Reclaim(FAULT_AT_SECONDS),),
                 is_model_only=True,
             ),
         ]
         cases += [
-            replace(saturate(normal, "sweep", load), is_model_only=True)
+            replace(make_overload_case(normal, "sweep", load), is_model_only=True)
             for load in (0.9, 1.2, 1.6)
             if seed == 1
         ]
-    base = Case("reclaim", deployment, RESTARTING, NORMAL, seed, reclaims=wave)
+    base = Case(
+        "reclaim", deployment, RESTARTING, NORMAL_LOAD, seed, reclaims=domain_reclaim
+    )
     cases.append(replace(base, is_model_only=True))
-    small = frozenset(name for name, share in deployment.accounts if share <= SMALL)
-    alone = Case("alone", deployment, COST_AWARE, SATURATED, seed, accounts=small)
-    cases.append(saturate(alone, "alone", SATURATED))
+    small = frozenset(
+        name for name, share in deployment.accounts if share <= MAX_SMALL_ACCOUNT_SHARE
+    )
+    alone = Case("alone", deployment, COST_AWARE, SATURATED_LOAD, seed, accounts=small)
+    cases.append(make_overload_case(alone, "alone", SATURATED_LOAD))
     return cases
 
 
-def saturate(case: Case, kind: str, load: float) -> Case:
-    """Return a case at another load, run until its queues are as they stay."""
+def make_overload_case(case: Case, kind: str, load: float) -> Case:
+    """Return a case at another load, with a warm-up until queues are steady."""
     return replace(
-        case, kind=kind, load=load, seconds=LONG_WARM_UP + 50, warm_up=LONG_WARM_UP
+        case,
+        kind=kind,
+        load=load,
+        seconds=OVERLOAD_WARM_UP_SECONDS + 50,
+        warm_up=OVERLOAD_WARM_UP_SECONDS,
     )
 
 
-def _list_tenfold(deployment: Deployment, seed: int) -> list[Case]:
+def _list_tenfold_cases(deployment: Deployment, seed: int) -> list[Case]:
     cases = []
     for contender in CONTENDERS:
         normal = Case(
             "normal",
             deployment,
             contender,
-            NORMAL,
+            NORMAL_LOAD,
             seed,
-            scale=TENFOLD,
+            scale=TENFOLD_SCALE,
             seconds=45.0,
             is_model_only=True,
         )
-        cases += [normal, saturate(normal, "saturated", SATURATED)]
+        cases += [normal, make_overload_case(normal, "saturated", SATURATED_LOAD)]
     return cases
--- a/dewridge/bench/decisions.py
+++ b/dewridge/bench/decisions.py
@@ -1,4 +1,4 @@
-"""Time of one decision against the number of backend servers."""
+"""Measures the time of a scheduling decision by the number of backend servers."""
 
 import random
 import time
@@ -19,31 +19,32 @@
 from dewridge.policy.model import AttemptOutcome, ServerView, Work, WorkClass
 from dewridge.policy.scheduler import Scheduler
 
-FLEETS = ((10, 8), (90, 80), (490, 44), (1600, 145), (4900, 440))
-"""Backend servers and entry hosts: today, ten times today, and up to the aim."""
+FLEET_SIZES = ((10, 8), (90, 80), (490, 44), (1600, 145), (4900, 440))
+"""Numbers of backend servers and entry hosts: today's, ten times today's, and up to
+the planned maximum."""
 
-ROUNDS = 4000
-IN_FLIGHT = 8
-"""Requests in flight on the host while it decides."""
+DECISION_COUNT = 4000
+MAX_IN_FLIGHT = 8
+"""Requests in flight on the entry host during the measurement."""
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionTime:
-    """Microseconds of a decision: admission, queueing and placement of a request.
+    """Time to admit, queue and place one request, in microseconds.
 
     Attributes:
-        update: microseconds to take in a new list of the whole fleet.
+        list_update: time to apply a new list of all backend servers.
     """
 
     contender: str
     servers: int
     median: float
-    late: float
-    update: float
+    percentile_99: float
+    list_update: float
 
 
 def time_decisions(contender: Contender, servers: int, hosts: int) -> DecisionTime:
-    """Time decisions on one entry host before a fleet."""
+    """Measure the decisions of one entry host for a fleet of backend servers."""
     operation = Operation(name=OperationName("draft"), expected_tokens=100)
     service = Service(
         name=ServiceName("bench"),
@@ -58,18 +59,20 @@
     scheduler.update_servers(views, 0.0)
     started = time.perf_counter()
     scheduler.update_servers(list(views), 0.0)
-    update = (time.perf_counter() - started) * 1e6
-    samples = _drive(scheduler)
-    ranked = quantiles(samples, n=100)
-    return DecisionTime(contender.name, servers, ranked[49], ranked[98], update)
+    list_update = (time.perf_counter() - started) * 1e6
+    samples = _time_picks(scheduler)
+    percentiles = quantiles(samples, n=100)
+    return DecisionTime(
+        contender.name, servers, percentiles[49], percentiles[98], list_update
+    )
 
 
-def _drive(scheduler: Scheduler) -> list[float]:
+def _time_picks(scheduler: Scheduler) -> list[float]:
     rng = random.Random(1)
     samples = []
     running: list[tuple[RequestId, BackendServerId]] = []
     now = 0.0
-    for number in range(ROUNDS):
+    for number in range(DECISION_COUNT):
         now += 0.01
         work = _make_work(number, now, rng)
         started = time.perf_counter()
@@ -79,7 +82,7 @@
         if assignment is not None:
             running.append((assignment.work.request, assignment.server))
             scheduler.record_first_token(*running[-1], now + 0.005)
-        while len(running) > IN_FLIGHT:
+        while len(running) > MAX_IN_FLIGHT:
             request, server = running.pop(0)
             scheduler.record_attempt_end(request, server, AttemptOutcome.DONE, 100, now)
     return samples
--- a/dewridge/bench/deployments.py
+++ b/dewridge/bench/deployments.py
@@ -1,4 +1,4 @@
-"""Shapes of the two deployments, and arrivals drawn for them."""
+"""The two simulated deployments, and random arrivals for them."""
 
 import random
 from collections.abc import Iterator, Sequence
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from dewridge.bench.workers import EngineShape
+from dewridge.bench.workers import EngineSpec
 from dewridge.configuration.model import Operation, Service
 from dewridge.ids import (
     BackendServerId,
@@ -20,17 +20,24 @@
 from dewridge.policy.model import ServerView, Work, WorkClass
 
 ENGINE_CAPACITY = 8
+"""Concurrent streams of one engine."""
 PLAIN_CAPACITY = 16
-PLAIN_SECONDS = 0.24
-"""Usual seconds of a plain call."""
-TEMPLATES = 12
-"""Prompt prefixes of one account; the first is in half of its requests."""
-ENGINE = EngineShape()
+"""Concurrent calls of one plain server."""
+PLAIN_CALL_SECONDS = 0.24
+"""Mean duration of a call to a plain service."""
+PROMPT_TEMPLATES = 12
+"""Prompt prefixes per account and operation; half of the requests use the first."""
+DEFAULT_ENGINE = EngineSpec()
 
 
 @dataclass(frozen=True, slots=True)
-class Pool:
-    """Machines of one class in one failure domain."""
+class MachinePool:
+    """Machines of one class in one failure domain.
+
+    Attributes:
+        price: relative price of a machine.
+        reclaimable: whether the provider may reclaim the machines.
+    """
 
     failure_domain: str
     machine_class: str
@@ -40,31 +47,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One kind of call in the mix.
+class CallSpec:
+    """One operation in a service's mix of calls.
 
     Attributes:
-        share: part of the service's requests.
-        allowance: seconds from arrival to deadline.
+        share: share of the service's requests.
+        prompt_tokens: mean length of the prompt.
+        time_limit: seconds from arrival to deadline.
     """
 
     operation: Operation
     share: float
     prompt_tokens: int
-    allowance: float
+    time_limit: float
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceShape:
-    """One service with its machines and its mix of calls."""
+class ServiceSpec:
+    """A service with its machines and its mix of calls."""
 
     name: str
     kind: str
-    pools: tuple[Pool, ...]
-    calls: tuple[Call, ...]
+    pools: tuple[MachinePool, ...]
+    calls: tuple[CallSpec, ...]
 
     def make_service(self) -> Service:
-        """Return the service as operators would publish it."""
+        """Return the configuration object of the service."""
         return Service(
             name=ServiceName(self.name),
             kind="plain" if self.kind == "plain" else "model",
@@ -73,60 +81,61 @@
         )
 
     def make_servers(self, scale: int) -> list[ServerView]:
-        """Return the backend servers, `scale` times as many as today."""
+        """Return the backend servers of a fleet `scale` times today's."""
         capacity = PLAIN_CAPACITY if self.kind == "plain" else ENGINE_CAPACITY
         return [
             ServerView(
-                id=BackendServerId(f"{self.name}-{place}-{number}"),
+                id=BackendServerId(f"{self.name}-{index}-{number}"),
                 failure_domain=FailureDomain(pool.failure_domain),
                 machine_class=pool.machine_class,
                 price=pool.price,
                 reclaimable=pool.reclaimable,
                 capacity=capacity,
             )
-            for place, pool in enumerate(self.pools)
+            for index, pool in enumerate(self.pools)
             for number in range(pool.count * scale)
         ]
 
-    def find_capacity(self, scale: int) -> float:
-        """Return requests of the mix a second that all machines can answer."""
+    def compute_capacity(self, scale: int) -> float:
+        """Return the requests per second of the mix that all machines can answer."""
         machines = sum(pool.count for pool in self.pools) * scale
         if self.kind == "plain":
-            return machines * PLAIN_CAPACITY / PLAIN_SECONDS
+            return machines * PLAIN_CAPACITY / PLAIN_CALL_SECONDS
         seconds = sum(
             call.share
-            * find_slot_seconds(call.operation.expected_tokens, call.prompt_tokens)
+            * compute_slot_seconds(call.operation.expected_tokens, call.prompt_tokens)
             for call in self.calls
         )
         return machines * ENGINE_CAPACITY / seconds
 
-    def find_slots(self, scale: int) -> int:
-        """Return the requests that all machines run side by side."""
+    def count_slots(self, scale: int) -> int:
+        """Return the number of requests that all machines run concurrently."""
         capacity = PLAIN_CAPACITY if self.kind == "plain" else ENGINE_CAPACITY
         return sum(pool.count for pool in self.pools) * scale * capacity
 
 
-def find_slot_seconds(tokens: int, prompt_tokens: int) -> float:
-    """Return the seconds that an answer holds a place in a full engine."""
-    step = ENGINE.step + ENGINE.step_stream * ENGINE_CAPACITY
-    # A prompt slows all streams of its engine while it is computed.
-    prefill = prompt_tokens * ENGINE.prefill_token * ENGINE_CAPACITY
+def compute_slot_seconds(tokens: int, prompt_tokens: int) -> float:
+    """Return the seconds for which a request occupies a slot of a full engine."""
+    step = DEFAULT_ENGINE.step + DEFAULT_ENGINE.step_stream * ENGINE_CAPACITY
+    # Prefilling a prompt slows down all streams of its engine.
+    prefill = prompt_tokens * DEFAULT_ENGINE.prefill_token * ENGINE_CAPACITY
     return tokens * step + prefill
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One of the two deployments.
+    """A simulated deployment.
 
     Attributes:
-        hosts: entry hosts of today.
-        accounts: client accounts with their parts of the requests.
-        delay: seconds one way between a host and a backend server.
+        hosts: number of entry hosts in today's fleet.
+        accounts: client accounts with their shares of the requests.
+        delay: one-way network delay between an entry host and a backend server, in
+            seconds.
     """
 
     name: str
     hosts: int
-    services: tuple[ServiceShape, ...]
+    services: tuple[ServiceSpec, ...]
     accounts: tuple[tuple[str, float], ...]
     delay: float
 
@@ -140,27 +149,27 @@
     tokens: int = 1,
     prompt: int = 0,
     idempotent: bool = True,
-) -> Call:
+) -> CallSpec:
     operation = Operation(
         name=OperationName(name),
         work_class="interactive" if is_interactive else "background",
         idempotent=idempotent,
         expected_tokens=tokens,
     )
-    return Call(operation, share, prompt, allowance)
+    return CallSpec(operation, share, prompt, allowance)
 
 
 def _make_pools(
     rows: Sequence[tuple[str, str, float, bool, int]],
-) -> tuple[Pool, ...]:
-    return tuple(Pool(*row) for row in rows)
+) -> tuple[MachinePool, ...]:
+    return tuple(MachinePool(*row) for row in rows)
 
 
 SELLO_VERDE = Deployment(
     "sello-verde",
     8,
     (
-        ServiceShape(
+        ServiceSpec(
             "findings",
             "model",
             _make_pools(
@@ -182,7 +191,7 @@
                 ),
             ),
         ),
-        ServiceShape(
+        ServiceSpec(
             "registry",
             "plain",
             _make_pools(
@@ -209,7 +218,7 @@
     "karoo",
     8,
     (
-        ServiceShape(
+        ServiceSpec(
             "drafting",
             "model",
             _make_pools(
@@ -248,7 +257,7 @@
                 ),
             ),
         ),
-        ServiceShape(
+        ServiceSpec(
             "portal",
             "plain",
             _make_pools(
@@ -276,16 +285,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that a caller sends to one entry host.
+    """A request that a caller sends to an entry host.
 
     Attributes:
-        tokens: size of its answer, which nobody knows beforehand.
+        host: index of the entry host.
+        answer_tokens: length of the answer; the scheduler does not know it in advance.
     """
 
     service: str
     host: int
     work: Work
-    tokens: int
+    answer_tokens: int
 
 
 def draw_arrivals(
@@ -297,36 +307,37 @@
     seed: int,
     burst: float = 1.0,
 ) -> list[Arrival]:
-    """Draw open-loop arrivals: callers do not wait for each other's answers.
+    """Draw open-loop arrivals: callers do not wait for earlier answers.
 
     Args:
-        deployment: whose mix it is.
-        scale: multiple of today's fleet.
-        load: arrivals as a multiple of what all machines can answer.
-        seconds: how long they come.
-        seed: of the random numbers.
-        burst: factor on the rate in every fifth second; the others give way.
+        deployment: defines the mix of calls and the accounts.
+        scale: fleet size as a multiple of today's.
+        load: arrival rate as a multiple of capacity.
+        seconds: duration of the arrivals.
+        seed: seed of the random numbers.
+        burst: factor on the rate in every fifth second; the rate of the other
+            seconds is lowered to keep the mean.
     """
     arrivals: list[Arrival] = []
-    for shape in deployment.services:
-        rng = random.Random(f"{seed}/{shape.name}")
-        rate = shape.find_capacity(scale) * load
-        for number, at in enumerate(_draw_times(rng, rate, seconds, burst)):
-            work = _draw_work(rng, deployment, shape, number, at)
+    for spec in deployment.services:
+        rng = random.Random(f"{seed}/{spec.name}")
+        rate = spec.compute_capacity(scale) * load
+        for number, at in enumerate(_draw_arrival_times(rng, rate, seconds, burst)):
+            work = _draw_work(rng, deployment, spec, number, at)
             host = rng.randrange(deployment.hosts * scale)
-            tokens = _draw_size(rng, work.expected_tokens)
-            arrivals.append(Arrival(shape.name, host, work, tokens))
+            tokens = _draw_token_count(rng, work.expected_tokens)
+            arrivals.append(Arrival(spec.name, host, work, tokens))
     arrivals.sort(key=lambda arrival: arrival.work.arrival)
     return arrivals
 
 
-def _draw_times(
+def _draw_arrival_times(
     rng: random.Random, rate: float, seconds: float, burst: float
 ) -> Iterator[float]:
-    quiet = (5 - burst) / 4
+    quiet_factor = (5 - burst) / 4
     at = 0.0
     while True:
-        factor = burst if int(at) % 5 == 4 else quiet
+        factor = burst if int(at) % 5 == 4 else quiet_factor
         at += rng.expovariate(rate * factor)
         if at >= seconds:
             return
@@ -336,39 +347,39 @@
 def _draw_work(
     rng: random.Random,
     deployment: Deployment,
-    shape: ServiceShape,
+    spec: ServiceSpec,
     number: int,
     at: float,
 ) -> Work:
     names = [name for name, _ in deployment.accounts]
     weights = [share for _, share in deployment.accounts]
     account = rng.choices(names, weights)[0]
-    call = rng.choices(shape.calls, [call.share for call in shape.calls])[0]
+    call = rng.choices(spec.calls, [call.share for call in spec.calls])[0]
     operation = call.operation
-    is_plain = shape.kind == "plain"
-    template = 0 if rng.random() < 0.5 else rng.randrange(1, TEMPLATES)
-    salted = f"{account}/{operation.name}/{template}".encode()
-    prefix = 0 if is_plain else xxhash.xxh3_64_intdigest(salted)
+    is_plain = spec.kind == "plain"
+    template = 0 if rng.random() < 0.5 else rng.randrange(1, PROMPT_TEMPLATES)
+    prefix_key = f"{account}/{operation.name}/{template}".encode()
+    prefix = 0 if is_plain else xxhash.xxh3_64_intdigest(prefix_key)
     return Work(
-        request=RequestId(f"{account}/{shape.name}-{number}"),
+        request=RequestId(f"{account}/{spec.name}-{number}"),
         account=ClientAccount(account),
         operation=operation.name,
         work_class=WorkClass(operation.work_class),
         arrival=at,
-        deadline=at + call.allowance,
-        prompt_tokens=0 if is_plain else _draw_size(rng, call.prompt_tokens),
+        deadline=at + call.time_limit,
+        prompt_tokens=0 if is_plain else _draw_token_count(rng, call.prompt_tokens),
         expected_tokens=operation.expected_tokens,
         idempotent=operation.idempotent,
         prefix=prefix,
     )
 
 
-def _draw_size(rng: random.Random, mean: int) -> int:
+def _draw_token_count(rng: random.Random, mean: int) -> int:
     if mean <= 1:
         return mean
     return max(1, round(mean * rng.uniform(0.5, 1.5)))
 
 
-def keep_accounts(arrivals: Sequence[Arrival], accounts: set[str]) -> list[Arrival]:
-    """Return the arrivals of some accounts only."""
+def filter_accounts(arrivals: Sequence[Arrival], accounts: set[str]) -> list[Arrival]:
+    """Return only the arrivals of the given accounts."""
     return [arrival for arrival in arrivals if arrival.work.account in accounts]
--- a/dewridge/bench/notes.py
+++ b/dewridge/bench/notes.py
@@ -1,4 +1,4 @@
-"""What the page says of figures that were not reached, and of what they leave out."""
+"""Notes of the report page: why targets were missed, and limits of the simulation."""
 
 NOTES = """Where a figure is above 1, prefix caches save prompt tokens that the
 reckoned capacity counts in full.
--- a/dewridge/bench/outcomes.py
+++ b/dewridge/bench/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of each request, and figures over many."""
+"""Outcomes of simulated requests, and summary figures."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -10,67 +10,68 @@
 
 
 class Outcome(Enum):
-    """How a request ended for its caller."""
+    """Outcome of a request as its caller sees it."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
     EXPIRED = "expired"
     FAILED = "failed"
-    """Outcome unknown, or ended without an answer after an attempt ran."""
+    """The outcome is unknown, or the request failed after an attempt ran."""
     UNANSWERED = "unanswered"
-    """Still waiting when the run was cut."""
+    """Still incomplete when the run was stopped."""
 
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """One request from its arrival to what its caller heard.
+    """A request from its arrival to its completion or failure.
 
     Attributes:
-        size: tokens of its answer.
-        tokens: tokens that the caller got.
-        cost: money for the slots that it held, lost attempts included.
+        answer_tokens: tokens of the full answer.
+        tokens: tokens that the caller received.
+        cost: price of the slots that it occupied, lost attempts included.
     """
 
     service: str
     work: Work
-    size: int
+    answer_tokens: int
     targets: LatencyTargets
     outcome: Outcome | None = None
     first_token: float | None = None
     latency: float = 0.0
     tokens: int = 0
-    recomputed: int = 0
+    recomputed_tokens: int = 0
     cost: float = 0.0
 
-    def note_first_token(self, now: float) -> None:
-        """Record when the caller saw something first."""
+    def record_first_token(self, now: float) -> None:
+        """Record the time of the first token, unless there was one before."""
         if self.first_token is None:
             self.first_token = now - self.work.arrival
 
-    def end(self, outcome: Outcome, now: float) -> None:
-        """Record the end."""
+    def complete(self, outcome: Outcome, now: float) -> None:
+        """Record the outcome and the latency."""
         self.outcome = outcome
         self.latency = now - self.work.arrival
 
     @property
-    def ended_at(self) -> float:
-        """Return when it ended."""
+    def completed_at(self) -> float:
+        """Return the time of completion or failure."""
         return self.work.arrival + self.latency
 
     @property
     def is_in_target(self) -> bool:
-        """Whether the whole answer came in time.
+        """Whether the request was answered within its deadline and target.
 
-        By its deadline; of interactive work also within the profile's target,
-        for a model's answer counted to the first token.
+        Background work only has to meet its deadline. Interactive work also has to
+        meet the profile's latency target: to the first token for a streamed answer,
+        else to the complete answer.
         """
         if self.outcome is not Outcome.ANSWERED:
             return False
-        if self.ended_at > self.work.deadline:
+        if self.completed_at > self.work.deadline:
             return False
         if self.work.work_class is WorkClass.BACKGROUND:
             return True
-        if self.size <= 1:
+        if self.answer_tokens <= 1:
             return self.latency <= self.targets.whole_answer
         return (self.first_token or 0.0) <= self.targets.first_token
 
@@ -80,60 +81,63 @@
     """Figures over the records of a run.
 
     Attributes:
-        in_target: part of the arrivals answered within target.
+        in_target: share of the arrivals answered within target.
         work_in_target: generated tokens of those answers.
-        cost: money an answer within target.
-        recomputed: tokens computed again.
-        first_token: 95th percentile by class, seconds.
-        refused: part of the arrivals that were refused or given up.
-        told: 95th percentile of the time until those callers were told.
+        cost: price per answer within target.
+        recomputed_tokens: tokens computed more than once.
+        first_token: 95th percentile in seconds, by work class.
+        latency: 95th percentile in seconds, by work class.
+        refused: share of the arrivals that were rejected or expired.
+        time_to_rejection: 95th percentile of the seconds until their callers got that
+            result.
+        failed: share of the arrivals that failed.
     """
 
     arrivals: int
     in_target: float
     work_in_target: float
     cost: float
-    recomputed: float
+    recomputed_tokens: float
     first_token: dict[str, float]
     latency: dict[str, float]
     refused: float
-    told: float
+    time_to_rejection: float
     failed: float
 
 
-def find_percentile(values: Iterable[float], part: float = 0.95) -> float:
-    """Return a percentile by rank; 0 of nothing."""
-    ranked = sorted(values)
-    if not ranked:
+def compute_percentile(values: Iterable[float], quantile: float = 0.95) -> float:
+    """Return a percentile by rank, or 0 without values."""
+    ordered = sorted(values)
+    if not ordered:
         return 0.0
-    return ranked[min(len(ranked) - 1, int(part * len(ranked)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
 def summarize(records: Sequence[Record]) -> Summary:
-    """Work out the figures of a run."""
-    good = [record for record in records if record.is_in_target]
-    told = [
+    """Compute the figures of a run."""
+    records_in_target = [record for record in records if record.is_in_target]
+    rejection_times = [
         record.latency
         for record in records
         if record.outcome in (Outcome.REFUSED, Outcome.EXPIRED)
     ]
-    firsts: dict[str, list[float]] = defaultdict(list)
+    first_tokens: dict[str, list[float]] = defaultdict(list)
     latencies: dict[str, list[float]] = defaultdict(list)
     for record in records:
         if record.first_token is not None:
-            firsts[record.work.work_class.value].append(record.first_token)
+            first_tokens[record.work.work_class.value].append(record.first_token)
         if record.outcome is Outcome.ANSWERED:
             latencies[record.work.work_class.value].append(record.latency)
     total = max(1, len(records))
     return Summary(
         arrivals=len(records),
-        in_target=len(good) / total,
-        work_in_target=sum(record.tokens for record in good),
-        cost=sum(record.cost for record in records) / max(1, len(good)),
-        recomputed=sum(record.recomputed for record in records),
-        first_token={name: find_percentile(v) for name, v in firsts.items()},
-        latency={name: find_percentile(v) for name, v in latencies.items()},
-        refused=len(told) / total,
-        told=find_percentile(told),
+        in_target=len(records_in_target) / total,
+        work_in_target=sum(record.tokens for record in records_in_target),
+        cost=sum(record.cost for record in records) / max(1, len(records_in_target)),
+        recomputed_tokens=sum(record.recomputed_tokens for record in records),
+        first_token={name: compute_percentile(v) for name, v in first_tokens.items()},
+        latency={name: compute_percentile(v) for name, v in latencies.items()},
+        refused=len(rejection_times) / total,
+        time_to_rejection=compute_percentile(rejection_times),
         failed=sum(r.outcome is Outcome.FAILED for r in records) / total,
     )
--- a/dewridge/bench/report.py
+++ b/dewridge/bench/report.py
@@ -1,4 +1,4 @@
-"""Writes the bench's tables and its plot."""
+"""Writes the benchmark's report page and its plot."""
 
 from collections.abc import Callable, Iterable, Sequence
 from pathlib import Path
@@ -49,7 +49,7 @@
     verdicts: Sequence[Verdict],
     notes: str,
 ) -> None:
-    """Write the page with all tables."""
+    """Write the report page with all tables."""
     seeds = sorted({result.case.seed for result in results})
     text = INTRODUCTION.format(seeds=", ".join(map(str, seeds)))
     text += _format_verdicts(verdicts) + notes
@@ -64,12 +64,13 @@
     text = ""
     for deployment in DEPLOYMENTS:
         for scale in (1, 10):
-            own = [
-                r
-                for r in results
-                if r.case.deployment.name == deployment.name and r.case.scale == scale
+            matching = [
+                result
+                for result in results
+                if result.case.deployment.name == deployment.name
+                and result.case.scale == scale
             ]
-            text += _format_deployment(deployment.name, scale, own)
+            text += _format_deployment(deployment.name, scale, matching)
     return text
 
 
@@ -79,7 +80,7 @@
         "| expected | deployment | measured | reached |\n| --- | --- | --- | --- |\n"
     )
     for verdict in verdicts:
-        reached = "yes" if verdict.is_reached else f"no, {verdict.gap}"
+        reached = "yes" if verdict.is_met else f"no, {verdict.gap}"
         text += (
             f"| {verdict.expected} | {verdict.deployment} "
             f"| {verdict.measured} | {reached} |\n"
@@ -91,10 +92,10 @@
     size = "today's fleet" if scale == 1 else "ten times today's fleet, one seed"
     text = ""
     for kind, title in KINDS.items():
-        own = [result for result in results if result.case.kind == kind]
-        if own:
+        matching = [result for result in results if result.case.kind == kind]
+        if matching:
             text += f"## {name}, {size}: {title[0].lower()}{title[1:]}\n\n"
-            text += _format_table(own)
+            text += _format_table(matching)
     return text
 
 
@@ -108,28 +109,28 @@
     names = list(dict.fromkeys(result.case.contender.name for result in results))
     for service in services:
         for name in names:
-            own = [r for r in results if r.case.contender.name == name]
-            text += _format_row(service, name, own)
+            matching = [r for r in results if r.case.contender.name == name]
+            text += _format_row(service, name, matching)
     return text + "\n"
 
 
 def _format_row(service: str, name: str, results: Sequence[Result]) -> str:
     rows = [result.services[service] for result in results]
 
-    def average(read: Callable[[Summary], float]) -> float:
-        return mean(read(row) for row in rows)
+    def average(get_value: Callable[[Summary], float]) -> float:
+        return mean(get_value(row) for row in rows)
 
     work = mean(result.work_share[service] for result in results)
     fairness = mean(result.fairness for result in results)
     cost = average(lambda row: row.cost) * 1e6
-    first = _format_latencies(rows)
+    first_token = _format_latencies(rows)
     refused = average(lambda row: row.refused)
-    told = average(lambda row: row.told)
+    time_to_rejection = average(lambda row: row.time_to_rejection)
     return (
         f"| {service} | {name} | {average(lambda row: row.in_target):.3f} "
         f"| {work:.3f} | {cost:,.2f} "
-        f"| {average(lambda row: row.recomputed) / 1000:.1f} | {first} "
-        f"| {fairness:.2f} | {refused:.3f} ({told:.2f}) "
+        f"| {average(lambda row: row.recomputed_tokens) / 1000:.1f} | {first_token} "
+        f"| {fairness:.2f} | {refused:.3f} ({time_to_rejection:.2f}) "
         f"| {average(lambda row: row.failed):.4f} |\n"
     )
 
@@ -138,7 +139,9 @@
     parts = []
     for work_class in ("interactive", "background"):
         values = [
-            r.first_token[work_class] for r in rows if work_class in r.first_token
+            result.first_token[work_class]
+            for result in rows
+            if work_class in result.first_token
         ]
         parts.append(f"{mean(values):.2f}" if values else "-")
     return " / ".join(parts)
@@ -154,15 +157,16 @@
     )
     for row in decisions:
         text += (
-            f"| {row.contender} | {row.servers} | {row.median:.0f} | {row.late:.0f} "
-            f"| {1e6 / row.median:,.0f} | {row.update:,.0f} |\n"
+            f"| {row.contender} | {row.servers} "
+            f"| {row.median:.0f} | {row.percentile_99:.0f} "
+            f"| {1e6 / row.median:,.0f} | {row.list_update:,.0f} |\n"
         )
     return text + "\n"
 
 
 def draw_plot(path: Path, results: Sequence[Result]) -> None:
-    """Draw the answers within target against the load."""
-    import matplotlib as mpl  # noqa: PLC0415  # heavy, and only needed here
+    """Plot the work answered within target by load."""
+    import matplotlib as mpl  # noqa: PLC0415  # slow to import, only needed here
 
     mpl.use("Agg")
     from matplotlib import pyplot as plt  # noqa: PLC0415
@@ -170,13 +174,13 @@
     figure, axes = plt.subplots(figsize=(8, 5))
     for deployment, line in zip(DEPLOYMENTS, ("-", "--"), strict=True):
         service = deployment.services[0].name
-        for place, contender in enumerate(CONTENDERS):
+        for index, contender in enumerate(CONTENDERS):
             points = _collect_points(results, deployment.name, contender.name, service)
             axes.plot(
                 [load for load, _ in points],
                 [share for _, share in points],
                 line,
-                color=f"C{place}",
+                color=f"C{index}",
                 marker="o",
                 linewidth=2.5 if contender is COST_AWARE else 1.2,
                 label=f"{deployment.name}, {contender.name}",
--- a/dewridge/bench/services.py
+++ b/dewridge/bench/services.py
@@ -1,4 +1,4 @@
-"""One service in the bench: entry hosts decide, servers work, callers wait."""
+"""Simulates one service: its entry hosts' schedulers and its backend servers."""
 
 import random
 from collections.abc import Sequence
@@ -6,16 +6,16 @@
 from functools import partial
 
 from dewridge.bench.deployments import (
-    ENGINE,
-    PLAIN_SECONDS,
+    DEFAULT_ENGINE,
+    PLAIN_CALL_SECONDS,
     Arrival,
-    ServiceShape,
+    ServiceSpec,
 )
 from dewridge.bench.outcomes import Outcome, Record
 from dewridge.bench.timeline import Timeline
 from dewridge.bench.workers import (
     AnyServer,
-    Report,
+    AttemptReport,
     SimulatedAttempt,
     SimulatedEngine,
     SimulatedPlainServer,
@@ -34,29 +34,31 @@
 from dewridge.policy.scheduler import Scheduler
 
 REPORT_PERIOD = 0.5
+"""Seconds between two load reports."""
 REPORT_LAG = 0.5
-"""Seconds between two load reports, and their age when the hosts see them."""
+"""Staleness in seconds of a load report when the entry hosts receive it."""
 
-NOTICE = 4.0
-"""Seconds from a reclaim notice until the servers go."""
-NOTICE_SPREAD = 0.5
-"""Seconds until the last entry host has heard of the notice."""
-REPLACEMENT = 20.0
-"""Seconds until reclaimed servers are replaced."""
+RECLAIM_NOTICE = 4.0
+"""Seconds from a reclaim notice until the servers are removed."""
+MAX_NOTICE_DELAY = 0.5
+"""Longest time in seconds until an entry host receives the notice."""
+REPLACEMENT_DELAY = 20.0
+"""Seconds from the removal of servers until they are replaced."""
 
-EXPORT_RATE = 20_000.0
-"""Tokens of KV cache a second that one export moves."""
+EXPORT_TOKENS_PER_SECOND = 20_000.0
+"""KV cache transfer rate of one export."""
 
 
 @dataclass(slots=True)
-class InFlight:
-    """A request while it is in the system.
+class InFlightRequest:
+    """State of an incomplete request on its entry host.
 
     Attributes:
-        attempt: the present one, if there is one.
-        tokens: tokens that the owner keeps.
-        imported: tokens whose KV cache was exported for the next attempt.
-        has_run: whether an attempt began to run.
+        attempt: the current attempt, if any.
+        server: the server of the last attempt.
+        tokens: answer tokens that the entry host has stored.
+        imported_tokens: tokens whose KV cache was exported for the next attempt.
+        has_started: whether any attempt began to run.
     """
 
     arrival: Arrival
@@ -64,317 +66,379 @@
     attempt: SimulatedAttempt | None = None
     server: BackendServerId | None = None
     tokens: int = 0
-    imported: int = 0
-    has_run: bool = False
+    imported_tokens: int = 0
+    has_started: bool = False
 
 
-class ServiceRun:
-    """One service's servers and the schedulers of all entry hosts."""
+class ServiceSimulation:
+    """Simulates the servers of a service and the schedulers of all entry hosts."""
 
     def __init__(
         self,
         timeline: Timeline,
         *,
-        shape: ServiceShape,
+        spec: ServiceSpec,
         profile: Profile,
         servers: Sequence[ServerView],
         hosts: int,
         seed: int,
     ) -> None:
         self._timeline = timeline
-        self._shape = shape
-        self._rng = random.Random(f"{seed}/{shape.name}/run")
+        self._spec = spec
+        self._rng = random.Random(f"{seed}/{spec.name}/run")
         self.servers: dict[BackendServerId, AnyServer] = {}
         for view in servers:
             self._add_server(view)
-        service = shape.make_service()
+        service = spec.make_service()
         self.schedulers = [
             Scheduler(
-                service, profile, seed=seed * 1000 + n, host_index=n, host_count=hosts
+                service,
+                profile,
+                seed=seed * 1000 + index,
+                host_index=index,
+                host_count=hosts,
             )
-            for n in range(hosts)
+            for index in range(hosts)
         ]
-        self._requests: list[dict[RequestId, InFlight]] = [{} for _ in range(hosts)]
-        self._wakes: list[float | None] = [None] * hosts
-        self._owners: dict[SimulatedAttempt, int] = {}
-        self._server_wakes: dict[BackendServerId, float | None] = {}
-        self._publish(0.0)
+        self._requests: list[dict[RequestId, InFlightRequest]] = [
+            {} for _ in range(hosts)
+        ]
+        self._scheduler_wake_times: list[float | None] = [None] * hosts
+        self._attempt_hosts: dict[SimulatedAttempt, int] = {}
+        self._report_times: dict[BackendServerId, float | None] = {}
+        self._update_schedulers(0.0)
 
     def _add_server(self, view: ServerView) -> None:
         server: AnyServer
-        if self._shape.kind == "plain":
-            server = SimulatedPlainServer(view, self._draw_plain_time)
+        if self._spec.kind == "plain":
+            server = SimulatedPlainServer(view, self._draw_call_seconds)
         else:
-            server = SimulatedEngine(view, ENGINE)
+            server = SimulatedEngine(view, DEFAULT_ENGINE)
         self.servers[view.id] = server
 
-    def _draw_plain_time(self) -> float:
-        return PLAIN_SECONDS * self._rng.uniform(0.5, 1.5)
+    def _draw_call_seconds(self) -> float:
+        return PLAIN_CALL_SECONDS * self._rng.uniform(0.5, 1.5)
 
-    # Callers
+    # Arrivals and scheduling
 
-    def arrive(self, arrival: Arrival, record: Record) -> None:
-        """Offer an arrival to its entry host."""
+    def handle_arrival(self, arrival: Arrival, record: Record) -> None:
+        """Offer an arriving request to the scheduler of its entry host."""
         now = self._timeline.now
         host = arrival.host
         failure = self.schedulers[host].offer(arrival.work, now)
         if failure is not None:
-            record.end(Outcome.REFUSED, now)
+            record.complete(Outcome.REFUSED, now)
             return
-        self._requests[host][arrival.work.request] = InFlight(arrival, record)
-        self.pump(host)
+        self._requests[host][arrival.work.request] = InFlightRequest(arrival, record)
+        self.run_scheduler(host)
 
-    def pump(self, host: int) -> None:
-        """Carry out what a host's scheduler decides now."""
+    def run_scheduler(self, host: int) -> None:
+        """Run a host's scheduler, and schedule its next run."""
         now = self._timeline.now
         scheduler = self.schedulers[host]
         for abandoned in scheduler.expire(now):
-            self._abandon(host, abandoned)
+            self._record_abandoned(host, abandoned)
         while (assignment := scheduler.pick(now)) is not None:
-            self._send(host, assignment)
-        self._plan(host, scheduler.find_moves(now))
-        wake = scheduler.find_next_time(now)
-        known = self._wakes[host]
-        if wake is not None and (known is None or wake < known or known <= now):
-            wake = max(wake, now + 0.001)
-            self._wakes[host] = wake
-            self._timeline.schedule(wake, lambda: self._wake(host, wake))
-
-    def _wake(self, host: int, at: float) -> None:
-        if self._wakes[host] == at:
-            self._wakes[host] = None
-            self.pump(host)
-
-    def _abandon(self, host: int, abandoned: Abandoned) -> None:
-        flight = self._requests[host].pop(abandoned.request)
+            self._start_attempt(host, assignment)
+        self._schedule_moves(host, scheduler.find_moves(now))
+        wake_time = scheduler.find_next_time(now)
+        known_wake_time = self._scheduler_wake_times[host]
+        if wake_time is not None and (
+            known_wake_time is None
+            or wake_time < known_wake_time
+            or known_wake_time <= now
+        ):
+            wake_time = max(wake_time, now + 0.001)
+            self._scheduler_wake_times[host] = wake_time
+            self._timeline.schedule(
+                wake_time, lambda: self._run_scheduler_at(host, wake_time)
+            )
+
+    def _run_scheduler_at(self, host: int, at: float) -> None:
+        if self._scheduler_wake_times[host] == at:
+            self._scheduler_wake_times[host] = None
+            self.run_scheduler(host)
+
+    def _record_abandoned(self, host: int, abandoned: Abandoned) -> None:
+        request_state = self._requests[host].pop(abandoned.request)
         outcome = Outcome.EXPIRED
         if not abandoned.failure.is_not_run:
             outcome = Outcome.FAILED
-        flight.record.end(outcome, self._timeline.now)
+        request_state.record.complete(outcome, self._timeline.now)
 
     # Attempts
 
-    def _send(self, host: int, assignment: Assignment) -> None:
-        flight = self._requests[host][assignment.work.request]
+    def _start_attempt(self, host: int, assignment: Assignment) -> None:
+        request_state = self._requests[host][assignment.work.request]
         done = assignment.work.tokens_done
-        flight.record.recomputed += flight.tokens - done
-        flight.tokens = done
-        target = max(1, flight.arrival.tokens - done)
+        request_state.record.recomputed_tokens += request_state.tokens - done
+        request_state.tokens = done
+        target = max(1, request_state.arrival.answer_tokens - done)
         attempt = SimulatedAttempt(
-            assignment.work, target, flight.imported, flight.has_run
+            assignment.work,
+            target,
+            request_state.imported_tokens,
+            request_state.has_started,
+        )
+        request_state.attempt = attempt
+        request_state.server = assignment.server
+        self._attempt_hosts[attempt] = host
+        self._timeline.schedule_delayed(
+            lambda: self._deliver_attempt(attempt, request_state)
         )
-        flight.attempt = attempt
-        flight.server = assignment.server
-        self._owners[attempt] = host
-        self._timeline.schedule_delayed(lambda: self._receive(attempt, flight))
 
-    def _receive(self, attempt: SimulatedAttempt, flight: InFlight) -> None:
-        if flight.attempt is not attempt or flight.server is None:
+    def _deliver_attempt(
+        self, attempt: SimulatedAttempt, request_state: InFlightRequest
+    ) -> None:
+        if request_state.attempt is not attempt or request_state.server is None:
             return
-        server = self.servers.get(flight.server)
-        if server is None or server.refuses:
-            self._answer_end(attempt, AttemptOutcome.NOT_STARTED)
+        server = self.servers.get(request_state.server)
+        if server is None or server.rejects_attempts:
+            self._send_attempt_end(attempt, AttemptOutcome.NOT_STARTED)
             return
         server.accept(attempt, self._timeline.now)
-        self._watch(server)
+        self._schedule_report(server)
 
-    def _watch(self, server: AnyServer) -> None:
-        at = server.find_next_time()
-        if at is None or self._server_wakes.get(server.id) == at:
+    def _schedule_report(self, server: AnyServer) -> None:
+        at = server.find_next_report_time()
+        if at is None or self._report_times.get(server.id) == at:
             return
-        self._server_wakes[server.id] = at
-        self._timeline.schedule(at, lambda: self._serve(server, at))
+        self._report_times[server.id] = at
+        self._timeline.schedule(at, lambda: self._collect_reports(server, at))
 
-    def _serve(self, server: AnyServer, at: float) -> None:
-        if self._server_wakes.get(server.id) != at or server.is_gone:
+    def _collect_reports(self, server: AnyServer, at: float) -> None:
+        if self._report_times.get(server.id) != at or server.is_removed:
             return
-        self._server_wakes[server.id] = None
-        for report in server.collect(self._timeline.now):
-            self._answer(report)
-        self._watch(server)
+        self._report_times[server.id] = None
+        for report in server.collect_reports(self._timeline.now):
+            self._send_report(report)
+        self._schedule_report(server)
 
-    def _answer(self, report: Report) -> None:
-        self._timeline.schedule_delayed(lambda: self._hear(report))
+    def _send_report(self, report: AttemptReport) -> None:
+        self._timeline.schedule_delayed(lambda: self._handle_report(report))
 
-    def _hear(self, report: Report) -> None:
+    def _handle_report(self, report: AttemptReport) -> None:
         attempt = report.attempt
-        host = self._owners.get(attempt)
-        flight = None
+        host = self._attempt_hosts.get(attempt)
+        request_state = None
         if host is not None:
-            flight = self._requests[host].get(attempt.work.request)
-        if host is None or flight is None or flight.attempt is not attempt:
+            request_state = self._requests[host].get(attempt.work.request)
+        if (
+            host is None
+            or request_state is None
+            or request_state.attempt is not attempt
+        ):
             return
         now = self._timeline.now
         request = attempt.work.request
-        server = flight.server
+        server = request_state.server
         assert server is not None
         done = attempt.work.tokens_done
-        is_first = flight.tokens == done and report.tokens > 0
-        gained = done + report.tokens - flight.tokens
-        flight.tokens = done + report.tokens
+        is_first = request_state.tokens == done and report.tokens > 0
+        new_tokens = done + report.tokens - request_state.tokens
+        request_state.tokens = done + report.tokens
         scheduler = self.schedulers[host]
         if is_first:
-            flight.record.note_first_token(now)
+            request_state.record.record_first_token(now)
             scheduler.record_first_token(request, server, now)
-            gained -= 1
-        if gained > 0:
-            scheduler.record_tokens(request, server, gained, now)
+            new_tokens -= 1
+        if new_tokens > 0:
+            scheduler.record_tokens(request, server, new_tokens, now)
         if not report.is_done:
             return
-        self._settle(flight)
+        self._record_attempt_cost(request_state)
         scheduler.record_attempt_end(
-            request, server, AttemptOutcome.DONE, flight.tokens, now
+            request, server, AttemptOutcome.DONE, request_state.tokens, now
         )
         del self._requests[host][request]
-        flight.record.end(Outcome.ANSWERED, now)
-        flight.record.tokens = flight.tokens
-        self.pump(host)
+        request_state.record.complete(Outcome.ANSWERED, now)
+        request_state.record.tokens = request_state.tokens
+        self.run_scheduler(host)
 
-    def _answer_end(self, attempt: SimulatedAttempt, outcome: AttemptOutcome) -> None:
-        self._timeline.schedule_delayed(lambda: self._end(attempt, outcome))
+    def _send_attempt_end(
+        self, attempt: SimulatedAttempt, outcome: AttemptOutcome
+    ) -> None:
+        self._timeline.schedule_delayed(
+            lambda: self._handle_attempt_end(attempt, outcome)
+        )
 
-    def _end(
-        self, attempt: SimulatedAttempt, outcome: AttemptOutcome, imported: int = 0
+    def _handle_attempt_end(
+        self,
+        attempt: SimulatedAttempt,
+        outcome: AttemptOutcome,
+        imported_tokens: int = 0,
     ) -> None:
-        host = self._owners.get(attempt)
+        host = self._attempt_hosts.get(attempt)
         if host is None:
             return
-        flight = self._requests[host].get(attempt.work.request)
-        if flight is None or flight.attempt is not attempt or flight.server is None:
+        request_state = self._requests[host].get(attempt.work.request)
+        if (
+            request_state is None
+            or request_state.attempt is not attempt
+            or request_state.server is None
+        ):
             return
-        server = flight.server
-        self._settle(flight, imported)
+        server = request_state.server
+        self._record_attempt_cost(request_state, imported_tokens)
         decision = self.schedulers[host].record_attempt_end(
-            attempt.work.request, server, outcome, flight.tokens, self._timeline.now
+            attempt.work.request,
+            server,
+            outcome,
+            request_state.tokens,
+            self._timeline.now,
         )
         if isinstance(decision, Abandoned):
-            self._abandon(host, decision)
+            self._record_abandoned(host, decision)
         else:
             assert isinstance(decision, Retry)
-        self.pump(host)
+        self.run_scheduler(host)
 
-    def _settle(self, flight: InFlight, imported: int = 0) -> None:
-        """Charge an attempt that is over and take note of what it wasted."""
-        attempt = flight.attempt
+    def _record_attempt_cost(
+        self, request_state: InFlightRequest, imported_tokens: int = 0
+    ) -> None:
+        """Record the cost and the recomputed tokens of an ended attempt."""
+        attempt = request_state.attempt
         assert attempt is not None
-        assert flight.server is not None
-        self._owners.pop(attempt, None)
-        flight.attempt = None
-        server = self.servers.get(flight.server)
-        if attempt.running_at is not None:
-            flight.has_run = True
-            flight.imported = imported
-            flight.record.recomputed += attempt.recomputed
-            held = self._timeline.now - attempt.running_at
+        assert request_state.server is not None
+        self._attempt_hosts.pop(attempt, None)
+        request_state.attempt = None
+        server = self.servers.get(request_state.server)
+        if attempt.started_at is not None:
+            request_state.has_started = True
+            request_state.imported_tokens = imported_tokens
+            request_state.record.recomputed_tokens += attempt.recomputed_tokens
+            occupied_seconds = self._timeline.now - attempt.started_at
             if server is not None:
-                flight.record.cost += held * find_slot_price(server.view)
+                request_state.record.cost += occupied_seconds * find_slot_price(
+                    server.view
+                )
 
-    # Surroundings
+    # Load reports and faults
 
     def publish_loads(self) -> None:
-        """Show the hosts the servers' load, as it was a while ago."""
+        """Update the hosts with the servers' load, delayed by `REPORT_LAG`."""
         now = self._timeline.now
-        self._publish(now)
+        self._update_schedulers(now)
         loads = [(server, server.load) for server in self.servers.values()]
 
-        def arrive() -> None:
+        def apply_loads() -> None:
             for server, load in loads:
                 server.reported_load = load
 
-        self._timeline.schedule(now + REPORT_LAG, arrive)
+        self._timeline.schedule(now + REPORT_LAG, apply_loads)
         self._timeline.schedule(now + REPORT_PERIOD, self.publish_loads)
 
-    def _publish(self, now: float) -> None:
+    def _update_schedulers(self, now: float) -> None:
         views = [
             replace(server.view, load=server.reported_load, load_at=now - REPORT_LAG)
             for server in self.servers.values()
-            if not server.is_gone
+            if not server.is_removed
         ]
         for scheduler in self.schedulers:
             scheduler.update_servers(views, now)
 
     def slow_down(self, factor: float) -> None:
-        """Slow the first server down."""
+        """Multiply all times of the first server by a factor."""
         server = next(iter(self.servers.values()))
-        server.collect(self._timeline.now)
+        server.collect_reports(self._timeline.now)
         server.slowdown = factor
-        self._watch(server)
+        self._schedule_report(server)
 
     def reclaim(self, domains: tuple[str, ...]) -> None:
-        """Give notice to servers of some domains, or to half of the fleet."""
+        """Announce and later remove servers of some failure domains, or half of all.
+
+        Args:
+            domains: domains that lose their reclaimable servers; if empty, the first
+                half of the fleet is reclaimed.
+        """
         now = self._timeline.now
-        live = [server for server in self.servers.values() if not server.refuses]
+        live = [
+            server for server in self.servers.values() if not server.rejects_attempts
+        ]
         if domains:
-            taken = [
+            reclaimed = [
                 server
                 for server in live
                 if server.view.failure_domain in domains and server.view.reclaimable
             ]
         else:
-            taken = live[: len(live) // 2]
-        leaving_at = now + NOTICE
-        for server in taken:
-            server.refuses = True
+            reclaimed = live[: len(live) // 2]
+        leaving_at = now + RECLAIM_NOTICE
+        for server in reclaimed:
+            server.rejects_attempts = True
             server.view = replace(server.view, leaving_at=leaving_at)
-            self._tell_hosts(server, leaving_at)
-        self._timeline.schedule(leaving_at, lambda: self._take_away(taken))
+            self._send_notice(server, leaving_at)
+        self._timeline.schedule(leaving_at, lambda: self._remove_servers(reclaimed))
 
-    def _tell_hosts(self, server: AnyServer, leaving_at: float) -> None:
+    def _send_notice(self, server: AnyServer, leaving_at: float) -> None:
         for host in range(len(self.schedulers)):
-            heard_at = self._timeline.now + self._rng.uniform(0, NOTICE_SPREAD)
-            hear = partial(self._hear_notice, host, server, leaving_at)
-            self._timeline.schedule(heard_at, hear)
+            received_at = self._timeline.now + self._rng.uniform(0, MAX_NOTICE_DELAY)
+            handle_notice = partial(self._handle_notice, host, server, leaving_at)
+            self._timeline.schedule(received_at, handle_notice)
 
-    def _hear_notice(self, host: int, server: AnyServer, leaving_at: float) -> None:
+    def _handle_notice(self, host: int, server: AnyServer, leaving_at: float) -> None:
         now = self._timeline.now
         moves = self.schedulers[host].handle_server_leaving(server.id, leaving_at, now)
-        self._plan(host, moves)
-        self.pump(host)
+        self._schedule_moves(host, moves)
+        self.run_scheduler(host)
 
-    def _plan(self, host: int, moves: Sequence[Move]) -> None:
+    def _schedule_moves(self, host: int, moves: Sequence[Move]) -> None:
         now = self._timeline.now
         for move in moves:
-            flight = self._requests[host].get(move.request)
-            if flight is None or flight.attempt is None or flight.server is None:
+            request_state = self._requests[host].get(move.request)
+            if (
+                request_state is None
+                or request_state.attempt is None
+                or request_state.server is None
+            ):
                 continue
-            server = self.servers[flight.server]
-            act = partial(self._move, server, flight.attempt, move)
-            self._timeline.schedule(max(now, move.at), act)
+            server = self.servers[request_state.server]
+            start_move = partial(
+                self._move_attempt, server, request_state.attempt, move
+            )
+            self._timeline.schedule(max(now, move.at), start_move)
 
-    def _move(self, server: AnyServer, attempt: SimulatedAttempt, move: Move) -> None:
-        host = self._owners.get(attempt)
-        if host is None or attempt.ended or server.is_gone:
+    def _move_attempt(
+        self, server: AnyServer, attempt: SimulatedAttempt, move: Move
+    ) -> None:
+        host = self._attempt_hosts.get(attempt)
+        if host is None or attempt.has_ended or server.is_removed:
             return
-        flight = self._requests[host][move.request]
+        request_state = self._requests[host][move.request]
         now = self._timeline.now
         server.cancel(attempt, now)
-        self._watch(server)
+        self._schedule_report(server)
         tokens = attempt.work.tokens_done + attempt.tokens
-        flight.tokens = max(flight.tokens, tokens)
-        pause = 0.0
-        imported = 0
-        if move.export_cache and attempt.joined is not None:
-            imported = attempt.work.prompt_tokens + tokens
-            pause = imported / EXPORT_RATE
-
-        end = partial(self._end, attempt, AttemptOutcome.LEAVING, imported)
-        self._timeline.schedule(now + pause, end)
-
-    def _take_away(self, servers: Sequence[AnyServer]) -> None:
-        lost = []
+        request_state.tokens = max(request_state.tokens, tokens)
+        export_seconds = 0.0
+        imported_tokens = 0
+        if move.export_cache and attempt.decode_start_step is not None:
+            imported_tokens = attempt.work.prompt_tokens + tokens
+            export_seconds = imported_tokens / EXPORT_TOKENS_PER_SECOND
+
+        handle_end = partial(
+            self._handle_attempt_end, attempt, AttemptOutcome.LEAVING, imported_tokens
+        )
+        self._timeline.schedule(now + export_seconds, handle_end)
+
+    def _remove_servers(self, servers: Sequence[AnyServer]) -> None:
+        lost_attempts = []
         for server in servers:
-            server.collect(self._timeline.now)
-            server.is_gone = True
-            lost += list(server.running)
-            lost += [item[2] for item in server.waiting if not item[2].ended]
-        for attempt in lost:
-            attempt.ended = True
-            self._answer_end(attempt, AttemptOutcome.LOST)
+            server.collect_reports(self._timeline.now)
+            server.is_removed = True
+            lost_attempts += list(server.running)
+            lost_attempts += [
+                item[2] for item in server.waiting if not item[2].has_ended
+            ]
+        for attempt in lost_attempts:
+            attempt.has_ended = True
+            self._send_attempt_end(attempt, AttemptOutcome.LOST)
         self._timeline.schedule(
-            self._timeline.now + REPLACEMENT, lambda: self._replace(servers)
+            self._timeline.now + REPLACEMENT_DELAY,
+            lambda: self._add_replacements(servers),
         )
 
-    def _replace(self, servers: Sequence[AnyServer]) -> None:
+    def _add_replacements(self, servers: Sequence[AnyServer]) -> None:
         for server in servers:
-            identity = BackendServerId(f"{server.id}-next")
-            self._add_server(replace(server.view, id=identity, leaving_at=None))
+            server_id = BackendServerId(f"{server.id}-next")
+            self._add_server(replace(server.view, id=server_id, leaving_at=None))
--- a/dewridge/bench/simulation.py
+++ b/dewridge/bench/simulation.py
@@ -1,4 +1,4 @@
-"""A whole run: arrivals against a deployment, with its faults."""
+"""Simulates a deployment under a list of arrivals, with faults."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,21 +6,21 @@
 
 from dewridge.bench.deployments import Arrival, Deployment
 from dewridge.bench.outcomes import Outcome, Record
-from dewridge.bench.services import ServiceRun
+from dewridge.bench.services import ServiceSimulation
 from dewridge.bench.timeline import Timeline
 from dewridge.configuration.model import Profile
 
-DRAIN = 130.0
-"""Seconds after the last arrival until the run is cut."""
+DRAIN_SECONDS = 130.0
+"""Time after the last arrival at which the run is stopped."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reclaim:
-    """Servers that are taken back at a time.
+    """Servers that the provider reclaims at a time.
 
     Attributes:
-        domains: failure domains that lose all reclaimable servers; empty: the
-            first half of the fleet.
+        domains: failure domains that lose all reclaimable servers; if empty, the
+            first half of the fleet is reclaimed.
     """
 
     at: float
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Slowdown:
-    """One server of each service that gets slower at a time."""
+    """Slowdown of one server of each service from a time on."""
 
     at: float
     factor: float = 10.0
 
 
 class Simulation:
-    """Runs arrivals against a deployment under one profile a service."""
+    """Simulates arrivals at a deployment whose services use one profile."""
 
     def __init__(
         self,
@@ -51,55 +51,57 @@
     ) -> None:
         self._timeline = Timeline(deployment.delay)
         hosts = deployment.hosts * scale
-        self.runs = {
-            shape.name: ServiceRun(
+        self.service_simulations = {
+            spec.name: ServiceSimulation(
                 self._timeline,
-                shape=shape,
+                spec=spec,
                 profile=profile,
-                servers=shape.make_servers(scale),
+                servers=spec.make_servers(scale),
                 hosts=hosts,
                 seed=seed,
             )
-            for shape in deployment.services
+            for spec in deployment.services
         }
         self.records: list[Record] = []
         for arrival in arrivals:
             self._add_arrival(arrival, profile)
-        for run in self.runs.values():
-            self._timeline.schedule(0.0, run.publish_loads)
+        for service in self.service_simulations.values():
+            self._timeline.schedule(0.0, service.publish_loads)
             if slowdown is not None:
                 self._timeline.schedule(
-                    slowdown.at, partial(run.slow_down, slowdown.factor)
+                    slowdown.at, partial(service.slow_down, slowdown.factor)
                 )
             for reclaim in reclaims:
                 self._timeline.schedule(
-                    reclaim.at, partial(run.reclaim, reclaim.domains)
+                    reclaim.at, partial(service.reclaim, reclaim.domains)
                 )
-        last = arrivals[-1].work.arrival if arrivals else 0.0
-        self._end_at = last + DRAIN
+        last_arrival = arrivals[-1].work.arrival if arrivals else 0.0
+        self._stop_at = last_arrival + DRAIN_SECONDS
 
     def _add_arrival(self, arrival: Arrival, profile: Profile) -> None:
-        record = Record(arrival.service, arrival.work, arrival.tokens, profile.targets)
+        record = Record(
+            arrival.service, arrival.work, arrival.answer_tokens, profile.targets
+        )
         self.records.append(record)
-        run = self.runs[arrival.service]
+        service = self.service_simulations[arrival.service]
         self._timeline.schedule(
-            arrival.work.arrival, lambda: run.arrive(arrival, record)
+            arrival.work.arrival, lambda: service.handle_arrival(arrival, record)
         )
 
     @property
     def now(self) -> float:
-        """Return the time."""
+        """Return the simulated time in seconds."""
         return self._timeline.now
 
     def run(self) -> list[Record]:
-        """Run until all requests have ended, and return their records."""
+        """Run until all requests have completed or failed, and return their records."""
         check_at = 0.0
-        while self._timeline.step(self._end_at):
+        while self._timeline.run_next(self._stop_at):
             if self.now >= check_at:
                 check_at = self.now + 1.0
                 if all(record.outcome is not None for record in self.records):
                     break
         for record in self.records:
             if record.outcome is None:
-                record.end(Outcome.UNANSWERED, self._end_at)
+                record.complete(Outcome.UNANSWERED, self._stop_at)
         return self.records
--- a/dewridge/bench/workers.py
+++ b/dewridge/bench/workers.py
@@ -1,4 +1,4 @@
-"""Models of backend servers: an engine that batches, and a plain service."""
+"""Models of backend servers: a batching engine, and a server of a plain service."""
 
 import heapq
 from collections import OrderedDict
@@ -8,25 +8,25 @@
 from dewridge.ids import BackendServerId
 from dewridge.policy.model import ServerView, Work, WorkClass
 
-REPORT_TOKENS = 32
-"""Tokens of a stream between two reports at most; the first are closer together. A
-report a token would cost the bench its time and teach the decisions no more."""
+MAX_REPORT_TOKENS = 32
+"""Most tokens of a stream between two reports; the first reports are closer together.
+Reporting each token would slow the benchmark down without better decisions."""
 
 PREFIX_SHARE = 0.6
-"""Part of a prompt that its prefix makes up."""
+"""Share of a prompt that is its cacheable prefix."""
 
-CACHED_PREFIXES = 24
-"""Prefixes that an engine keeps."""
+MAX_CACHED_PREFIXES = 24
+"""Prefixes in an engine's cache."""
 
 
 @dataclass(frozen=True, slots=True)
-class EngineShape:
-    """How fast an engine is.
+class EngineSpec:
+    """Speed of an engine.
 
     Attributes:
-        step: seconds of a step with an empty batch.
+        step: seconds of a decoding step with an empty batch.
         step_stream: seconds that each stream in the batch adds to a step.
-        prefill: prompt tokens computed in one step.
+        prefill: prompt tokens processed in one step.
         prefill_token: seconds that each of them adds to the step.
     """
 
@@ -38,31 +38,32 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedAttempt:
-    """One dispatch of a request, as a server sees it.
+    """One attempt of a request on a server.
 
     Attributes:
-        target: tokens after which it is done.
-        imported: tokens whose KV cache came along.
-        running_at: when it left the server's queue.
-        is_repeat: whether an earlier attempt of the request began to run.
-        recomputed: tokens of a repeat that had to be computed again.
-        joined: count of the engine's steps when it began to decode.
+        target_tokens: generated tokens after which the attempt is complete.
+        imported_tokens: tokens whose KV cache was imported from the earlier server.
+        started_at: time at which it left the server's queue.
+        is_retry: whether an earlier attempt of the request began to run.
+        has_ended: whether it completed, was cancelled or was lost.
+        recomputed_tokens: tokens of a retry that had to be computed again.
+        decode_start_step: the engine's step count when decoding began.
     """
 
     work: Work
-    target: int
-    imported: int = 0
-    is_repeat: bool = False
-    running_at: float | None = None
-    ended: bool = False
+    target_tokens: int
+    imported_tokens: int = 0
+    is_retry: bool = False
+    started_at: float | None = None
+    has_ended: bool = False
     tokens: int = 0
-    recomputed: int = 0
-    joined: float | None = None
+    recomputed_tokens: int = 0
+    decode_start_step: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """What a server says of an attempt: tokens so far, and whether it is done."""
+class AttemptReport:
+    """Progress of an attempt: its tokens so far, and whether it is complete."""
 
     attempt: SimulatedAttempt
     tokens: int
@@ -75,14 +76,18 @@
 
     Attributes:
         slowdown: factor on all times.
-        refuses: whether new attempts are refused because it is leaving.
-        reported_load: what the load report says at present, with its lag.
+        rejects_attempts: whether new attempts are rejected because the server is
+            departing.
+        is_removed: whether the server was reclaimed.
+        reported_load: load in the last report that the entry hosts received.
+        waiting: queue of attempts, ordered by priority and sequence number.
+        sequence: last sequence number, which orders entries of equal rank.
     """
 
     view: ServerView
     slowdown: float = 1.0
-    refuses: bool = False
-    is_gone: bool = False
+    rejects_attempts: bool = False
+    is_removed: bool = False
     reported_load: float = 0.0
     waiting: list[tuple[int, int, SimulatedAttempt]] = field(default_factory=list)
     running: set[SimulatedAttempt] = field(default_factory=set)
@@ -95,93 +100,93 @@
 
     @property
     def load(self) -> float:
-        """Return the requests that wait and run now."""
-        return len(self.running) + sum(not item[2].ended for item in self.waiting)
+        """Return the number of waiting and running attempts."""
+        return len(self.running) + sum(not item[2].has_ended for item in self.waiting)
 
-    def queue(self, attempt: SimulatedAttempt) -> None:
-        """Put an attempt into the server's own queue, interactive first."""
+    def enqueue(self, attempt: SimulatedAttempt) -> None:
+        """Add an attempt to the server's queue, which runs interactive work first."""
         self.sequence += 1
         priority = int(attempt.work.work_class is WorkClass.BACKGROUND)
         heapq.heappush(self.waiting, (priority, self.sequence, attempt))
 
     def pop_waiting(self) -> SimulatedAttempt | None:
-        """Take the next attempt from the queue."""
+        """Remove and return the next attempt that has not ended, if any."""
         while self.waiting:
             attempt = heapq.heappop(self.waiting)[2]
-            if not attempt.ended:
+            if not attempt.has_ended:
                 return attempt
         return None
 
 
 class SimulatedEngine(SimulatedServer):
-    """Batches streams: each step gives every running stream one token.
+    """A batching engine: each step generates one token for every running stream.
 
-    Between two changes of the batch all steps take the same time, so the model
-    counts steps as a real number that grows at a rate, and wakes only where a
-    stream has something to report.
+    Between two changes of the batch all steps take the same time. So the model
+    advances a fractional step count at a constant rate, and needs an event only when
+    a report is due.
     """
 
-    def __init__(self, view: ServerView, shape: EngineShape) -> None:
+    def __init__(self, view: ServerView, spec: EngineSpec) -> None:
         super().__init__(view)
-        self._shape = shape
+        self._spec = spec
         self._steps = 0.0
-        self._at = 0.0
+        self._advanced_to = 0.0
         self._prefills: list[SimulatedAttempt] = []
         self._prefill_end = 0.0
         self._milestones: list[tuple[float, int, SimulatedAttempt]] = []
         self._cache: OrderedDict[int, None] = OrderedDict()
 
     def accept(self, attempt: SimulatedAttempt, now: float) -> None:
-        """Take an attempt into the queue."""
-        self._advance(now)
-        self.queue(attempt)
-        self._fill(now)
+        """Add an attempt to the queue, and start it if there is a free slot."""
+        self._advance_steps(now)
+        self.enqueue(attempt)
+        self._start_waiting(now)
 
     def cancel(self, attempt: SimulatedAttempt, now: float) -> None:
-        """Stop an attempt."""
-        self._advance(now)
+        """Cancel an attempt, and set its tokens to those generated so far."""
+        self._advance_steps(now)
         attempt.tokens = self._count_tokens(attempt)
-        attempt.ended = True
+        attempt.has_ended = True
         self.running.discard(attempt)
         if attempt in self._prefills:
-            is_head = self._prefills[0] is attempt
+            was_first = self._prefills[0] is attempt
             self._prefills.remove(attempt)
-            if is_head:
+            if was_first:
                 self._start_prefill()
-        self._fill(now)
+        self._start_waiting(now)
 
-    def collect(self, now: float) -> list[Report]:
+    def collect_reports(self, now: float) -> list[AttemptReport]:
         """Return the reports that are due."""
-        self._advance(now)
-        reports: list[Report] = []
+        self._advance_steps(now)
+        reports: list[AttemptReport] = []
         if self._prefills and self._steps >= self._prefill_end - 1e-9:
-            self._end_prefill(self._prefills.pop(0), reports)
+            self._complete_prefill(self._prefills.pop(0), reports)
         while self._milestones and self._milestones[0][0] <= self._steps + 1e-9:
             _, _, attempt = heapq.heappop(self._milestones)
-            if not attempt.ended:
-                self._report(attempt, reports)
-        self._fill(now)
+            if not attempt.has_ended:
+                self._add_report(attempt, reports)
+        self._start_waiting(now)
         return reports
 
-    def find_next_time(self) -> float | None:
-        """Return when the next report is due, if the batch stays as it is."""
-        while self._milestones and self._milestones[0][2].ended:
+    def find_next_report_time(self) -> float | None:
+        """Return when the next report is due if the batch does not change, or None."""
+        while self._milestones and self._milestones[0][2].has_ended:
             heapq.heappop(self._milestones)
         steps = [self._milestones[0][0]] if self._milestones else []
         if self._prefills:
             steps.append(self._prefill_end)
         if not steps:
             return None
-        left = max(0.0, min(steps) - self._steps)
-        return self._at + left * self._find_step()
+        remaining_steps = max(0.0, min(steps) - self._steps)
+        return self._advanced_to + remaining_steps * self._compute_step_seconds()
 
-    def _fill(self, now: float) -> None:
+    def _start_waiting(self, now: float) -> None:
         while len(self.running) < self.view.capacity:
             attempt = self.pop_waiting()
             if attempt is None:
                 return
             self.running.add(attempt)
-            attempt.running_at = now
+            attempt.started_at = now
             self._prefills.append(attempt)
             if len(self._prefills) == 1:
                 self._start_prefill()
@@ -191,110 +196,119 @@
             return
         attempt = self._prefills[0]
         work = attempt.work
-        known = self._match_prefix(work)
-        total = work.prompt_tokens + work.tokens_done
-        computed = max(0, total - max(known, min(attempt.imported, total)))
-        if attempt.is_repeat:
-            attempt.recomputed = computed
-        self._prefill_end = self._steps + max(1.0, computed / self._shape.prefill)
+        cached = self._match_prefix(work)
+        context_tokens = work.prompt_tokens + work.tokens_done
+        computed = max(
+            0,
+            context_tokens - max(cached, min(attempt.imported_tokens, context_tokens)),
+        )
+        if attempt.is_retry:
+            attempt.recomputed_tokens = computed
+        self._prefill_end = self._steps + max(1.0, computed / self._spec.prefill)
 
     def _match_prefix(self, work: Work) -> int:
         if work.prefix == 0:
             return 0
-        known = work.prefix in self._cache
+        cached = work.prefix in self._cache
         self._cache[work.prefix] = None
         self._cache.move_to_end(work.prefix)
-        if len(self._cache) > CACHED_PREFIXES:
+        if len(self._cache) > MAX_CACHED_PREFIXES:
             self._cache.popitem(last=False)
-        return int(work.prompt_tokens * PREFIX_SHARE) if known else 0
+        return int(work.prompt_tokens * PREFIX_SHARE) if cached else 0
 
-    def _end_prefill(self, attempt: SimulatedAttempt, reports: list[Report]) -> None:
-        attempt.joined = self._steps - 1
-        self._report(attempt, reports)
+    def _complete_prefill(
+        self, attempt: SimulatedAttempt, reports: list[AttemptReport]
+    ) -> None:
+        attempt.decode_start_step = self._steps - 1
+        self._add_report(attempt, reports)
         self._start_prefill()
 
-    def _report(self, attempt: SimulatedAttempt, reports: list[Report]) -> None:
+    def _add_report(
+        self, attempt: SimulatedAttempt, reports: list[AttemptReport]
+    ) -> None:
         attempt.tokens = self._count_tokens(attempt)
-        is_done = attempt.tokens >= attempt.target
-        reports.append(Report(attempt, attempt.tokens, is_done))
+        is_done = attempt.tokens >= attempt.target_tokens
+        reports.append(AttemptReport(attempt, attempt.tokens, is_done))
         if is_done:
-            attempt.ended = True
+            attempt.has_ended = True
             self.running.discard(attempt)
             return
-        step = min(attempt.tokens, REPORT_TOKENS)
-        following = min(attempt.target, attempt.tokens + step)
+        step = min(attempt.tokens, MAX_REPORT_TOKENS)
+        next_report_tokens = min(attempt.target_tokens, attempt.tokens + step)
         self.sequence += 1
-        milestone = (attempt.joined or 0.0) + following
+        milestone = (attempt.decode_start_step or 0.0) + next_report_tokens
         heapq.heappush(self._milestones, (milestone, self.sequence, attempt))
 
     def _count_tokens(self, attempt: SimulatedAttempt) -> int:
-        if attempt.joined is None:
+        if attempt.decode_start_step is None:
             return 0
-        return min(attempt.target, int(self._steps - attempt.joined + 1e-6))
+        return min(
+            attempt.target_tokens, int(self._steps - attempt.decode_start_step + 1e-6)
+        )
 
-    def _find_step(self) -> float:
-        shape = self._shape
-        step = shape.step + shape.step_stream * len(self.running)
+    def _compute_step_seconds(self) -> float:
+        spec = self._spec
+        step = spec.step + spec.step_stream * len(self.running)
         if self._prefills:
-            step += shape.prefill * shape.prefill_token
+            step += spec.prefill * spec.prefill_token
         return step * self.slowdown
 
-    def _advance(self, now: float) -> None:
-        if now > self._at:
+    def _advance_steps(self, now: float) -> None:
+        if now > self._advanced_to:
             if self.running:
-                self._steps += (now - self._at) / self._find_step()
-            self._at = now
+                self._steps += (now - self._advanced_to) / self._compute_step_seconds()
+            self._advanced_to = now
 
 
 class SimulatedPlainServer(SimulatedServer):
-    """Runs calls side by side, each for a time of its own."""
+    """A server of a plain service: runs calls concurrently, for random durations."""
 
-    def __init__(self, view: ServerView, draw: Callable[[], float]) -> None:
+    def __init__(self, view: ServerView, draw_seconds: Callable[[], float]) -> None:
         super().__init__(view)
-        self._draw = draw
-        self._ends: list[tuple[float, int, SimulatedAttempt]] = []
+        self._draw_seconds = draw_seconds
+        self._completions: list[tuple[float, int, SimulatedAttempt]] = []
 
     def accept(self, attempt: SimulatedAttempt, now: float) -> None:
-        """Take a call into the queue."""
-        self.queue(attempt)
-        self._fill(now)
+        """Add a call to the queue, and start it if there is a free slot."""
+        self.enqueue(attempt)
+        self._start_waiting(now)
 
     def cancel(self, attempt: SimulatedAttempt, now: float) -> None:
-        """Stop a call."""
-        attempt.ended = True
+        """Cancel a call."""
+        attempt.has_ended = True
         self.running.discard(attempt)
-        self._fill(now)
+        self._start_waiting(now)
 
-    def collect(self, now: float) -> list[Report]:
-        """Return the answers that are due."""
+    def collect_reports(self, now: float) -> list[AttemptReport]:
+        """Return the reports of the calls that have completed."""
         reports = []
-        while self._ends and self._ends[0][0] <= now + 1e-9:
-            attempt = heapq.heappop(self._ends)[2]
-            if attempt.ended:
+        while self._completions and self._completions[0][0] <= now + 1e-9:
+            attempt = heapq.heappop(self._completions)[2]
+            if attempt.has_ended:
                 continue
-            attempt.ended = True
+            attempt.has_ended = True
             attempt.tokens = 1
             self.running.discard(attempt)
-            reports.append(Report(attempt, 1, True))
-        self._fill(now)
+            reports.append(AttemptReport(attempt, 1, True))
+        self._start_waiting(now)
         return reports
 
-    def find_next_time(self) -> float | None:
-        """Return when the next answer is due."""
-        while self._ends and self._ends[0][2].ended:
-            heapq.heappop(self._ends)
-        return self._ends[0][0] if self._ends else None
+    def find_next_report_time(self) -> float | None:
+        """Return when the next call completes; None if none is running."""
+        while self._completions and self._completions[0][2].has_ended:
+            heapq.heappop(self._completions)
+        return self._completions[0][0] if self._completions else None
 
-    def _fill(self, now: float) -> None:
+    def _start_waiting(self, now: float) -> None:
         while len(self.running) < self.view.capacity:
             attempt = self.pop_waiting()
             if attempt is None:
                 return
             self.running.add(attempt)
-            attempt.running_at = now
+            attempt.started_at = now
             self.sequence += 1
-            end = now + self._draw() * self.slowdown
-            heapq.heappush(self._ends, (end, self.sequence, attempt))
+            completed_at = now + self._draw_seconds() * self.slowdown
+            heapq.heappush(self._completions, (completed_at, self.sequence, attempt))
 
 
 AnyServer = SimulatedEngine | SimulatedPlainServer
--- a/dewridge/tests/bench/__init__.py
+++ b/dewridge/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the bench."""
+"""Tests of dewridge.bench."""
--- a/dewridge/tests/policy/outcomes_tests.py
+++ b/dewridge/tests/policy/outcomes_tests.py
@@ -39,7 +39,7 @@
     result = run(case)
     assert result.work_share["findings"] >= 0.9
     assert result.overall.refused >= 0.4
-    assert result.overall.told < 0.1
+    assert result.overall.time_to_rejection < 0.1
     plain = run(replace(case, contender=ROUND_ROBIN))
     assert plain.work_share["findings"] < 0.1
 
@@ -81,5 +81,5 @@
     assert result.overall.in_target + result.overall.refused >= 0.99
     restarting = Contender("restart", "cost_aware", "fair", "restart")
     restarted = run(replace(reclaimed, contender=restarting))
-    assert restarted.overall.recomputed > 0
-    assert result.overall.recomputed <= 0.1 * restarted.overall.recomputed
+    assert restarted.overall.recomputed_tokens > 0
+    assert result.overall.recomputed_tokens <= 0.1 * restarted.overall.recomputed_tokens
