--- a/dewridge/commands/load.py
+++ b/dewridge/commands/load.py
@@ -70,10 +70,10 @@
         seconds=seconds,
         warmup=warmup,
         entry_hosts=tuple(entry_host),
-        only_these=only_these,
+        only_given_hosts=only_these,
         tokens=dict(split_pairs(pairs, "each token as ACCOUNT=TOKEN")),
         direct=direct_addresses,
-        only=only,
+        only_operation=only,
         seed=seed,
         quiet=as_json,
     )
--- a/dewridge/load/__init__.py
+++ b/dewridge/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load generator: open-loop arrivals of a deployment's mix of calls."""
+"""Open-loop load generator for the mix of calls of a deployment."""
--- a/dewridge/load/measure.py
+++ b/dewridge/load/measure.py
@@ -1,4 +1,4 @@
-"""Measures one entry host: what it carries, and what it adds to a direct call.
+"""Measures an entry host's throughput and its latency overhead over direct calls.
 
 `python -m dewridge.load.measure --help`
 """
@@ -22,15 +22,20 @@
 from dewridge.testbed.places import PLACES
 
 SETTLE_SECONDS = 1.0
+"""Pause between the direct run and the run through the entry host."""
 
 
 @dataclass(frozen=True)
-class Step:
-    """One rate of calls, made directly and through one entry host.
+class RateResult:
+    """Results at one call rate, directly and through one entry host.
 
     Attributes:
-        busy: processor time of each entry host over the run's time, the one
-            that was called first.
+        rate: calls per second.
+        direct: figures of the calls to the backend servers.
+        through: figures of the calls through the entry host.
+        busy: processor time of each entry host as a share of the run's time; the
+            first is the host that was called.
+        memory: resident bytes of the host that was called.
     """
 
     rate: float
@@ -42,75 +47,87 @@
 
 async def measure(
     place: str, options: DeploymentOptions, load: LoadOptions, rates: list[float]
-) -> list[Step]:
-    """Start a deployment and make the same calls both ways at each rate."""
-    async with open_deployment(PLACES[place], options, tell) as deployment:
-        steps = []
+) -> list[RateResult]:
+    """Start a deployment, and run the same calls both ways at each rate."""
+    async with open_deployment(PLACES[place], options, print_progress) as deployment:
+        results = []
         for rate in rates:
-            tell(f"{rate:g} calls a second")
-            steps.append(await measure_rate(deployment, load, rate))
-        return steps
+            print_progress(f"{rate:g} calls a second")
+            results.append(await measure_rate(deployment, load, rate))
+        return results
 
 
-async def measure_rate(deployment: Deployment, load: LoadOptions, rate: float) -> Step:
-    """Make calls at a rate, directly first."""
+async def measure_rate(
+    deployment: Deployment, load: LoadOptions, rate: float
+) -> RateResult:
+    """Run calls at one rate: first directly, then through an entry host."""
     load = replace(load, rate=rate)
     direct = await run_load(replace(load, direct=list_servers(deployment)))
     await trio.sleep(SETTLE_SECONDS)
     hosts = deployment.hosts
-    before = [host.process.read_processor_time() for host in hosts]
-    begin = trio.current_time()
+    cpu_before = [host.process.read_processor_time() for host in hosts]
+    started_at = trio.current_time()
     through = await run_load(
         replace(
             load,
             entry_hosts=(hosts[0].frontend,),
-            only_these=True,
+            only_given_hosts=True,
             tokens=deployment.tokens,
         )
     )
-    taken = trio.current_time() - begin
-    busy = tuple(find_busy(h, b, taken) for h, b in zip(hosts, before, strict=True))
+    elapsed = trio.current_time() - started_at
+    busy = tuple(
+        compute_busy_share(entry_host, cpu_before_run, elapsed)
+        for entry_host, cpu_before_run in zip(hosts, cpu_before, strict=True)
+    )
     memory = hosts[0].process.read_resident_memory()
-    return Step(rate, direct, through, busy, memory)
+    return RateResult(rate, direct, through, busy, memory)
 
 
 def list_servers(deployment: Deployment) -> dict[str, list[str]]:
-    """Return the addresses of the backend servers by service."""
-    found: dict[str, list[str]] = {}
+    """Return the addresses of the backend servers by service name."""
+    addresses_by_service: dict[str, list[str]] = {}
     for backend in deployment.backends:
         addresses = backend.process.ready["servers"].values()
-        found.setdefault(backend.plan.service, []).extend(addresses)
-    return found
+        addresses_by_service.setdefault(backend.plan.service, []).extend(addresses)
+    return addresses_by_service
+
 
+def compute_busy_share(host: EntryHost, cpu_before: float, elapsed: float) -> float:
+    """Return the share of a core that a host has used since a measurement.
 
-def find_busy(host: EntryHost, before: float, taken: float) -> float:
-    """Return the share of a core that a host used."""
-    return (host.process.read_processor_time() - before) / taken
+    Args:
+        host: the entry host.
+        cpu_before: its processor time at the earlier measurement, in seconds.
+        elapsed: seconds since then.
+    """
+    return (host.process.read_processor_time() - cpu_before) / elapsed
 
 
-def tell(line: str) -> None:
-    """Say how far the measurement is."""
+def print_progress(line: str) -> None:
+    """Print a progress line to standard error."""
     print(line, file=sys.stderr, flush=True)
 
 
-def format_step(step: Step) -> str:
-    """Write a step as lines of a table."""
+def format_rate_result(result: RateResult) -> str:
+    """Format the result of one rate as table lines."""
     lines = []
-    for name, figures in (("direct", step.direct), ("through", step.through)):
+    for name, figures in (("direct", result.direct), ("through", result.through)):
         total = figures["total"]
         failed = total["calls"] - total["outcomes"].get(ANSWERED, 0)
         lines.append(
-            f"{step.rate:>7g} {name:<8}{total['answered_per_second']:>10}"
+            f"{result.rate:>7g} {name:<8}{total['answered_per_second']:>10}"
             f"{total['tokens_per_second']:>10}{failed:>8}"
             f"{format_percentiles(total['whole_answer_ms']):>28}"
             f"{format_percentiles(total['first_token_ms']):>26}"
             f"{format_percentiles(total['between_tokens_ms']):>24}"
             f"{figures['generator_busy']:>7.2f}"
         )
-    busy = " ".join(f"{share:.2f}" for share in step.busy)
-    outcomes = step.through["total"]["outcomes"]
+    busy = " ".join(f"{share:.2f}" for share in result.busy)
+    outcomes = result.through["total"]["outcomes"]
     lines.append(
-        f"{'':>8}entry hosts busy {busy}; memory {step.memory / 1e6:.0f} MB; {outcomes}"
+        f"{'':>8}entry hosts busy {busy}; "
+        f"memory {result.memory / 1e6:.0f} MB; {outcomes}"
     )
     return "\n".join(lines)
 
@@ -133,21 +150,21 @@
     capacity: Annotated[int, typer.Option(help="Streams in a batch.")] = 32,
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Call servers directly and through one entry host, and compare."""
+    """Compare direct calls with calls through one entry host."""
     counts: dict[str, tuple[int, ...]] = {
         plan.service: (1, 1, 1, 1) for plan in PLACES[place].plans
     }
     options = DeploymentOptions(
         hosts=hosts, counts=counts, step=step, capacity=capacity
     )
-    load = LoadOptions(place, 0.0, seconds, 2.0, only=only, quiet=True)
-    steps = trio.run(measure, place, options, load, rate)
+    load = LoadOptions(place, 0.0, seconds, 2.0, only_operation=only, quiet=True)
+    results = trio.run(measure, place, options, load, rate)
     if as_json:
-        print(json.dumps([step.__dict__ for step in steps]))
+        print(json.dumps([step.__dict__ for step in results]))
         return
     print(HEADER)
-    for each in steps:
-        print(format_step(each))
+    for result in results:
+        print(format_rate_result(result))
 
 
 if __name__ == "__main__":
--- a/dewridge/load/mixes.py
+++ b/dewridge/load/mixes.py
@@ -1,4 +1,4 @@
-"""What the callers of each deployment ask for, and when."""
+"""The mix of calls of each deployment, and random arrivals for it."""
 
 import random
 from collections.abc import Iterator
@@ -12,29 +12,29 @@
     """.split()  # noqa: SIM905 - a list of quoted words reads worse
 )
 ACCOUNT_WEIGHTS = (0.40, 0.30, 0.20, 0.06, 0.04)
-"""Shares of the client accounts, in the order in which they are named: a few large
-ones and several small ones. More than five share like the last."""
-COMMON_WORDS = 64
-"""Words that all prompts of an account and operation begin with, as a template
-would; the engines' prefix caches see them again."""
+"""Weights of the client accounts in the order given: a few large ones and several
+small ones. Accounts after the fifth get the last weight."""
+TEMPLATE_WORDS = 64
+"""Most words of the prefix that the prompts of an account and operation share, like a
+prompt template; engines can serve it from their prefix caches."""
 
 
 class CallKind(Enum):
-    """What answers a call."""
+    """Kind of service that answers a call."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 @dataclass(frozen=True, slots=True)
-class CallShape:
-    """One operation as callers use it.
+class CallSpec:
+    """An operation in a mix of calls.
 
     Attributes:
-        weight: its share of the calls.
-        prompt_words: length of the input, on average.
-        tokens: length of the answer, on average; 0 for a plain service.
-        deadline: seconds within which the whole answer is wanted.
+        weight: share of the calls.
+        prompt_words: mean length of the input, in words.
+        tokens: mean length of the answer, in tokens; 0 for a plain service.
+        deadline: seconds within which the complete answer is due.
     """
 
     service: str
@@ -48,19 +48,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """The calls of a deployment."""
+    """The mix of calls of a deployment."""
 
     name: str
-    calls: tuple[CallShape, ...]
+    calls: tuple[CallSpec, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call to be made at a time after the start."""
+    """A call to send at a time.
+
+    Attributes:
+        at: seconds after the start of the run.
+        tokens: length of the answer; 0 for a plain service.
+    """
 
     at: float
     account: str
-    shape: CallShape
+    spec: CallSpec
     input: str
     tokens: int
 
@@ -70,19 +75,19 @@
 SELLO_VERDE = Mix(
     "sello-verde",
     (
-        CallShape("registry", "check_status", PLAIN, 0.60),
-        CallShape("registry", "issue_letter", PLAIN, 0.10),
-        CallShape("findings", "draft_finding", MODEL, 0.30, 600, 200, 120.0),
+        CallSpec("registry", "check_status", PLAIN, 0.60),
+        CallSpec("registry", "issue_letter", PLAIN, 0.10),
+        CallSpec("findings", "draft_finding", MODEL, 0.30, 600, 200, 120.0),
     ),
 )
 KAROO = Mix(
     "karoo",
     (
-        CallShape("drafting", "answer_question", MODEL, 0.40, 80, 40, 10.0),
-        CallShape("drafting", "draft_certificate", MODEL, 0.10, 800, 300, 300.0),
-        CallShape("drafting", "summarize_anomalies", MODEL, 0.20, 300, 60, 300.0),
-        CallShape("portal", "lookup_tester", PLAIN, 0.25),
-        CallShape("portal", "file_certificate", PLAIN, 0.05),
+        CallSpec("drafting", "answer_question", MODEL, 0.40, 80, 40, 10.0),
+        CallSpec("drafting", "draft_certificate", MODEL, 0.10, 800, 300, 300.0),
+        CallSpec("drafting", "summarize_anomalies", MODEL, 0.20, 300, 60, 300.0),
+        CallSpec("portal", "lookup_tester", PLAIN, 0.25),
+        CallSpec("portal", "file_certificate", PLAIN, 0.05),
     ),
 )
 MIXES = {mix.name: mix for mix in (SELLO_VERDE, KAROO)}
@@ -90,51 +95,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    """When calls arrive, and whose they are.
+    """Parameters of the arrivals.
 
     Attributes:
-        rate: calls a second.
+        rate: calls per second.
+        seconds: duration of the arrivals.
         accounts: client accounts, the largest first.
-        seed: makes a run repeatable.
-        only: the one operation to call; empty: all of the mix.
+        seed: seed of the random numbers; the same seed gives the same calls.
+        only_operation: the only operation to call; empty for all of the mix.
     """
 
     rate: float
     seconds: float
     accounts: tuple[str, ...]
     seed: int = 1
-    only: str = ""
+    only_operation: str = ""
 
 
-def make_calls(mix: Mix, arrivals: Arrivals) -> Iterator[Call]:
-    """Draw the calls of a run, in order of time.
+def draw_calls(mix: Mix, arrivals: Arrivals) -> Iterator[Call]:
+    """Yield the random calls of a run, in order of time.
 
-    Callers do not know of each other, so that arrivals are a Poisson process:
-    it has the bursts that an even spacing hides.
+    Callers are independent, so arrivals are a Poisson process. Unlike evenly spaced
+    calls, it has bursts.
     """
-    drawn = random.Random(arrivals.seed)
-    shapes = [s for s in mix.calls if arrivals.only in ("", s.operation)]
-    weights = [shape.weight for shape in shapes]
-    surplus = len(arrivals.accounts) - len(ACCOUNT_WEIGHTS)
-    shares = [*ACCOUNT_WEIGHTS, *([ACCOUNT_WEIGHTS[-1]] * max(0, surplus))]
+    rng = random.Random(arrivals.seed)
+    specs = [
+        candidate
+        for candidate in mix.calls
+        if arrivals.only_operation in ("", candidate.operation)
+    ]
+    weights = [spec.weight for spec in specs]
+    unweighted_accounts = len(arrivals.accounts) - len(ACCOUNT_WEIGHTS)
+    shares = [*ACCOUNT_WEIGHTS, *([ACCOUNT_WEIGHTS[-1]] * max(0, unweighted_accounts))]
     shares = shares[: len(arrivals.accounts)]
-    at = drawn.expovariate(arrivals.rate)
+    at = rng.expovariate(arrivals.rate)
     while at < arrivals.seconds:
-        shape = drawn.choices(shapes, weights)[0]
-        account = drawn.choices(arrivals.accounts, shares)[0]
-        yield make_call(at, account, shape, drawn)
-        at += drawn.expovariate(arrivals.rate)
-
-
-def make_call(at: float, account: str, shape: CallShape, drawn: random.Random) -> Call:
-    """Draw one call: its input, and a length of a half to one and a half times."""
-    count = max(4, round(shape.prompt_words * drawn.uniform(0.5, 1.5)))
-    common = min(COMMON_WORDS, count // 2)
-    template = [WORDS[n % len(WORDS)] for n in range(common)]
-    rest = drawn.choices(WORDS, k=count - common)
-    mark = f"{drawn.getrandbits(48):x}"
-    prompt = " ".join([account, shape.operation, *template, *rest, mark])
-    tokens = (
-        max(1, round(shape.tokens * drawn.uniform(0.5, 1.5))) if shape.tokens else 0
+        spec = rng.choices(specs, weights)[0]
+        account = rng.choices(arrivals.accounts, shares)[0]
+        yield draw_call(at, account, spec, rng)
+        at += rng.expovariate(arrivals.rate)
+
+
+def draw_call(at: float, account: str, spec: CallSpec, rng: random.Random) -> Call:
+    """Draw one call, with input and answer of 0.5 to 1.5 times the mean length."""
+    length = max(4, round(spec.prompt_words * rng.uniform(0.5, 1.5)))
+    template_length = min(TEMPLATE_WORDS, length // 2)
+    template = [WORDS[n % len(WORDS)] for n in range(template_length)]
+    variable_words = rng.choices(WORDS, k=length - template_length)
+    unique_suffix = f"{rng.getrandbits(48):x}"
+    prompt = " ".join(
+        [account, spec.operation, *template, *variable_words, unique_suffix]
     )
-    return Call(at, account, shape, prompt, tokens)
+    tokens = max(1, round(spec.tokens * rng.uniform(0.5, 1.5))) if spec.tokens else 0
+    return Call(at, account, spec, prompt, tokens)
--- a/dewridge/load/session.py
+++ b/dewridge/load/session.py
@@ -1,36 +1,40 @@
-"""Puts together a run of the load generator from its options."""
+"""Sets up and runs the load generator from its options."""
 
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
 from typing import Any
 
-from dewridge.load.mixes import MIXES, Arrivals, Mix, make_calls
-from dewridge.load.runner import Run, RunPlan
+from dewridge.load.mixes import MIXES, Arrivals, Mix, draw_calls
+from dewridge.load.runner import LoadRun, RunPlan
 from dewridge.load.targets import (
-    call_backend_servers,
-    call_entry_hosts,
     fetch_entry_list,
+    make_backend_sender,
     make_client,
+    make_entry_host_sender,
 )
 
 DIRECT_ACCOUNTS = tuple(f"account-{n}" for n in range(1, 6))
-"""Names that salt prompts when there is no entry host to give accounts."""
+"""Account names for calls to backend servers, which begin the prompts and are sent as
+cache salt."""
 
 
 class OptionError(Exception):
-    """The options do not go together."""
+    """The options are inconsistent or incomplete."""
 
 
 @dataclass(frozen=True)
 class LoadOptions:
-    """What to call, how often and for how long.
+    """Options of a load run.
 
     Attributes:
-        entry_hosts: addresses to ask for the entry list.
-        only_these: whether to use just these, not the list.
-        tokens: token by client account, the largest account first.
+        rate: calls per second.
+        seconds: time during which calls are counted.
+        warmup: seconds before it, during which calls are sent but not counted.
+        entry_hosts: addresses of entry hosts; the first is asked for the entry list.
+        only_given_hosts: whether to call just these hosts instead of the list.
+        tokens: access token by client account, the largest account first.
         direct: addresses of backend servers by service.
-        only: the one operation to call; empty: all of the mix.
+        only_operation: the only operation to call; empty for all of the mix.
     """
 
     mix: str
@@ -38,30 +42,34 @@
     seconds: float
     warmup: float
     entry_hosts: tuple[str, ...] = ()
-    only_these: bool = False
+    only_given_hosts: bool = False
     tokens: dict[str, str] | None = None
     direct: dict[str, list[str]] | None = None
-    only: str = ""
+    only_operation: str = ""
     seed: int = 1
     quiet: bool = False
 
 
 def check_options(options: LoadOptions) -> Mix:
-    """Return the mix that the options ask for.
+    """Check the options, and return the mix that they name.
 
     Raises:
-        OptionError: they do not go together.
+        OptionError: the options are inconsistent or incomplete.
     """
     mix = MIXES.get(options.mix)
     if mix is None:
         raise OptionError(f"no mix {options.mix!r}; there are {', '.join(MIXES)}")
-    operations = {shape.operation for shape in mix.calls}
-    if options.only and options.only not in operations:
-        raise OptionError(f"mix {mix.name} has no operation {options.only!r}")
+    operations = {spec.operation for spec in mix.calls}
+    if options.only_operation and options.only_operation not in operations:
+        raise OptionError(f"mix {mix.name} has no operation {options.only_operation!r}")
     if bool(options.entry_hosts) == bool(options.direct):
         raise OptionError("give either --entry-host or --direct")
     if options.direct:
-        needed = {s.service for s in mix.calls if options.only in ("", s.operation)}
+        needed = {
+            candidate.service
+            for candidate in mix.calls
+            if options.only_operation in ("", candidate.operation)
+        }
         missing = ", ".join(sorted(needed - set(options.direct)))
         if missing:
             raise OptionError(f"give --direct for {missing}, or another --only")
@@ -72,7 +80,7 @@
 
 
 async def run_load(options: LoadOptions) -> dict[str, Any]:
-    """Run the generator and return the figures."""
+    """Run the load generator, and return the measured figures."""
     mix = check_options(options)
     tokens = options.tokens or {}
     arrivals = Arrivals(
@@ -80,17 +88,17 @@
         seconds=options.warmup + options.seconds,
         accounts=tuple(tokens) or DIRECT_ACCOUNTS,
         seed=options.seed,
-        only=options.only,
+        only_operation=options.only_operation,
     )
     async with AsyncExitStack() as stack:
         client = await stack.enter_async_context(make_client())
         if options.direct:
-            send = call_backend_servers(client, options.direct)
+            send = make_backend_sender(client, options.direct)
         else:
             hosts = list(options.entry_hosts)
-            if not options.only_these:
+            if not options.only_given_hosts:
                 token = next(iter(tokens.values()))
                 hosts = await fetch_entry_list(client, hosts[0], token)
-            send = call_entry_hosts(client, hosts, tokens)
+            send = make_entry_host_sender(client, hosts, tokens)
         plan = RunPlan(options.seconds, options.warmup)
-        return await Run(plan, send, options.quiet).run(make_calls(mix, arrivals))
+        return await LoadRun(plan, send, options.quiet).run(draw_calls(mix, arrivals))
--- a/dewridge/load/targets.py
+++ b/dewridge/load/targets.py
@@ -1,4 +1,4 @@
-"""Makes calls: to entry hosts, or past them to a backend server."""
+"""Sends calls to entry hosts, or directly to backend servers."""
 
 import itertools
 import time
@@ -15,17 +15,18 @@
 from dewridge.load.samples import ANSWERED, Sample
 from dewridge.standins.tokens import check_answer
 
-SILENCE_SECONDS = 15.0
+RESPONSE_TIMEOUT_SECONDS = 15.0
+"""Timeout of connecting, of each read and write, and of fetching the entry list."""
 STATUS_OK = 200
 CODE_OK = 0
 
 Clock = Callable[[], float]
-Send = Callable[[Call, Sample], Awaitable[None]]
-"""Makes a call and fills in its sample; the sample's outcome says how it ended."""
+SendCall = Callable[[Call, Sample], Awaitable[None]]
+"""Sends a call, and stores outcome and times in its sample."""
 
 
-class Frame(msgspec.Struct):
-    """All fields of an entry host's events and of an engine's."""
+class StreamEvent(msgspec.Struct):
+    """An event of an answer stream: fields of entry hosts and of engines."""
 
     tokens: tuple[str, ...] = ()
     generation: int = 0
@@ -33,58 +34,61 @@
     choices: list[dict[str, Any]] = []
 
 
-class Problem(msgspec.Struct):
-    """An error answer of an entry host."""
+class ErrorAnswer(msgspec.Struct):
+    """Body of an entry host's error response."""
 
     code: int = -1
 
 
 def make_client() -> httpx.AsyncClient:
-    """Return a client that opens as many connections as calls are in flight."""
+    """Return a client that may open a connection for each call in flight."""
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=256)
-    timeout = httpx.Timeout(SILENCE_SECONDS)
+    timeout = httpx.Timeout(RESPONSE_TIMEOUT_SECONDS)
     return httpx.AsyncClient(
         limits=limits, timeout=timeout, trust_env=False, verify=False
     )
 
 
-def call_entry_hosts(
+def make_entry_host_sender(
     client: httpx.AsyncClient, addresses: list[str], tokens: dict[str, str]
-) -> Send:
-    """Return what calls entry hosts in turn, as their callers do."""
-    turns = itertools.cycle(addresses)
+) -> SendCall:
+    """Return a function that sends calls to the entry hosts in turn."""
+    next_addresses = itertools.cycle(addresses)
 
     async def send(call: Call, sample: Sample) -> None:
-        is_model = call.shape.kind is CallKind.MODEL
+        is_model = call.spec.kind is CallKind.MODEL
         body = {
             "key": str(uuid7()),
-            "operation": call.shape.operation,
+            "operation": call.spec.operation,
             "input": call.input if is_model else {"text": call.input},
-            "deadline_seconds": call.shape.deadline,
+            "deadline_seconds": call.spec.deadline,
             "max_tokens": call.tokens,
             "stream": is_model,
         }
-        url = f"http://{next(turns)}/v1/services/{call.shape.service}/requests"
+        url = f"http://{next(next_addresses)}/v1/services/{call.spec.service}/requests"
         headers = {"authorization": f"Bearer {tokens[call.account]}"}
-        await post(client, url, body, headers=headers, call=call, sample=sample)
+        await post_call(client, url, body, headers=headers, call=call, sample=sample)
 
     return send
 
 
-def call_backend_servers(
+def make_backend_sender(
     client: httpx.AsyncClient, addresses: dict[str, list[str]]
-) -> Send:
-    """Return what calls each service's backend servers in turn."""
-    turns = {service: itertools.cycle(known) for service, known in addresses.items()}
-    numbers = itertools.count()
+) -> SendCall:
+    """Return a function that sends calls to each service's backend servers in turn."""
+    next_addresses = {
+        service: itertools.cycle(service_addresses)
+        for service, service_addresses in addresses.items()
+    }
+    attempt_numbers = itertools.count()
 
     async def send(call: Call, sample: Sample) -> None:
-        shape = call.shape
-        if shape.service not in turns:
-            raise KeyError(f"no address for service {shape.service}")
-        body: dict[str, Any] = {"attempt": f"load-{next(numbers)}", "key": ""}
-        path = f"/v1/operations/{shape.operation}"
-        if shape.kind is CallKind.MODEL:
+        spec = call.spec
+        if spec.service not in next_addresses:
+            raise KeyError(f"no address for service {spec.service}")
+        body: dict[str, Any] = {"attempt": f"load-{next(attempt_numbers)}", "key": ""}
+        path = f"/v1/operations/{spec.operation}"
+        if spec.kind is CallKind.MODEL:
             path = "/v1/completions"
             body |= {
                 "prompt": call.input,
@@ -93,13 +97,13 @@
             }
         else:
             body["input"] = call.input
-        url = f"http://{next(turns[shape.service])}{path}"
-        await post(client, url, body, headers={}, call=call, sample=sample)
+        url = f"http://{next(next_addresses[spec.service])}{path}"
+        await post_call(client, url, body, headers={}, call=call, sample=sample)
 
     return send
 
 
-async def post(
+async def post_call(
     client: httpx.AsyncClient,
     url: str,
     body: dict[str, Any],
@@ -108,73 +112,80 @@
     call: Call,
     sample: Sample,
 ) -> None:
-    """Make a call and read its answer as it comes."""
+    """Send a call, and read its answer as it arrives."""
     content = msgspec.json.encode(body)
     headers = headers | {"content-type": "application/json"}
     try:
         async with client.stream(
             "POST", url, content=content, headers=headers
-        ) as answer:
-            if answer.status_code != STATUS_OK:
-                sample.outcome = read_refusal(answer.status_code, await answer.aread())
-            elif call.shape.kind is CallKind.PLAIN:
-                await answer.aread()
+        ) as response:
+            if response.status_code != STATUS_OK:
+                sample.outcome = read_rejection(
+                    response.status_code, await response.aread()
+                )
+            elif call.spec.kind is CallKind.PLAIN:
+                await response.aread()
                 sample.outcome = ANSWERED
             else:
-                sample.outcome = await read_stream(answer.aiter_raw(), call, sample)
+                sample.outcome = await read_stream(response.aiter_raw(), call, sample)
     except httpx.HTTPError as error:
         sample.outcome = type(error).__name__
-    sample.ends = time.monotonic()
+    sample.completed_at = time.monotonic()
 
 
 async def read_stream(chunks: AsyncIterator[bytes], call: Call, sample: Sample) -> str:
-    """Read a stream of tokens to its end and return the outcome."""
+    """Read a stream of tokens to its end, and return the outcome."""
     buffer = LineBuffer()
-    decoder = msgspec.json.Decoder(Frame)
+    decoder = msgspec.json.Decoder(StreamEvent)
     answer = Answer()
     async for chunk in chunks:
-        before = answer.arrived
+        received_before = answer.received_tokens
         for line in buffer.feed(chunk) or []:
             if line.startswith(b"data:") and b"[DONE]" not in line:
-                answer.take(decoder.decode(line[5:]))
-        if answer.arrived > before:
-            sample.token_times.append((time.monotonic(), answer.arrived - before))
-    whole = check_answer(call.input, call.tokens, answer.tokens)
+                answer.apply_event(decoder.decode(line[5:]))
+        if answer.received_tokens > received_before:
+            sample.token_times.append(
+                (time.monotonic(), answer.received_tokens - received_before)
+            )
+    is_correct = check_answer(call.input, call.tokens, answer.tokens)
     return (
-        "wrong_answer" if answer.outcome == ANSWERED and not whole else answer.outcome
+        "wrong_answer"
+        if answer.outcome == ANSWERED and not is_correct
+        else answer.outcome
     )
 
 
 class Answer:
-    """An answer as it comes; a later generation voids the earlier ones.
+    """An answer that is being received; a newer generation discards earlier tokens.
 
     Attributes:
-        arrived: tokens that came, void ones included.
+        tokens: tokens of the newest generation.
+        received_tokens: number of tokens received, discarded ones included.
     """
 
     def __init__(self) -> None:
         self.tokens: list[str] = []
-        self.arrived = 0
+        self.received_tokens = 0
         self.outcome = "truncated"
         self._generation = 0
 
-    def take(self, frame: Frame) -> None:
-        """Take in one event."""
-        if frame.generation > self._generation:
-            self._generation = frame.generation
+    def apply_event(self, event: StreamEvent) -> None:
+        """Apply one event of the stream."""
+        if event.generation > self._generation:
+            self._generation = event.generation
             self.tokens.clear()
-        self.tokens.extend(frame.tokens)
-        self.arrived += len(frame.tokens)
-        if frame.code >= 0:
-            self.outcome = ANSWERED if frame.code == CODE_OK else f"code_{frame.code}"
-        elif frame.choices and frame.choices[0].get("finish_reason"):
+        self.tokens.extend(event.tokens)
+        self.received_tokens += len(event.tokens)
+        if event.code >= 0:
+            self.outcome = ANSWERED if event.code == CODE_OK else f"code_{event.code}"
+        elif event.choices and event.choices[0].get("finish_reason"):
             self.outcome = ANSWERED
 
 
-def read_refusal(status: int, content: bytes) -> str:
-    """Name a refusal by its result code, or by its status."""
+def read_rejection(status: int, content: bytes) -> str:
+    """Return an outcome name from an error's result code, or else its HTTP status."""
     try:
-        code = msgspec.json.decode(content, type=Problem).code
+        code = msgspec.json.decode(content, type=ErrorAnswer).code
     except msgspec.DecodeError:
         code = -1
     return f"code_{code}" if code >= 0 else f"status_{status}"
@@ -183,9 +194,9 @@
 async def fetch_entry_list(
     client: httpx.AsyncClient, seed: str, token: str
 ) -> list[str]:
-    """Ask one entry host for the addresses to use."""
+    """Fetch the addresses of all entry hosts from one of them."""
     headers = {"authorization": f"Bearer {token}"}
-    with trio.fail_after(SILENCE_SECONDS):
-        answer = await client.get(f"http://{seed}/v1/entry-hosts", headers=headers)
-    answer.raise_for_status()
-    return [host["address"] for host in answer.json()["hosts"]]
+    with trio.fail_after(RESPONSE_TIMEOUT_SECONDS):
+        response = await client.get(f"http://{seed}/v1/entry-hosts", headers=headers)
+    response.raise_for_status()
+    return [host["address"] for host in response.json()["hosts"]]
