--- a/dewridge/slopes/__init__.py
+++ b/dewridge/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of how costs grow with the number of hosts."""
+"""Measures how memory, processor and network costs grow with the number of hosts."""
--- a/dewridge/slopes/figures.py
+++ b/dewridge/slopes/figures.py
@@ -1,4 +1,4 @@
-"""The membership's figures: rows, a fit to the aim, a table and a plot."""
+"""Rows, fits, table and plot of the membership measurements."""
 
 import csv
 import math
@@ -6,13 +6,13 @@
 from dataclasses import asdict, dataclass, fields
 from pathlib import Path
 
-AIM = 440
-"""Nodes that the system has to carry in the end."""
+TARGET_MEMBERS = 440
+"""Planned maximum number of hosts, to which the fits are extrapolated."""
 
 
 @dataclass(frozen=True)
 class Row:
-    """One run at one number of members; costs are for one member and second."""
+    """Figures of one run; costs are per member and second."""
 
     members: int
     processes: int
@@ -36,15 +36,28 @@
     dead_all: float
     false_deaths: int
     machine_load: float
-    """The machine's load average of the last minute: what else ran meanwhile."""
+    """The machine's load average of the last minute, which shows other work on it."""
 
 
-def fit(rows: list[Row], column: str, grow: str) -> tuple[float, float]:
-    """Fit a column by least squares to a + b * members, or to their logarithm."""
+def fit(rows: list[Row], column: str, growth: str) -> tuple[float, float]:
+    """Fit a column by least squares to the members or to their logarithm.
+
+    Args:
+        rows: the runs; those without a value are left out.
+        column: field of `Row`.
+        growth: "log" to fit to the logarithm of the members.
+
+    Returns:
+        Intercept and slope.
+    """
     rows = [row for row in rows if not math.isnan(getattr(row, column))]
-    xs = [math.log(r.members) if grow == "log" else float(r.members) for r in rows]
-    slope, base = statistics.linear_regression(xs, [getattr(r, column) for r in rows])
-    return base, slope
+    regressors = [
+        math.log(r.members) if growth == "log" else float(r.members) for r in rows
+    ]
+    slope, intercept = statistics.linear_regression(
+        regressors, [getattr(r, column) for r in rows]
+    )
+    return intercept, slope
 
 
 PLOTTED = (
@@ -54,23 +67,27 @@
     ("rumor_all", "log", "s until all have a rumor", 13.0),
     ("dead_all", "log", "s until all know of a death", 0.0),
 )
+"""Plotted columns, which have a budget or a documented time bound: name, growth by
+size, label, and budget (0 for none)."""
 
 
 def write_plot(rows: list[Row], path: Path) -> None:
-    """Plot the columns that a budget or a promise speaks of."""
+    """Plot the columns in `PLOTTED` with their fits and budgets."""
     import matplotlib as mpl  # noqa: PLC0415  only this command needs it
 
     mpl.use("Agg")
     from matplotlib import pyplot  # noqa: PLC0415
 
-    figure, places = pyplot.subplots(1, len(PLOTTED), figsize=(4 * len(PLOTTED), 3.2))
-    for axes, (column, grow, label, budget) in zip(places, PLOTTED, strict=True):
+    figure, all_axes = pyplot.subplots(1, len(PLOTTED), figsize=(4 * len(PLOTTED), 3.2))
+    for axes, (column, growth, label, budget) in zip(all_axes, PLOTTED, strict=True):
         sizes = [row.members for row in rows]
         axes.scatter(sizes, [getattr(row, column) for row in rows], s=12)
-        base, slope = fit(rows, column, grow)
-        grid = list(range(min(sizes), AIM + 1, 4))
-        line = [base + slope * (math.log(n) if grow == "log" else n) for n in grid]
-        axes.plot(grid, line, linewidth=1)
+        intercept, slope = fit(rows, column, growth)
+        grid = list(range(min(sizes), TARGET_MEMBERS + 1, 4))
+        fitted = [
+            intercept + slope * (math.log(n) if growth == "log" else n) for n in grid
+        ]
+        axes.plot(grid, fitted, linewidth=1)
         if budget:
             axes.axhline(budget, color="red", linewidth=0.8, linestyle="--")
         axes.set_ylim(bottom=0)
@@ -81,7 +98,7 @@
 
 
 def write_rows(rows: list[Row], path: Path) -> None:
-    """Write all rows so far."""
+    """Write all rows to a CSV file."""
     with path.open("w", newline="") as file:
         writer = csv.DictWriter(file, [f.name for f in fields(Row)])
         writer.writeheader()
@@ -91,18 +108,25 @@
 
 
 def print_table(rows: list[Row]) -> None:
-    """Print each size's median with the least and greatest, and the fit at the aim."""
+    """Print median and range for each size, and the fits at `TARGET_MEMBERS`."""
     columns = [f.name for f in fields(Row) if f.name not in ("members", "run")]
     sizes = sorted({row.members for row in rows})
     for column in columns:
         parts = []
         for size in sizes:
-            found = [float(getattr(r, column)) for r in rows if r.members == size]
-            values = [value for value in found if not math.isnan(value)] or [math.nan]
-            middle = statistics.median(values)
-            parts.append(f"{size}: {middle:.3g} ({min(values):.3g}-{max(values):.3g})")
+            all_values = [float(getattr(r, column)) for r in rows if r.members == size]
+            values = [value for value in all_values if not math.isnan(value)] or [
+                math.nan
+            ]
+            median = statistics.median(values)
+            parts.append(f"{size}: {median:.3g} ({min(values):.3g}-{max(values):.3g})")
         print(f"{column:20} " + "  ".join(parts))
-    for column, grow, label, budget in PLOTTED:
-        base, slope = fit(rows, column, grow)
-        value = base + slope * (math.log(AIM) if grow == "log" else AIM)
-        print(f"at {AIM} members: {label}: {value:.3g} (budget {budget or 'none'})")
+    for column, growth, label, budget in PLOTTED:
+        intercept, slope = fit(rows, column, growth)
+        value = intercept + slope * (
+            math.log(TARGET_MEMBERS) if growth == "log" else TARGET_MEMBERS
+        )
+        print(
+            f"at {TARGET_MEMBERS} members: {label}: {value:.3g} "
+            f"(budget {budget or 'none'})"
+        )
--- a/dewridge/slopes/members.py
+++ b/dewridge/slopes/members.py
@@ -1,4 +1,4 @@
-"""A process of some members, which a driver tells what to do over its pipes."""
+"""A process that runs several members, as ordered by a driver over pipes."""
 
 import os
 import sys
@@ -42,29 +42,29 @@
 )
 
 
-class Process:
-    """The members of this process."""
+class MemberProcess:
+    """Runs the members of this process, and reports to the driver."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
         self._metrics = Metrics()
         self._services: list[MembershipService] = []
-        self._out = trio.lowlevel.FdStream(os.dup(sys.stdout.fileno()))
-        self._reports, self._waiting = trio.open_memory_channel[Report](100_000)
+        self._output = trio.lowlevel.FdStream(os.dup(sys.stdout.fileno()))
+        self._reports, self._pending_reports = trio.open_memory_channel[Report](100_000)
 
-    async def write(self) -> None:
-        """Write reports as they come."""
-        async for report in self._waiting:
-            await self._out.send_all(encode(report))
+    async def write_reports(self) -> None:
+        """Write queued reports to standard output."""
+        async for report in self._pending_reports:
+            await self._output.send_all(encode(report))
 
-    async def start(self, order: Start) -> None:
-        """Start members one after the other."""
-        base = read_resident_bytes()
+    async def start_members(self, order: Start) -> None:
+        """Start the ordered members one after the other, and report their addresses."""
+        base_bytes = read_resident_bytes()
         addresses: list[str] = []
         for number in range(order.first, order.first + order.count):
             seeds = order.seeds or addresses[:1]
             addresses.append(await self._start_member(number, seeds, order.seed))
-        self._reports.send_nowait(Started(addresses, base))
+        self._reports.send_nowait(Started(addresses, base_bytes))
 
     async def _start_member(self, number: int, seeds: list[str], seed: int) -> str:
         host = HostId(f"entry-host-{number:04}")
@@ -98,80 +98,82 @@
             seed=seed * 10_000 + number,
         )
         transport.check_peer = service.check_peer
-        service.subscribe(partial(self._note_change, number))
-        service.subscribe_rumors(RUMOR_KIND, partial(self._note_rumor, number))
+        service.subscribe(partial(self._report_change, number))
+        service.subscribe_rumors(RUMOR_KIND, partial(self._report_rumor, number))
         self._services.append(service)
         self._nursery.start_soon(service.run)
         return transport.address
 
-    def _note_change(self, number: int, member: Member) -> None:
+    def _report_change(self, number: int, member: Member) -> None:
         if member.state is not MemberState.ALIVE:
             at = time.monotonic()
             report = Changed(number, member.host, member.state.name, at)
             self._reports.send_nowait(report)
 
-    def _note_rumor(self, number: int, rumor: Rumor) -> None:
+    def _report_rumor(self, number: int, rumor: Rumor) -> None:
         self._reports.send_nowait(Heard(number, rumor.subject, time.monotonic()))
 
     def spread(self, order: Spread) -> None:
-        """Let the first member spread a rumor."""
+        """Broadcast a rumor from the first member."""
         version = time.time_ns()
         payload = bytes(order.size)
         rumor = Rumor(RUMOR_KIND, order.subject, version, payload, order.routine)
         self._services[0].spread(rumor)
 
-    async def measure(self) -> None:
+    async def report_costs(self) -> None:
         """Report the costs so far."""
         counters = {name: self._metrics.read(name) for name in COUNTERS}
         for direction in ("dialled", "accepted"):
             name = "peer_connections_opened"
             counters[direction] = self._metrics.read(name, direction=direction)
-        knows = min(
-            sum(1 for m in service.members() if m.state is MemberState.ALIVE)
+        min_known_alive = min(
+            sum(1 for member in service.members() if member.state is MemberState.ALIVE)
             for service in self._services
         )
-        news = [(await service.describe())["news"] for service in self._services]
+        pending_updates = [
+            (await service.describe())["news"] for service in self._services
+        ]
         self._reports.send_nowait(
             Costs(
                 time.monotonic(),
                 time.process_time(),
                 read_resident_bytes(),
                 counters,
-                knows,
-                max(news),
+                min_known_alive,
+                max(pending_updates),
             )
         )
 
 
 def read_resident_bytes() -> int:
-    """Return this process's resident memory."""
+    """Return the resident memory of this process, in bytes."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 async def read_lines(fd: int) -> AsyncIterator[bytes]:
-    """Return the lines that come over a pipe."""
+    """Yield the lines that arrive over a pipe."""
     stream = trio.lowlevel.FdStream(os.dup(fd))
-    rest = b""
+    incomplete = b""
     async for data in stream:
-        *lines, rest = (rest + data).split(b"\n")
+        *lines, incomplete = (incomplete + data).split(b"\n")
         for line in lines:
             yield line
 
 
 async def run() -> None:
-    """Carry out orders until the driver closes the pipe."""
+    """Execute orders until the driver closes the pipe."""
     async with trio.open_nursery() as nursery:
-        process = Process(nursery)
-        nursery.start_soon(process.write)
+        process = MemberProcess(nursery)
+        nursery.start_soon(process.write_reports)
         async for line in read_lines(sys.stdin.fileno()):
             match decode_order(line):
                 case Start() as order:
-                    await process.start(order)
+                    await process.start_members(order)
                 case Spread() as order:
                     process.spread(order)
                 case Measure():
-                    await process.measure()
+                    await process.report_costs()
         nursery.cancel_scope.cancel()
 
 
--- a/dewridge/slopes/membership.py
+++ b/dewridge/slopes/membership.py
@@ -1,7 +1,7 @@
-"""How the membership's costs grow with the number of hosts.
+"""Measures how the membership's costs grow with the number of hosts.
 
-Runs members as real processes over loopback, up to a limit of processes and beyond it
-several members in each, and writes a table and a plot. `make slopes` calls it.
+Runs members in separate processes over loopback, several in each above a limit of
+processes, and writes a CSV file and a plot. `make slopes` runs it.
 """
 
 import math
@@ -32,27 +32,37 @@
     encode,
 )
 
-SETTLE = 5.0
-QUIET = 10.0
-BUSY = 12.0
+SETTLE_SECONDS = 5.0
+"""Pause after all members have joined, before the first measurement."""
+QUIET_SECONDS = 10.0
+"""Length of the quiet part, in which no rumors are spread."""
+BUSY_SECONDS = 12.0
+"""Length of the busy part, in which rumors are spread."""
 URGENT_RATE = 0.5
-"""Urgent rumors a second in the busy part: 21,000 changes of configuration a day at
-the aim, twice that with as many notices of backend servers."""
+"""Urgent rumors per second in the busy part: at the planned size, 21,000 configuration
+changes a day and as many notices of backend servers, twice 21,000 in total."""
 ROUTINE_RATE = 0.75
-"""Routine rumors a second: confirmations and heartbeats."""
-PAYLOAD = 100
-RUMORS = 4
-RUMOR_PAUSE = 2.0
-LONGEST_WAIT = 40.0
-LONGEST_SETTLING = 300.0
-SEGMENT_BYTES = 52
-"""Headers of IP and TCP with timestamps, for each frame sent."""
-CONNECTION_BYTES = 220
+"""Routine rumors per second: confirmations and heartbeats."""
+PAYLOAD_BYTES = 100
+"""Size of an urgent rumor."""
+TIMED_RUMORS = 4
+"""Rumors whose propagation is timed in each run."""
+RUMOR_PAUSE_SECONDS = 2.0
+MAX_WAIT_SECONDS = 40.0
+MAX_JOIN_SECONDS = 300.0
+SEGMENT_HEADER_BYTES = 52
+"""IP and TCP headers, with TCP timestamps, for each frame sent."""
+CONNECTION_HEADER_BYTES = 220
 """Headers of the segments that open, acknowledge and close a connection, each way."""
 
 
-class Member:
-    """A process of members, as the driver sees it."""
+class ProcessHandle:
+    """The driver's handle of a process that runs members.
+
+    Attributes:
+        first: number of its first member.
+        count: number of its members.
+    """
 
     def __init__(self, process: trio.Process, first: int, count: int) -> None:
         self.process = process
@@ -61,170 +71,189 @@
         self.started: Started | None = None
         self.costs: list[Costs] = []
 
-    async def tell(self, order: Order) -> None:
-        """Send an order."""
+    async def send_order(self, order: Order) -> None:
+        """Send an order to the process."""
         assert self.process.stdin is not None
         await self.process.stdin.send_all(encode(order))
 
 
 class Driver:
-    """Starts processes, gives orders and gathers reports."""
+    """Starts processes of members, sends them orders and collects their reports."""
 
     def __init__(self, nursery: trio.Nursery, stack: AsyncExitStack) -> None:
         self._nursery = nursery
         self._stack = stack
-        self.processes: list[Member] = []
-        self.heard: dict[str, list[float]] = {}
+        self.processes: list[ProcessHandle] = []
+        self.rumor_times: dict[str, list[float]] = {}
         self.changes: list[Changed] = []
 
     async def start(self, members: int, processes: int, seed: int) -> None:
-        """Start all processes, the first one as the seed of the others."""
+        """Start all processes; the first member is the seed of the others."""
         counts = [
             members // processes + (number < members % processes)
             for number in range(processes)
         ]
         first, seeds = 0, list[str]()
         for count in counts:
-            process = await self._open(first, count)
-            await process.tell(Start(first, count, seeds, seed))
+            process = await self._open_process(first, count)
+            await process.send_order(Start(first, count, seeds, seed))
             if not seeds:
                 seeds = await self._read_seeds(process)
             first += count
 
-    async def _read_seeds(self, process: Member) -> list[str]:
+    async def _read_seeds(self, process: ProcessHandle) -> list[str]:
         await wait_until(lambda: process.started is not None)
         assert process.started is not None
         return process.started.addresses[:1]
 
-    async def _open(self, first: int, count: int) -> Member:
+    async def _open_process(self, first: int, count: int) -> ProcessHandle:
         command = [sys.executable, "-m", "dewridge.slopes.members"]
         process = await trio.lowlevel.open_process(command, stdin=-1, stdout=-1)
-        self._stack.callback(_end, process)
-        member = Member(process, first, count)
-        self.processes.append(member)
-        self._nursery.start_soon(self._read, member)
-        return member
-
-    async def _read(self, member: Member) -> None:
-        assert member.process.stdout is not None
-        rest = b""
-        async for data in member.process.stdout:
-            *lines, rest = (rest + data).split(b"\n")
+        self._stack.callback(_kill_process, process)
+        handle = ProcessHandle(process, first, count)
+        self.processes.append(handle)
+        self._nursery.start_soon(self._read_reports, handle)
+        return handle
+
+    async def _read_reports(self, handle: ProcessHandle) -> None:
+        assert handle.process.stdout is not None
+        incomplete = b""
+        async for data in handle.process.stdout:
+            *lines, incomplete = (incomplete + data).split(b"\n")
             for line in lines:
-                self._note(member, decode_report(line))
+                self._record_report(handle, decode_report(line))
 
-    def _note(self, member: Member, report: Report) -> None:
+    def _record_report(self, handle: ProcessHandle, report: Report) -> None:
         match report:
             case Started():
-                member.started = report
+                handle.started = report
             case Heard():
-                self.heard.setdefault(report.subject, []).append(report.at)
+                self.rumor_times.setdefault(report.subject, []).append(report.at)
             case Changed():
                 self.changes.append(report)
             case Costs():
-                member.costs.append(report)
+                handle.costs.append(report)
 
     async def measure(self) -> list[Costs]:
-        """Ask all processes for their costs so far."""
-        before = [len(member.costs) for member in self.processes]
-        for member in self.processes:
-            await member.tell(Measure())
-        asked = list(zip(self.processes, before, strict=True))
-        await wait_until(lambda: all(len(m.costs) > count for m, count in asked))
-        return [member.costs[-1] for member in self.processes]
+        """Request and return the costs of all processes so far."""
+        before = [len(handle.costs) for handle in self.processes]
+        for handle in self.processes:
+            await handle.send_order(Measure())
+        previous_counts = list(zip(self.processes, before, strict=True))
+        await wait_until(
+            lambda: all(len(handle.costs) > count for handle, count in previous_counts)
+        )
+        return [handle.costs[-1] for handle in self.processes]
 
     async def wait_complete(self, members: int) -> None:
-        """Wait until each member knows all others, and told the last of it."""
-        with trio.fail_after(LONGEST_SETTLING):
+        """Wait until each member knows all others and has no update left to send."""
+        with trio.fail_after(MAX_JOIN_SECONDS):
             while True:
                 costs = await self.measure()
-                is_told = max(cost.news for cost in costs) == 0
-                if is_told and min(cost.knows for cost in costs) == members:
+                is_spread = max(cost.news for cost in costs) == 0
+                if is_spread and min(cost.knows for cost in costs) == members:
                     return
                 await trio.sleep(1.0)
 
     async def spread(self, subject: str, members: int) -> tuple[float, float]:
-        """Spread a rumor; seconds until half and until all members have it."""
-        began = time.monotonic()
-        await self.processes[-1].tell(Spread(subject, PAYLOAD, routine=False))
-        await wait_until(lambda: len(self.heard.get(subject, [])) == members)
-        times = sorted(at - began for at in self.heard[subject])
+        """Broadcast a rumor; return seconds until half and all members have it."""
+        started_at = time.monotonic()
+        await self.processes[-1].send_order(
+            Spread(subject, PAYLOAD_BYTES, routine=False)
+        )
+        await wait_until(lambda: len(self.rumor_times.get(subject, [])) == members)
+        times = sorted(at - started_at for at in self.rumor_times[subject])
         return times[len(times) // 2], times[-1]
 
-    async def kill_one(self, members: int) -> tuple[float, float, float]:
-        """Kill a process; seconds to the first suspicion, and to half and all deaths.
+    async def kill_process(self, members: int) -> tuple[float, float, float]:
+        """Kill a process, and time how members detect the failure.
+
+        The process is neither the seed's nor the one that sends the timed rumors.
 
-        The one killed is neither the seed nor the one that spreads rumors.
+        Returns:
+            Seconds until the first member suspects the killed process's first host,
+            and until half and all of the other members hold it dead; NaN if they do
+            not within `MAX_WAIT_SECONDS`.
         """
         victim = self.processes.pop(len(self.processes) // 2)
         host = f"entry-host-{victim.first:04}"
-        began = time.monotonic()
+        started_at = time.monotonic()
         victim.process.kill()
         expected = members - victim.count
         try:
-            await wait_until(lambda: len(self.find_times(host, "DEAD")) >= expected)
+            await wait_until(
+                lambda: len(self.find_change_times(host, "DEAD")) >= expected
+            )
         except trio.TooSlowError:
             return math.nan, math.nan, math.nan
-        dead = [at - began for at in self.find_times(host, "DEAD")]
-        suspect = self.find_times(host, "SUSPECT")
-        return suspect[0] - began, dead[expected // 2], dead[expected - 1]
-
-    def find_times(self, host: str, state: str) -> list[float]:
-        """Return when members came to hold a host for something, in order."""
-        return sorted(c.at for c in self.changes if (c.host, c.state) == (host, state))
+        dead = [at - started_at for at in self.find_change_times(host, "DEAD")]
+        suspect = self.find_change_times(host, "SUSPECT")
+        return suspect[0] - started_at, dead[expected // 2], dead[expected - 1]
+
+    def find_change_times(self, host: str, state: str) -> list[float]:
+        """Return the sorted times at which members set a host to a state."""
+        return sorted(
+            change.at
+            for change in self.changes
+            if (change.host, change.state) == (host, state)
+        )
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the measurement fails if that takes too long."""
-    with trio.fail_after(LONGEST_WAIT):
+    """Wait for a condition; raise `trio.TooSlowError` after `MAX_WAIT_SECONDS`."""
+    with trio.fail_after(MAX_WAIT_SECONDS):
         while True:
             if condition():
                 return
             await trio.sleep(0.05)
 
 
-def _end(process: trio.Process) -> None:
+def _kill_process(process: trio.Process) -> None:
     if process.returncode is None:
         process.kill()
 
 
-async def measure_once(members: int, limit: int, run: int) -> Row:
-    """Measure one group from its start to its end."""
-    processes = min(members, limit)
+async def measure_once(members: int, max_processes: int, run: int) -> Row:
+    """Run and measure one group of members."""
+    processes = min(members, max_processes)
     async with AsyncExitStack() as stack, trio.open_nursery() as nursery:
         driver = Driver(nursery, stack)
         await driver.start(members, processes, run + 1)
         await driver.wait_complete(members)
-        await trio.sleep(SETTLE)
+        await trio.sleep(SETTLE_SECONDS)
         costs = [await driver.measure()]
-        await trio.sleep(QUIET)
+        await trio.sleep(QUIET_SECONDS)
         costs.append(await driver.measure())
         await keep_busy(driver)
         costs.append(await driver.measure())
         spreads = []
-        for number in range(RUMORS):
-            await trio.sleep(RUMOR_PAUSE)
+        for number in range(TIMED_RUMORS):
+            await trio.sleep(RUMOR_PAUSE_SECONDS)
             spreads.append(await driver.spread(f"timed-{number}", members))
         false_deaths = sum(1 for change in driver.changes if change.state == "DEAD")
-        deaths = await driver.kill_one(members)
-        started = [member.started for member in driver.processes]
+        deaths = await driver.kill_process(members)
+        started = [handle.started for handle in driver.processes]
         base = statistics.mean(s.base_bytes for s in started if s is not None)
         nursery.cancel_scope.cancel()
     return make_row(members, processes, run, costs, base, spreads, deaths, false_deaths)
 
 
 async def keep_busy(driver: Driver) -> None:
-    """Spread rumors at the rates of the aim."""
-    began = trio.current_time()
-    due = [(n / URGENT_RATE, False) for n in range(int(BUSY * URGENT_RATE))]
-    due += [(n / ROUTINE_RATE, True) for n in range(int(BUSY * ROUTINE_RATE))]
-    for number, (at, routine) in enumerate(sorted(due)):
-        await trio.sleep_until(began + at)
+    """Broadcast rumors at `URGENT_RATE` and `ROUTINE_RATE` for the busy part."""
+    started_at = trio.current_time()
+    schedule = [
+        (n / URGENT_RATE, False) for n in range(int(BUSY_SECONDS * URGENT_RATE))
+    ]
+    schedule += [
+        (n / ROUTINE_RATE, True) for n in range(int(BUSY_SECONDS * ROUTINE_RATE))
+    ]
+    for number, (at, routine) in enumerate(sorted(schedule)):
+        await trio.sleep_until(started_at + at)
         subject = "routine" if routine else f"busy-{number}"
-        size = 8 if routine else PAYLOAD
+        size = 8 if routine else PAYLOAD_BYTES
         process = driver.processes[number % len(driver.processes)]
-        await process.tell(Spread(subject, size, routine))
-    await trio.sleep_until(began + BUSY)
+        await process.send_order(Spread(subject, size, routine))
+    await trio.sleep_until(started_at + BUSY_SECONDS)
 
 
 def make_row(
@@ -237,9 +266,9 @@
     deaths: tuple[float, float, float],
     false_deaths: int,
 ) -> Row:
-    """Work out the costs for one member and second."""
+    """Compute the costs per member and second."""
     quiet, busy = (Rates(members, *costs[n : n + 2]) for n in range(2))
-    own = sum(cost.resident_bytes - base for cost in costs[2]) / members
+    member_bytes = sum(cost.resident_bytes - base for cost in costs[2]) / members
     return Row(
         members=members,
         processes=processes,
@@ -254,8 +283,8 @@
         busy_wire_sent=busy.wire_sent,
         busy_messages=busy.read("peer_frames_sent"),
         busy_cpu_percent=busy.cpu_percent,
-        resident_mb=(base + own) / 1e6,
-        member_mb=own / 1e6,
+        resident_mb=(base + member_bytes) / 1e6,
+        member_mb=member_bytes / 1e6,
         rumor_half=statistics.median(half for half, _ in spreads),
         rumor_all=max(last for _, last in spreads),
         suspect_first=deaths[0],
@@ -267,34 +296,38 @@
 
 
 class Rates:
-    """Costs between two measurements, for one member and second."""
+    """Costs between two measurements, per member and second."""
 
     def __init__(self, members: int, before: list[Costs], after: list[Costs]) -> None:
         self._pairs = list(zip(before, after, strict=True))
-        spans = [late.at - early.at for early, late in self._pairs]
-        self._share = 1 / (members * statistics.mean(spans))
+        durations = [later.at - earlier.at for earlier, later in self._pairs]
+        self._share = 1 / (members * statistics.mean(durations))
 
     def read(self, counter: str) -> float:
-        """Return a counter's rate."""
+        """Return the rate of a counter."""
         return self._share * sum(
-            late.counters[counter] - early.counters[counter]
-            for early, late in self._pairs
+            later.counters[counter] - earlier.counters[counter]
+            for earlier, later in self._pairs
         )
 
     @property
     def cpu_percent(self) -> float:
-        """Return the share of one core."""
+        """Return the processor time as a percentage of one core."""
         seconds = sum(
-            late.cpu_seconds - early.cpu_seconds for early, late in self._pairs
+            later.cpu_seconds - earlier.cpu_seconds for earlier, later in self._pairs
         )
         return 100 * self._share * seconds
 
     @property
     def wire_sent(self) -> float:
-        """Return the bytes sent with the headers of IP and TCP, reckoned."""
+        """Return the bytes sent, with an estimate of the IP and TCP headers."""
         connections = self.read("dialled") + self.read("accepted")
-        headers = SEGMENT_BYTES * self.read("peer_frames_sent")
-        return self.read("peer_bytes_sent") + headers + CONNECTION_BYTES * connections
+        headers = SEGMENT_HEADER_BYTES * self.read("peer_frames_sent")
+        return (
+            self.read("peer_bytes_sent")
+            + headers
+            + CONNECTION_HEADER_BYTES * connections
+        )
 
 
 def main(
--- a/dewridge/slopes/orders.py
+++ b/dewridge/slopes/orders.py
@@ -1,10 +1,10 @@
-"""Orders to a process of measured members, and what it reports: JSON lines."""
+"""Orders to a process of measured members, and its reports, as JSON lines."""
 
 import msgspec
 
 
 class Start(msgspec.Struct, tag=True, frozen=True):
-    """Start members `first` to `first + count - 1`, joining through seeds."""
+    """Orders the start of members `first` to `first + count - 1`, with their seeds."""
 
     first: int
     count: int
@@ -13,7 +13,7 @@
 
 
 class Spread(msgspec.Struct, tag=True, frozen=True):
-    """Let the process's first member spread a rumor."""
+    """Orders the process's first member to broadcast a rumor of `size` bytes."""
 
     subject: str
     size: int
@@ -21,21 +21,21 @@
 
 
 class Measure(msgspec.Struct, tag=True, frozen=True):
-    """Report the costs so far."""
+    """Orders a report of the costs so far."""
 
 
 Order = Start | Spread | Measure
 
 
 class Started(msgspec.Struct, tag=True, frozen=True):
-    """The members run; `base_bytes` is the memory before they did."""
+    """Reports that the members run; `base_bytes` is the resident memory before that."""
 
     addresses: list[str]
     base_bytes: int
 
 
 class Heard(msgspec.Struct, tag=True, frozen=True):
-    """A member heard a rumor, at a time of the machine's monotonic clock."""
+    """Reports that a member received a rumor; `at` is machine-wide monotonic time."""
 
     member: int
     subject: str
@@ -43,7 +43,7 @@
 
 
 class Changed(msgspec.Struct, tag=True, frozen=True):
-    """A member holds another one for something else than before."""
+    """Reports that a member set another one to a state."""
 
     member: int
     host: str
@@ -52,31 +52,31 @@
 
 
 class Costs(msgspec.Struct, tag=True, frozen=True):
-    """What a process's members cost since its start."""
+    """Reports the costs of a process since its start."""
 
     at: float
     cpu_seconds: float
     resident_bytes: int
     counters: dict[str, float]
     knows: int
-    """Members that each of them knows alive: the least over the members."""
+    """Smallest number of live members that any member of the process knows."""
     news: int
-    """Pieces of news that one of them still tells: the most over the members."""
+    """Largest number of updates that any member of the process still has to send."""
 
 
 Report = Started | Heard | Changed | Costs
 
 
 def encode(item: Order | Report) -> bytes:
-    """Return one line."""
+    """Encode an order or a report as one line."""
     return msgspec.json.encode(item) + b"\n"
 
 
 def decode_order(line: bytes) -> Order:
-    """Read one line of a driver."""
+    """Decode one line from the driver."""
     return msgspec.json.decode(line, type=Order)
 
 
 def decode_report(line: bytes) -> Report:
-    """Read one line of a process of members."""
+    """Decode one line from a process of members."""
     return msgspec.json.decode(line, type=Report)
--- a/dewridge/slopes/tables.py
+++ b/dewridge/slopes/tables.py
@@ -1,7 +1,7 @@
-"""Slopes of the state that one host holds: records, servers, configuration, claims.
+"""Measures how a host's state grows: records, servers, configuration, claims.
 
-Each size is built several times in this process; memory is what the interpreter
-allocated for it, time is this process's processor time.
+Each size is built several times in this process. Memory is what the interpreter
+allocated, and time is the processor time of this process.
 """
 
 import csv
@@ -52,7 +52,7 @@
 RUNS = 3
 INPUT_BYTES = 1_000
 TOKENS = 100
-FOLDER = Path("docs/figures")
+OUTPUT_FOLDER = Path("docs/figures")
 
 
 @dataclass(frozen=True)
@@ -60,8 +60,8 @@
     """One run at one size.
 
     Attributes:
-        bytes: allocated for all of it.
-        seconds: processor time to build it.
+        bytes: memory allocated for the state; for claims, size of the encoded bucket.
+        seconds: processor time to build the state; for claims, of one merge.
     """
 
     table: str
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Table:
-    """A kind of state, the sizes to build, and how."""
+    """A kind of state, the sizes to measure, and the function that builds it."""
 
     name: str
     sizes: Sequence[int]
@@ -102,7 +102,7 @@
             make_generation(ballot),
             number,
         )
-        record.tokens = [f" token{number % 977}-{place}" for place in range(TOKENS)]
+        record.tokens = [f" token{number % 977}-{index}" for index in range(TOKENS)]
         records.append(record)
     return records
 
@@ -129,8 +129,8 @@
     return table
 
 
-def build_objects(size: int) -> Any:
-    """Read a configuration of so many profiles, with its head."""
+def build_configurations(size: int) -> Any:
+    """Build a configuration of `size` profiles, its stored objects and its head."""
     choice = PolicyChoice("balanced")
     objects = {}
     for number in range(size):
@@ -138,12 +138,12 @@
         value = Profile(ProfileName(f"profile-{number}"), choice, choice, choice)
         objects[name] = StoredObject(name, number, msgspec.json.encode(value))
     configuration, _ = build_configuration(size, objects)
-    places = {name: ObjectLocation(1, name) for name in objects}
-    return configuration, objects, msgspec.json.encode(Head(objects=places))
+    locations = {name: ObjectLocation(1, name) for name in objects}
+    return configuration, objects, msgspec.json.encode(Head(objects=locations))
 
 
 def merge_claims(size: int) -> tuple[bytes, float]:
-    """Merge ten claims into a bucket of so many; its value and the time."""
+    """Merge ten claims into a bucket of `size`; return its value and the CPU time."""
     random = Random(size)
     ballot = Ballot(1, HostId("entry-1"), Incarnation(1))
 
@@ -154,9 +154,9 @@
 
     bucket, _ = apply_intents(BucketValue(), [make_intent() for _ in range(size)])
     value = encode_bucket(bucket)
-    fresh = [make_intent() for _ in range(10)]
+    new_claims = [make_intent() for _ in range(10)]
     started = time.process_time()
-    merged, _ = apply_intents(decode_bucket(value), fresh)
+    merged, _ = apply_intents(decode_bucket(value), new_claims)
     encoded = encode_bucket(merged)
     return encoded, time.process_time() - started
 
@@ -164,47 +164,47 @@
 TABLES = (
     Table("records", (1, 100, 1_000, 10_000, 100_000), build_records),
     Table("servers", (10, 100, 1_000, 4_900), build_servers),
-    Table("configuration", (10, 100, 1_000), build_objects),
+    Table("configuration", (10, 100, 1_000), build_configurations),
 )
 
 CLAIM_SIZES = (10, 100, 1_000, 10_000)
 
 
 def measure(table: Table, size: int, run: int) -> Point:
-    """Build a table once, for its memory, and once more, for its time."""
+    """Build a state once to measure its memory, and once more to measure its time."""
     gc.collect()
     tracemalloc.start()
-    kept = table.build(size)
+    state = table.build(size)
     allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del state
     gc.collect()
     started = time.process_time()
-    kept = table.build(size)
+    state = table.build(size)
     seconds = time.process_time() - started
-    del kept
+    del state
     return Point(table.name, size, run, allocated, seconds)
 
 
 def measure_claims(size: int, run: int) -> Point:
-    """Merge claims into a bucket: bytes of its value, time of the merge."""
+    """Measure the size of a bucket of claims and the time of a merge into it."""
     value, seconds = merge_claims(size)
     return Point("claims", size, run, len(value), seconds)
 
 
 def fit(points: list[Point], column: str) -> tuple[float, float, float]:
-    """Return slope, least and greatest slope over the runs, by least squares."""
+    """Return median, minimum and maximum over the runs of the least-squares slope."""
     slopes = []
     for run in range(RUNS):
-        mine = [point for point in points if point.run == run]
-        sizes = [float(point.size) for point in mine]
-        values = [float(getattr(point, column)) for point in mine]
+        selected = [point for point in points if point.run == run]
+        sizes = [float(point.size) for point in selected]
+        values = [float(getattr(point, column)) for point in selected]
         slopes.append(statistics.linear_regression(sizes, values).slope)
     return statistics.median(slopes), min(slopes), max(slopes)
 
 
 def main() -> None:
-    """Measure all tables and write the points and their slopes."""
+    """Measure all kinds of state, write the points and print their slopes."""
     points = [
         measure(table, size, run)
         for table in TABLES
@@ -212,20 +212,20 @@
         for run in range(RUNS)
     ]
     points += [measure_claims(size, run) for size in CLAIM_SIZES for run in range(RUNS)]
-    FOLDER.mkdir(parents=True, exist_ok=True)
-    with (FOLDER / "tables.csv").open("w", newline="") as file:
+    OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
+    with (OUTPUT_FOLDER / "tables.csv").open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(("table", "size", "run", "bytes", "seconds"))
         for point in points:
             seconds = f"{point.seconds:.6f}"
             writer.writerow((point.table, point.size, point.run, point.bytes, seconds))
     for name in dict.fromkeys(point.table for point in points):
-        mine = [point for point in points if point.table == name]
-        memory, processor = fit(mine, "bytes"), fit(mine, "seconds")
+        selected = [point for point in points if point.table == name]
+        memory, cpu = fit(selected, "bytes"), fit(selected, "seconds")
         sys.stdout.write(
             f"{name}: {memory[0]:.0f} bytes each ({memory[1]:.0f} to {memory[2]:.0f}), "
-            f"{processor[0] * 1e6:.2f} us each "
-            f"({processor[1] * 1e6:.2f} to {processor[2] * 1e6:.2f})\n"
+            f"{cpu[0] * 1e6:.2f} us each "
+            f"({cpu[1] * 1e6:.2f} to {cpu[2] * 1e6:.2f})\n"
         )
 
 
