--- a/dewridge/bench/cases.py
+++ b/dewridge/bench/cases.py
@@ -17,9 +17,9 @@
 from dewridge.ids import ProfileName
 
 WARM_UP_SECONDS = 20.0
-"""Excluded from the figures, while queues fill and credits are learned."""
-OVERLOAD_WARM_UP_SECONDS = 60.0
-"""Warm-up above capacity, where queues fill up to the longest deadline."""
+"""Start of a run, not counted, while queues fill and credits are learned."""
+LONG_WARM_UP_SECONDS = 60.0
+"""Warm-up near and above capacity, where queues fill up to the longest deadline."""
 
 FAULT_AT_SECONDS = 25.0
 """Time in a run at which a fault is injected."""
@@ -33,6 +33,7 @@
 BURST_FACTOR = 2.5
 """Factor on the arrival rate in bursts."""
 TODAY_SCALE = 1
+"""Fleet size as a multiple of today's."""
 TENFOLD_SCALE = 10
 """Fleet size as a multiple of today's."""
 
@@ -233,7 +234,7 @@
         slow = Slowdown(FAULT_AT_SECONDS)
         cases += [
             normal,
-            make_overload_case(normal, "saturated", SATURATED_LOAD),
+            change_load(normal, "saturated", SATURATED_LOAD),
             replace(normal, kind="slow", slowdown=slow, is_model_only=True),
             replace(normal, kind="burst", burst=BURST_FACTOR, is_model_only=True),
             replace(
@@ -247,7 +248,7 @@
             ),
         ]
         cases += [
-            replace(make_overload_case(normal, "sweep", load), is_model_only=True)
+            replace(change_load(normal, "sweep", load), is_model_only=True)
             for load in (0.9, 1.2, 1.6)
             if seed == 1
         ]
@@ -259,18 +260,18 @@
         name for name, share in deployment.accounts if share <= MAX_SMALL_ACCOUNT_SHARE
     )
     alone = Case("alone", deployment, COST_AWARE, SATURATED_LOAD, seed, accounts=small)
-    cases.append(make_overload_case(alone, "alone", SATURATED_LOAD))
+    cases.append(change_load(alone, "alone", SATURATED_LOAD))
     return cases
 
 
-def make_overload_case(case: Case, kind: str, load: float) -> Case:
-    """Return a case at another load, with a warm-up until queues are steady."""
+def change_load(case: Case, kind: str, load: float) -> Case:
+    """Return a case at another load, with a longer warm-up until queues are steady."""
     return replace(
         case,
         kind=kind,
         load=load,
-        seconds=OVERLOAD_WARM_UP_SECONDS + 50,
-        warm_up=OVERLOAD_WARM_UP_SECONDS,
+        seconds=LONG_WARM_UP_SECONDS + 50,
+        warm_up=LONG_WARM_UP_SECONDS,
     )
 
 
@@ -287,5 +288,5 @@
             seconds=45.0,
             is_model_only=True,
         )
-        cases += [normal, make_overload_case(normal, "saturated", SATURATED_LOAD)]
+        cases += [normal, change_load(normal, "saturated", SATURATED_LOAD)]
     return cases
--- a/dewridge/bench/decisions.py
+++ b/dewridge/bench/decisions.py
@@ -60,14 +60,14 @@
     started = time.perf_counter()
     scheduler.update_servers(list(views), 0.0)
     list_update = (time.perf_counter() - started) * 1e6
-    samples = _time_picks(scheduler)
+    samples = _time_scheduler(scheduler)
     percentiles = quantiles(samples, n=100)
     return DecisionTime(
         contender.name, servers, percentiles[49], percentiles[98], list_update
     )
 
 
-def _time_picks(scheduler: Scheduler) -> list[float]:
+def _time_scheduler(scheduler: Scheduler) -> list[float]:
     rng = random.Random(1)
     samples = []
     running: list[tuple[RequestId, BackendServerId]] = []
--- a/dewridge/bench/deployments.py
+++ b/dewridge/bench/deployments.py
@@ -143,7 +143,7 @@
 def _make_call(
     name: str,
     share: float,
-    allowance: float,
+    time_limit: float,
     *,
     is_interactive: bool,
     tokens: int = 1,
@@ -156,7 +156,7 @@
         idempotent=idempotent,
         expected_tokens=tokens,
     )
-    return CallSpec(operation, share, prompt, allowance)
+    return CallSpec(operation, share, prompt, time_limit)
 
 
 def _make_pools(
--- a/dewridge/bench/expectations.py
+++ b/dewridge/bench/expectations.py
@@ -19,7 +19,7 @@
 from dewridge.bench.deployments import DEPLOYMENTS, Deployment
 
 MIN_IN_TARGET = 0.95
-"""Share of answers within target from which a baseline counts as meeting it."""
+"""Smallest share within target with which a baseline counts as meeting the target."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -189,13 +189,11 @@
             costs[contender.name] = _average(
                 results, "normal", contender, lambda result: result.overall.cost
             )
-    own_cost = _average(
-        results, "normal", COST_AWARE, lambda result: result.overall.cost
-    )
+    cost = _average(results, "normal", COST_AWARE, lambda result: result.overall.cost)
     if not costs:
         return Verdict("cost", deployment.name, "no baseline meets the target", True)
     cheapest = min(costs, key=lambda name: costs[name])
-    saved_share = 1 - own_cost / costs[cheapest]
+    saved_share = 1 - cost / costs[cheapest]
     return Verdict(
         "cost an answer within target at least 20% below the best baseline that "
         "meets the target",
--- a/dewridge/bench/report.py
+++ b/dewridge/bench/report.py
@@ -166,7 +166,7 @@
 
 def draw_plot(path: Path, results: Sequence[Result]) -> None:
     """Plot the work answered within target by load."""
-    import matplotlib as mpl  # noqa: PLC0415  # slow to import, only needed here
+    import matplotlib as mpl  # noqa: PLC0415  # large, and only needed here
 
     mpl.use("Agg")
     from matplotlib import pyplot as plt  # noqa: PLC0415
--- a/dewridge/bench/services.py
+++ b/dewridge/bench/services.py
@@ -142,11 +142,11 @@
             self._start_attempt(host, assignment)
         self._schedule_moves(host, scheduler.find_moves(now))
         wake_time = scheduler.find_next_time(now)
-        known_wake_time = self._scheduler_wake_times[host]
+        planned_wake_time = self._scheduler_wake_times[host]
         if wake_time is not None and (
-            known_wake_time is None
-            or wake_time < known_wake_time
-            or known_wake_time <= now
+            planned_wake_time is None
+            or wake_time < planned_wake_time
+            or planned_wake_time <= now
         ):
             wake_time = max(wake_time, now + 0.001)
             self._scheduler_wake_times[host] = wake_time
@@ -170,10 +170,10 @@
 
     def _start_attempt(self, host: int, assignment: Assignment) -> None:
         request_state = self._requests[host][assignment.work.request]
-        done = assignment.work.tokens_done
-        request_state.record.recomputed_tokens += request_state.tokens - done
-        request_state.tokens = done
-        target = max(1, request_state.arrival.answer_tokens - done)
+        tokens_done = assignment.work.tokens_done
+        request_state.record.recomputed_tokens += request_state.tokens - tokens_done
+        request_state.tokens = tokens_done
+        target = max(1, request_state.arrival.answer_tokens - tokens_done)
         attempt = SimulatedAttempt(
             assignment.work,
             target,
@@ -233,10 +233,10 @@
         request = attempt.work.request
         server = request_state.server
         assert server is not None
-        done = attempt.work.tokens_done
-        is_first = request_state.tokens == done and report.tokens > 0
-        new_tokens = done + report.tokens - request_state.tokens
-        request_state.tokens = done + report.tokens
+        tokens_done = attempt.work.tokens_done
+        is_first = request_state.tokens == tokens_done and report.tokens > 0
+        new_tokens = tokens_done + report.tokens - request_state.tokens
+        request_state.tokens = tokens_done + report.tokens
         scheduler = self.schedulers[host]
         if is_first:
             request_state.record.record_first_token(now)
--- a/dewridge/bench/workers.py
+++ b/dewridge/bench/workers.py
@@ -131,9 +131,9 @@
         self._spec = spec
         self._steps = 0.0
         self._advanced_to = 0.0
-        self._prefills: list[SimulatedAttempt] = []
-        self._prefill_end = 0.0
-        self._milestones: list[tuple[float, int, SimulatedAttempt]] = []
+        self._prefill_queue: list[SimulatedAttempt] = []
+        self._prefill_end_step = 0.0
+        self._report_queue: list[tuple[float, int, SimulatedAttempt]] = []
         self._cache: OrderedDict[int, None] = OrderedDict()
 
     def accept(self, attempt: SimulatedAttempt, now: float) -> None:
@@ -148,9 +148,9 @@
         attempt.tokens = self._count_tokens(attempt)
         attempt.has_ended = True
         self.running.discard(attempt)
-        if attempt in self._prefills:
-            was_first = self._prefills[0] is attempt
-            self._prefills.remove(attempt)
+        if attempt in self._prefill_queue:
+            was_first = self._prefill_queue[0] is attempt
+            self._prefill_queue.remove(attempt)
             if was_first:
                 self._start_prefill()
         self._start_waiting(now)
@@ -159,10 +159,10 @@
         """Return the reports that are due."""
         self._advance_steps(now)
         reports: list[AttemptReport] = []
-        if self._prefills and self._steps >= self._prefill_end - 1e-9:
-            self._complete_prefill(self._prefills.pop(0), reports)
-        while self._milestones and self._milestones[0][0] <= self._steps + 1e-9:
-            _, _, attempt = heapq.heappop(self._milestones)
+        if self._prefill_queue and self._steps >= self._prefill_end_step - 1e-9:
+            self._complete_prefill(self._prefill_queue.pop(0), reports)
+        while self._report_queue and self._report_queue[0][0] <= self._steps + 1e-9:
+            _, _, attempt = heapq.heappop(self._report_queue)
             if not attempt.has_ended:
                 self._add_report(attempt, reports)
         self._start_waiting(now)
@@ -170,11 +170,11 @@
 
     def find_next_report_time(self) -> float | None:
         """Return when the next report is due if the batch does not change, or None."""
-        while self._milestones and self._milestones[0][2].has_ended:
-            heapq.heappop(self._milestones)
-        steps = [self._milestones[0][0]] if self._milestones else []
-        if self._prefills:
-            steps.append(self._prefill_end)
+        while self._report_queue and self._report_queue[0][2].has_ended:
+            heapq.heappop(self._report_queue)
+        steps = [self._report_queue[0][0]] if self._report_queue else []
+        if self._prefill_queue:
+            steps.append(self._prefill_end_step)
         if not steps:
             return None
         remaining_steps = max(0.0, min(steps) - self._steps)
@@ -187,34 +187,37 @@
                 return
             self.running.add(attempt)
             attempt.started_at = now
-            self._prefills.append(attempt)
-            if len(self._prefills) == 1:
+            self._prefill_queue.append(attempt)
+            if len(self._prefill_queue) == 1:
                 self._start_prefill()
 
     def _start_prefill(self) -> None:
-        if not self._prefills:
+        if not self._prefill_queue:
             return
-        attempt = self._prefills[0]
+        attempt = self._prefill_queue[0]
         work = attempt.work
-        cached = self._match_prefix(work)
+        cached_tokens = self._match_prefix(work)
         context_tokens = work.prompt_tokens + work.tokens_done
-        computed = max(
+        computed_tokens = max(
             0,
-            context_tokens - max(cached, min(attempt.imported_tokens, context_tokens)),
+            context_tokens
+            - max(cached_tokens, min(attempt.imported_tokens, context_tokens)),
         )
         if attempt.is_retry:
-            attempt.recomputed_tokens = computed
-        self._prefill_end = self._steps + max(1.0, computed / self._spec.prefill)
+            attempt.recomputed_tokens = computed_tokens
+        self._prefill_end_step = self._steps + max(
+            1.0, computed_tokens / self._spec.prefill
+        )
 
     def _match_prefix(self, work: Work) -> int:
         if work.prefix == 0:
             return 0
-        cached = work.prefix in self._cache
+        is_cached = work.prefix in self._cache
         self._cache[work.prefix] = None
         self._cache.move_to_end(work.prefix)
         if len(self._cache) > MAX_CACHED_PREFIXES:
             self._cache.popitem(last=False)
-        return int(work.prompt_tokens * PREFIX_SHARE) if cached else 0
+        return int(work.prompt_tokens * PREFIX_SHARE) if is_cached else 0
 
     def _complete_prefill(
         self, attempt: SimulatedAttempt, reports: list[AttemptReport]
@@ -233,11 +236,11 @@
             attempt.has_ended = True
             self.running.discard(attempt)
             return
-        step = min(attempt.tokens, MAX_REPORT_TOKENS)
-        next_report_tokens = min(attempt.target_tokens, attempt.tokens + step)
+        interval = min(attempt.tokens, MAX_REPORT_TOKENS)
+        next_report_tokens = min(attempt.target_tokens, attempt.tokens + interval)
         self.sequence += 1
-        milestone = (attempt.decode_start_step or 0.0) + next_report_tokens
-        heapq.heappush(self._milestones, (milestone, self.sequence, attempt))
+        report_step = (attempt.decode_start_step or 0.0) + next_report_tokens
+        heapq.heappush(self._report_queue, (report_step, self.sequence, attempt))
 
     def _count_tokens(self, attempt: SimulatedAttempt) -> int:
         if attempt.decode_start_step is None:
@@ -248,10 +251,10 @@
 
     def _compute_step_seconds(self) -> float:
         spec = self._spec
-        step = spec.step + spec.step_stream * len(self.running)
-        if self._prefills:
-            step += spec.prefill * spec.prefill_token
-        return step * self.slowdown
+        seconds = spec.step + spec.step_stream * len(self.running)
+        if self._prefill_queue:
+            seconds += spec.prefill * spec.prefill_token
+        return seconds * self.slowdown
 
     def _advance_steps(self, now: float) -> None:
         if now > self._advanced_to:
--- a/dewridge/slopes/frames.py
+++ b/dewridge/slopes/frames.py
@@ -23,7 +23,7 @@
 from dewridge.peers.wire import ttypes
 from dewridge.settings.schema import PeerSettings
 
-FRAME_LIMIT = 8_000_000
+FRAME_LIMIT_BYTES = 8_000_000
 REPETITIONS = 5_000
 MEASURE_SECONDS = 3.0
 STREAMS = 20
@@ -104,14 +104,14 @@
     """Measure encoding, decoding and calls, and print the rates."""
     log.remove()
     message = make_message()
-    frame = encode_frame(FrameContent(1, 0, message), FRAME_LIMIT)
+    frame = encode_frame(FrameContent(1, 0, message), FRAME_LIMIT_BYTES)
     assert isinstance(frame, bytes)
     print(
         f"a frame of {STREAMS} streams, {TOKENS_PER_STREAM} tokens each: "
         f"{len(frame)} bytes"
     )
     time_operation(
-        "encode", lambda: encode_frame(FrameContent(1, 0, message), FRAME_LIMIT)
+        "encode", lambda: encode_frame(FrameContent(1, 0, message), FRAME_LIMIT_BYTES)
     )
     time_operation("decode", lambda: decode_payload(frame[LENGTH_BYTES:]))
     for callers in (1, 16, 64):
--- a/dewridge/slopes/membership.py
+++ b/dewridge/slopes/membership.py
@@ -150,8 +150,8 @@
         with trio.fail_after(MAX_JOIN_SECONDS):
             while True:
                 costs = await self.measure()
-                is_spread = max(cost.news for cost in costs) == 0
-                if is_spread and min(cost.knows for cost in costs) == members:
+                has_no_updates = max(cost.news for cost in costs) == 0
+                if has_no_updates and min(cost.knows for cost in costs) == members:
                     return
                 await trio.sleep(1.0)
 
--- a/dewridge/slopes/tables.py
+++ b/dewridge/slopes/tables.py
@@ -51,7 +51,7 @@
 
 RUNS = 3
 INPUT_BYTES = 1_000
-TOKENS = 100
+TOKENS_PER_RECORD = 100
 OUTPUT_FOLDER = Path("docs/figures")
 
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class Table:
+class StateKind:
     """A kind of state, the sizes to measure, and the function that builds it."""
 
     name: str
@@ -81,7 +81,7 @@
 
 
 def build_records(size: int) -> list[Record]:
-    """Return accepted requests with 1 kB of input and 100 tokens each."""
+    """Return records of accepted requests with 1 kB of input and 100 tokens each."""
     ballot = Ballot(1, HostId("entry-1"), Incarnation(1))
     records = []
     for number in range(size):
@@ -94,7 +94,7 @@
             1,
             0.0,
             f"{number:08d}" * (INPUT_BYTES // 8),
-            TOKENS,
+            TOKENS_PER_RECORD,
             True,
             ProfileName("drafting"),
             0.0,
@@ -102,7 +102,9 @@
             make_generation(ballot),
             number,
         )
-        record.tokens = [f" token{number % 977}-{index}" for index in range(TOKENS)]
+        record.tokens = [
+            f" token{number % 977}-{index}" for index in range(TOKENS_PER_RECORD)
+        ]
         records.append(record)
     return records
 
@@ -129,7 +131,7 @@
     return table
 
 
-def build_configurations(size: int) -> Any:
+def build_configuration_state(size: int) -> Any:
     """Build a configuration of `size` profiles, its stored objects and its head."""
     choice = PolicyChoice("balanced")
     objects = {}
@@ -161,29 +163,29 @@
     return encoded, time.process_time() - started
 
 
-TABLES = (
-    Table("records", (1, 100, 1_000, 10_000, 100_000), build_records),
-    Table("servers", (10, 100, 1_000, 4_900), build_servers),
-    Table("configuration", (10, 100, 1_000), build_configurations),
+STATE_KINDS = (
+    StateKind("records", (1, 100, 1_000, 10_000, 100_000), build_records),
+    StateKind("servers", (10, 100, 1_000, 4_900), build_servers),
+    StateKind("configuration", (10, 100, 1_000), build_configuration_state),
 )
 
 CLAIM_SIZES = (10, 100, 1_000, 10_000)
 
 
-def measure(table: Table, size: int, run: int) -> Point:
+def measure(kind: StateKind, size: int, run: int) -> Point:
     """Build a state once to measure its memory, and once more to measure its time."""
     gc.collect()
     tracemalloc.start()
-    state = table.build(size)
+    state = kind.build(size)
     allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     del state
     gc.collect()
     started = time.process_time()
-    state = table.build(size)
+    state = kind.build(size)
     seconds = time.process_time() - started
     del state
-    return Point(table.name, size, run, allocated, seconds)
+    return Point(kind.name, size, run, allocated, seconds)
 
 
 def measure_claims(size: int, run: int) -> Point:
@@ -206,9 +208,9 @@
 def main() -> None:
     """Measure all kinds of state, write the points and print their slopes."""
     points = [
-        measure(table, size, run)
-        for table in TABLES
-        for size in table.sizes
+        measure(kind, size, run)
+        for kind in STATE_KINDS
+        for size in kind.sizes
         for run in range(RUNS)
     ]
     points += [measure_claims(size, run) for size in CLAIM_SIZES for run in range(RUNS)]
--- a/dewridge/tests/load/samples_tests.py
+++ b/dewridge/tests/load/samples_tests.py
@@ -1,4 +1,7 @@
-"""Tests that the generator measures latencies from the scheduled time of a call."""
+"""Tests that the generator measures latencies from the scheduled time of a call.
+
+Delays of the generator itself are therefore included.
+"""
 
 from dataclasses import replace
 
@@ -25,7 +28,7 @@
     assert 0.41 < len(large) / len(calls) < 0.48
     assert calls == list(draw_calls(SELLO_VERDE, arrivals))
     for mix in MIXES.values():
-        assert abs(sum(shape.weight for shape in mix.calls) - 1) < 1e-9
+        assert abs(sum(spec.weight for spec in mix.calls) - 1) < 1e-9
     filtered_calls = draw_calls(
         KAROO, replace(arrivals, only_operation="answer_question")
     )
