--- a/dewridge/bench/simulation.py
+++ b/dewridge/bench/simulation.py
@@ -94,7 +94,11 @@
         return self._timeline.now
 
     def run(self) -> list[Record]:
-        """Run until all requests have completed or failed, and return their records."""
+        """Run until all requests have ended or `DRAIN_SECONDS` after the last arrival.
+
+        Returns:
+            The records of all requests.
+        """
         check_at = 0.0
         while self._timeline.run_next(self._stop_at):
             if self.now >= check_at:
--- a/dewridge/load/samples.py
+++ b/dewridge/load/samples.py
@@ -85,7 +85,7 @@
 
 
 def read_percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """Return percentiles and the maximum in milliseconds, or nothing without values."""
+    """Return percentiles and maximum in milliseconds; an empty dict without values."""
     if histogram.get_total_count() == 0:
         return {}
     percentiles = {
--- a/dewridge/load/session.py
+++ b/dewridge/load/session.py
@@ -14,8 +14,8 @@
 )
 
 DIRECT_ACCOUNTS = tuple(f"account-{n}" for n in range(1, 6))
-"""Account names for direct calls, which need no entry host to know the accounts. They
-begin the prompts and are sent as cache salt."""
+"""Account names for direct calls, where no entry host defines the accounts. They begin
+the prompts and are sent as cache salt."""
 
 
 class OptionError(Exception):
--- a/dewridge/slopes/figures.py
+++ b/dewridge/slopes/figures.py
@@ -40,7 +40,7 @@
 
 
 def fit(rows: list[Row], column: str, growth: str) -> tuple[float, float]:
-    """Fit a column by least squares to the members or to their logarithm.
+    """Fit a column by least squares to a + b * members, or to a + b * log(members).
 
     Args:
         rows: the runs; those without a value are left out.
--- a/dewridge/tests/bench/workers_tests.py
+++ b/dewridge/tests/bench/workers_tests.py
@@ -12,7 +12,7 @@
 
 
 def run_engine(engine: SimulatedEngine) -> dict[str, float]:
-    """Run all attempts, and return when each was completed by request id."""
+    """Run all attempts, and return their completion times by request id."""
     completed = {}
     while (at := engine.find_next_report_time()) is not None:
         for report in engine.collect_reports(at):
