--- a/dewridge/gateway/ingress.py
+++ b/dewridge/gateway/ingress.py
@@ -285,7 +285,7 @@
     if not head.target.startswith(b"/"):
         return Failure(ResultCode.MALFORMED_REQUEST, "the target is no path")
     host = next((value for name, value in headers if name == b"host"), b"")
-    patience = (
+    caller_timeout = (
         DEFAULT_DEADLINE_SECONDS
         if marks.caller_timeout is None
         else marks.caller_timeout
@@ -301,7 +301,7 @@
         sizes=marks.sizes,
         last_event=marks.last_event_id,
         arrived_at=arrived_at,
-        deadline=arrived_at + patience,
+        deadline=arrived_at + caller_timeout,
     )
 
 
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -18,7 +18,7 @@
 from dewridge.gateway.suspects import merge_suspects
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest, ServiceName
 from dewridge.platform.store import Item, Store, Write
-from dewridge.policy.suspects import End, Suspect
+from dewridge.policy.suspects import Crash, Suspect
 from dewridge.sentinels import Failure
 
 SUSPECTS_PREFIX = SYSTEM_PREFIX + "suspects/"
@@ -154,8 +154,8 @@
         suspect.account,
         suspect.service,
         {
-            server: (end.at + offset, end.sent_at + offset)
-            for server, end in suspect.crashes.items()
+            server: (crash.at + offset, crash.sent_at + offset)
+            for server, crash in suspect.crashes.items()
         },
         sorted(suspect.cleared),
     )
@@ -170,7 +170,7 @@
         stored.account,
         stored.service,
         {
-            server: End(min(now, crashed_at + offset), sent_at + offset)
+            server: Crash(min(now, crashed_at + offset), sent_at + offset)
             for server, (crashed_at, sent_at) in stored.ends.items()
         },
         set(stored.cleared),
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -14,7 +14,7 @@
 from dewridge.gateway.reports import SuspectUpdate
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest
-from dewridge.policy.suspects import End, Suspect
+from dewridge.policy.suspects import Crash, Suspect
 from dewridge.sentinels import Failure
 
 REPORT_TIME = 4.0
@@ -60,7 +60,7 @@
     """Record that a server crashed when it had just begun to run a request."""
     account = job.account.name if job.account else ClientAccount("")
     suspect = Suspect(
-        job.digest, account, job.service, {server: End(crashed_at, job.sent_at)}
+        job.digest, account, job.service, {server: Crash(crashed_at, job.sent_at)}
     )
     state.metrics.add("servers_ended_under_requests_total", service=job.service)
     state.observed_crashes.add(job.digest)
@@ -188,8 +188,11 @@
         account=suspect.account,
         service=suspect.service,
         crashes={
-            server: (round((now - end.at) * 1000), round((now - end.sent_at) * 1000))
-            for server, end in suspect.crashes.items()
+            server: (
+                round((now - crash.at) * 1000),
+                round((now - crash.sent_at) * 1000),
+            )
+            for server, crash in suspect.crashes.items()
         },
         cleared=sorted(suspect.cleared),
     )
@@ -202,7 +205,7 @@
         update.account,
         update.service,
         {
-            server: End(now - crashed_ms / 1000, now - sent_ms / 1000)
+            server: Crash(now - crashed_ms / 1000, now - sent_ms / 1000)
             for server, (crashed_ms, sent_ms) in update.crashes.items()
         },
         set(update.cleared),
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -44,14 +44,14 @@
     def __init__(
         self,
         state: GatewayState,
-        tenancy: HolderElection,
+        election: HolderElection,
         store: Store,
         cloud: Cloud,
         request_usage: Callable[[Iterable[HostEntry]], None] = lambda hosts: None,
     ) -> None:
         self._request_usage = request_usage
         self._state = state
-        self._tenancy = tenancy
+        self._election = election
         self._store = store
         self._cloud = cloud
         self._reported_windows: set[int] = set()
@@ -62,7 +62,7 @@
     async def run(self) -> None:
         """Report each window that is due, forever."""
         while True:
-            term = self._tenancy.find_active_term()
+            term = self._election.find_active_term()
             if term is not None and self._has_settled(term):
                 for window in self._list_due_windows():
                     if self._is_ready_to_report(window):
@@ -133,7 +133,7 @@
 
     async def _report(self, term: DutyTerm, window: int) -> None:
         counts = await self._persist_counts(window)
-        if counts is None or self._tenancy.find_active_term() != term:
+        if counts is None or self._election.find_active_term() != term:
             return
         outcome = await self._cloud.report_usage(term, window, counts)
         if outcome is CallOutcome.ACCEPTED:
--- a/dewridge/membership/service.py
+++ b/dewridge/membership/service.py
@@ -132,7 +132,7 @@
         self._state.subscribe_rumors(kind, listener)
 
     def check_peer(self, peer: PeerIdentity) -> Failure | None:
-        """Return why a peer must be rejected, if so; for `PeerTransport.is_refused`."""
+        """Return why a peer must be rejected, if so; for `PeerTransport.check_peer`."""
         if self._table.is_obsolete(peer.host, peer.incarnation):
             return Failure(ResultCode.FENCED, "fenced or superseded incarnation")
         return None
--- a/dewridge/policy/suspects.py
+++ b/dewridge/policy/suspects.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Crash:
     """Crash of a server while it ran a request, in monotonic times of this host.
 
     Attributes:
@@ -55,7 +55,7 @@
     digest: RequestDigest
     account: ClientAccount
     service: ServiceName
-    crashes: dict[BackendServerId, End] = field(default_factory=dict)
+    crashes: dict[BackendServerId, Crash] = field(default_factory=dict)
     cleared: set[BackendServerId] = field(default_factory=set)
     updated_at: float = float("-inf")
 
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -64,7 +64,7 @@
         replicator: Replicator,
         scheduling: Scheduling,
         claims: Claimer,
-        ender: RequestFinisher,
+        finisher: RequestFinisher,
         servers: Servers,
         dispatch: Dispatch,
         stopping: AttemptStopper,
@@ -74,7 +74,7 @@
         self._replicator = replicator
         self._scheduling = scheduling
         self._claims = claims
-        self._ender = ender
+        self._finisher = finisher
         self._servers = servers
         self._dispatch = dispatch
         self.stopping = stopping
@@ -92,7 +92,7 @@
         """Queue an accepted request, or fail it if its service no longer exists."""
         if not self._scheduling.restore(answer.record):
             failure = Failure(ResultCode.UNKNOWN_SERVICE, "the service is gone")
-            self._ender.fail(answer, failure)
+            self._finisher.fail(answer, failure)
 
     def find(self, request: RequestId) -> Attempt | None:
         """Return the running attempt for a request."""
@@ -289,7 +289,7 @@
         """
         self._scheduling.withdraw(answer.record)
         self.release_claim(answer.record)
-        self._ender.fail(answer, failure)
+        self._finisher.fail(answer, failure)
 
     def release_claim(self, record: Record) -> None:
         """Release the claim of a call that was never sent, if one was requested."""
@@ -394,7 +394,7 @@
                 record.request, attempt.server, outcome, len(record.tokens), now
             )
             self._scheduling.withdraw(record)
-            self._ender.fail(attempt.answer, result)
+            self._finisher.fail(attempt.answer, result)
         else:
             if result.code is ResultCode.BACKEND_SERVER_LEAVING:
                 self._servers.handle_leaving(attempt.server, None, "engine")
@@ -407,7 +407,7 @@
         self._record_end(attempt, AttemptOutcome.DONE)
         server = self._servers.find(attempt.server)
         domain = server.listed.failure_domain if server else ""
-        self._ender.complete(attempt.answer, end.body, attempt.server, domain)
+        self._finisher.complete(attempt.answer, end.body, attempt.server, domain)
 
     def _record_end(
         self,
@@ -425,7 +425,7 @@
         )
         self._scheduling.wake()
         if isinstance(decision, Abandoned):
-            self._ender.fail(attempt.answer, failure or decision.failure, decision)
+            self._finisher.fail(attempt.answer, failure or decision.failure, decision)
         elif outcome is not AttemptOutcome.DONE and not isinstance(decision, Retry):
             self._scheduling.restore(record)
 
--- a/dewridge/requests/service.py
+++ b/dewridge/requests/service.py
@@ -128,13 +128,13 @@
             writes_per_second=writes_per_second,
         )
         self._claims = Claimer(shared, self._committer)
-        self._ender = RequestFinisher(shared, self._replicator, self._usage)
+        self._finisher = RequestFinisher(shared, self._replicator, self._usage)
         self._attempts = Attempts(
             shared,
             replicator=self._replicator,
             scheduling=self._scheduling,
             claims=self._claims,
-            ender=self._ender,
+            finisher=self._finisher,
             servers=servers,
             dispatch=dispatch,
             stopping=AttemptStopper(shared, servers, orders),
@@ -157,7 +157,7 @@
             replicator=self._replicator,
             locator=self._locator,
             attempts=self._attempts,
-            finisher=self._ender,
+            finisher=self._finisher,
         )
         self._handoff = Handoff(
             shared,
@@ -168,7 +168,7 @@
             followers=self._followers,
             failover=self._failover,
         )
-        self._taker = HandoffReceiver(
+        self._handoff_receiver = HandoffReceiver(
             shared,
             replicator=self._replicator,
             attempts=self._attempts,
@@ -186,7 +186,7 @@
     def _connect(self) -> None:
         self._shared.table.on_replaced = self._handle_replaced
         self._scheduling.on_abandoned = self._handle_abandoned
-        self._ender.on_not_run = self._attempts.release_claim
+        self._finisher.on_not_run = self._attempts.release_claim
         peers = self._shared.peers
         for kind, handler in self._handlers.list_handlers():
             peers.handle(kind, handler)
@@ -194,7 +194,7 @@
         peers.handle(wire.FollowTokens, self._followers.receive)
         peers.handle(wire.StopFollow, self._followers.stop)
         peers.handle(wire.Claim, self._claims.serve)
-        peers.handle(wire.Handoff, self._taker.receive_handoff)
+        peers.handle(wire.Handoff, self._handoff_receiver.receive_handoff)
         peers.handle(wire.Cancel, self._serve_cancel)
 
     def list_tasks(self) -> list[tuple[str, Run]]:
@@ -279,7 +279,7 @@
                 attempt.stop(StopCause.CANCELLED)
             self._scheduling.withdraw(record)
             cancelled = Failure(code, "cancelled by the caller")
-            self._ender.fail(answer, cancelled)
+            self._finisher.fail(answer, cancelled)
         with trio.move_on_after(2 * self._shared.settings.replica_timeout):
             while not answer.end_visible and not answer.lost:
                 await answer.wait_for_change()
@@ -300,7 +300,7 @@
     def _handle_abandoned(self, request: RequestId, failure: Failure) -> None:
         answer = self._replicator.find(request)
         if answer is not None:
-            self._ender.fail(answer, failure)
+            self._finisher.fail(answer, failure)
 
     def _handle_replaced(self, old: Record, new: Record | None) -> None:
         """Stop this host's work on a record that another owner's record replaced."""
@@ -321,15 +321,15 @@
         self._attempts.unpark(old.request)
         self._attempts.release_claim(old)
 
-    async def drain(self, timeout: float, patience: float = 0.0) -> None:
+    async def drain(self, timeout: float, answer_timeout: float = 0.0) -> None:
         """Leave gracefully: finish or hand off every request, then return.
 
         Args:
             timeout: seconds in which requests are handed off.
-            patience: seconds after that during which answers to calls already sent
-                are still awaited.
+            answer_timeout: seconds after that during which answers to calls already
+                sent are still awaited.
         """
-        await self._handoff.drain(timeout, self._is_accepting, patience)
+        await self._handoff.drain(timeout, self._is_accepting, answer_timeout)
         self._scheduling.sync_usage()
         await self._send_usage()
 
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -22,7 +22,7 @@
 from dewridge.policy.suspects import (
     MAX_SUSPECTS,
     QUARANTINE_PERIOD,
-    End,
+    Crash,
     Suspect,
     SuspectLedger,
 )
@@ -113,9 +113,9 @@
             else now - first_token_at,
         )
         if verdict.is_request_suspect:
-            self._report_crash(attempt, End(now, sent_at))
+            self._report_crash(attempt, Crash(now, sent_at))
 
-    def _report_crash(self, attempt: Attempt, crash: End) -> None:
+    def _report_crash(self, attempt: Attempt, crash: Crash) -> None:
         record = attempt.record
         account, _ = split_request_id(record.request)
         digest = make_request_digest(
@@ -178,7 +178,7 @@
             RequestDigest(digest),
             payload.account,
             payload.service,
-            {server: End(payload.at, payload.sent_at)},
+            {server: Crash(payload.at, payload.sent_at)},
             {server} if rumor.version >= VERSION_CLEARED else set(),
         )
         self._apply(suspect)
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -27,7 +27,7 @@
 from dewridge.policy.suspects import (
     MAX_SUSPECTS,
     QUARANTINE_PERIOD,
-    End,
+    Crash,
     Suspect,
     SuspectLedger,
 )
@@ -251,9 +251,9 @@
     ledger = SuspectLedger()
     updates = []
     for number in range(3):
-        end = End(10.0 + number, 9.9 + number)
+        crash = Crash(10.0 + number, 9.9 + number)
         suspect = Suspect(
-            DIGEST, ACCOUNT, ENGINE, {BackendServerId(f"s-{number}"): end}
+            DIGEST, ACCOUNT, ENGINE, {BackendServerId(f"s-{number}"): crash}
         )
         updates.append(encode_suspect(suspect, 12.5))
     for update in updates:
@@ -273,7 +273,7 @@
     now = trio.current_time()
     for number in range(MAX_SUSPECTS):
         ends = {
-            BackendServerId(f"i-{number}{age}-0123456789"): End(now - age, now - age)
+            BackendServerId(f"i-{number}{age}-0123456789"): Crash(now - age, now - age)
             for age in range(3)
         }
         digest = RequestDigest(f"{number:016x}")
@@ -303,7 +303,8 @@
             server = BackendServerId(f"s-{number}")
             before.observed_crashes.add(DIGEST)
             merge_suspects(
-                before, [Suspect(DIGEST, ACCOUNT, ENGINE, {server: End(at, at - 0.1)})]
+                before,
+                [Suspect(DIGEST, ACCOUNT, ENGINE, {server: Crash(at, at - 0.1)})],
             )
             await trio.sleep(1.0)
         store.is_down = False
@@ -327,7 +328,7 @@
     """Return a request that three servers crashed on recently."""
     now = trio.current_time()
     ends = {
-        BackendServerId(f"s-{n}"): End(now - 3 + n, now - 3.1 + n) for n in range(3)
+        BackendServerId(f"s-{n}"): Crash(now - 3 + n, now - 3.1 + n) for n in range(3)
     }
     return Suspect(DIGEST, ACCOUNT, ENGINE, ends)
 
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -40,7 +40,7 @@
 from dewridge.policy.suspects import (
     CRASH_THRESHOLD,
     SIMULTANEOUS_CRASH_WINDOW,
-    End,
+    Crash,
     Suspect,
 )
 from dewridge.tests.gateway.duties_tests import AlwaysHolder, RecordingCloud
@@ -374,6 +374,6 @@
 ) -> None:
     """Let a host see a server crash while it ran a request sent shortly before."""
     now = trio.current_time()
-    crash = End(now, now - 0.1)
+    crash = Crash(now, now - 0.1)
     suspect = Suspect(digest, ACCOUNTS[0], ServiceName("engine"), {server: crash})
     merge_suspects(host.state, [suspect])
--- a/dewridge/tests/membership/networks.py
+++ b/dewridge/tests/membership/networks.py
@@ -29,9 +29,9 @@
     """Return the message as decoded by the receiver."""
     frame = encode_frame(FrameContent(1, 0, message), MAX_FRAME_BYTES)
     assert isinstance(frame, bytes), frame
-    parcel = decode_payload(frame[4:])
-    assert isinstance(parcel, FrameContent)
-    return parcel.message
+    content = decode_payload(frame[4:])
+    assert isinstance(content, FrameContent)
+    return content.message
 
 
 class Network:
@@ -63,7 +63,7 @@
     def __init__(self, network: Network, identity: PeerIdentity, address: str) -> None:
         self.identity = identity
         self.address = address
-        self.is_refused: Callable[[PeerIdentity], Failure | None] = lambda peer: None
+        self.check_peer: Callable[[PeerIdentity], Failure | None] = lambda peer: None
         self._network = network
         self._handlers: dict[type, Handler] = {}
         network.peers[address] = self
@@ -94,7 +94,7 @@
         return _NO_REPLY
 
     async def answer(self, peer: PeerIdentity, message: Message) -> Message | Failure:
-        rejection = self.is_refused(peer)
+        rejection = self.check_peer(peer)
         if rejection is not None:
             return rejection
         reply = await self._handlers[type(message)](peer, message)
@@ -147,7 +147,7 @@
             seed=number * 1_000 + incarnation,
             on_fenced=partial(self.fenced.append, host),
         )
-        peers.is_refused = service.check_peer
+        peers.check_peer = service.check_peer
         changes = self.changes[host] = []
         service.subscribe(changes.append)
         scope = self._scopes[host] = trio.CancelScope()
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -19,7 +19,7 @@
     MAX_CRASHES,
     MAX_SUSPECTS,
     QUARANTINE_PERIOD,
-    End,
+    Crash,
     Suspect,
     SuspectLedger,
 )
@@ -34,7 +34,7 @@
 def make_suspect(crashes: dict[str, float], digest: str = CAUSE) -> Suspect:
     """Return a suspect that was sent to servers right before they crashed."""
     named = {
-        BackendServerId(server): End(at, at - RUN_TIME)
+        BackendServerId(server): Crash(at, at - RUN_TIME)
         for server, at in crashes.items()
     }
     return Suspect(RequestDigest(digest), ACCOUNT, SERVICE, named)
@@ -73,7 +73,9 @@
     for number in range(CRASH_THRESHOLD):
         sent_at = 1.0 + number * 0.01
         suspect = make_suspect({})
-        suspect.crashes = {BackendServerId(f"s{number}"): End(sent_at + 0.005, sent_at)}
+        suspect.crashes = {
+            BackendServerId(f"s{number}"): Crash(sent_at + 0.005, sent_at)
+        }
         ledger.merge(suspect, sent_at)
     assert ledger.find_quarantine_left(CAUSE, 1.1) > 0
 
--- a/dewridge/tests/requests/leaving_tests.py
+++ b/dewridge/tests/requests/leaving_tests.py
@@ -143,7 +143,7 @@
         key = await submit(cluster, "host-0", "issue_letter")
         await wait_until(lambda: cluster.workers.count(key) == 1, 0.01)
         cluster.announce_leaving("host-0")
-        await cluster.nodes["host-0"].service.drain(0.3, patience=0.5)
+        await cluster.nodes["host-0"].service.drain(0.3, answer_timeout=0.5)
         cluster.kill("host-0")
         assert (await read_end(cluster, "host-1", key)).code is ResultCode.OK
         assert cluster.workers.count(key) == 1
