--- a/dewridge/configuration/service.py
+++ b/dewridge/configuration/service.py
@@ -72,8 +72,8 @@
 class ConfigurationService:
     """Provides the configuration in force on this host, whose revision only grows.
 
-    A few hosts watch the key-value service. The others receive a rumor of a few
-    bytes about a new revision and pull the changed objects from a peer.
+    A few hosts watch the key-value service. The other hosts receive a rumor of
+    a few bytes about a new revision and pull the changed objects from a peer.
     """
 
     def __init__(
--- a/dewridge/fleet/watcher.py
+++ b/dewridge/fleet/watcher.py
@@ -249,8 +249,8 @@
         self._cached_digest = None
         if server.state is ServerState.LEAVING:
             # The host that learns of it first, perhaps because the server rejected
-            # a request, spreads it. The others would otherwise send requests to the
-            # server until the lagging host list or a notice shows its departure.
+            # a request, spreads it. Otherwise the other hosts would send requests to
+            # the server until the lagging host list or a notice shows its departure.
             at = self._table.find_leaving_time(server.id)
             self._spread_leaving(server.id, at, "server")
 
--- a/dewridge/gateway/cellview.py
+++ b/dewridge/gateway/cellview.py
@@ -35,7 +35,7 @@
 
     @property
     def received_at(self) -> float:
-        """Steady time at which the last report on the cell was received."""
+        """Monotonic time at which the last report on the cell was received."""
         return max(view.received_at for view in self.sources.values())
 
     @property
--- a/dewridge/gateway/clock.py
+++ b/dewridge/gateway/clock.py
@@ -6,7 +6,7 @@
 def read_boot_clock() -> float:
     """Return seconds since the host's boot, suspension included.
 
-    The steady clock stops while a host is suspended. Measured by it, a lease or a
-    confirmed configuration would still look valid seconds after it expired.
+    The monotonic clock stops while a host is suspended. Measured by it, a lease or
+    a confirmed configuration would still look valid seconds after it expired.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -52,7 +52,7 @@
 
     Attributes:
         id: name of the host.
-        boot: number of the process start; a later start has a higher number.
+        boot: number of the host incarnation; a later one has a higher number.
         frontend: address `a.b.c.d:port` for callers.
         peers: address `a.b.c.d:port` for the other entry hosts.
         failure_domain: failure domain of the host.
@@ -99,10 +99,10 @@
 
     @property
     def key(self) -> str:
-        """The key of the entry, which differs for each start of the process.
+        """The key of the entry, which differs for each host incarnation.
 
-        With one key for all starts, the end of an earlier start's lease could remove
-        the entry of a later start.
+        With one key for all incarnations of the host, the end of an earlier
+        incarnation's lease could remove the entry of a later one.
         """
         return f"{HOSTS_PREFIX}{self.entry.id}/{self.entry.boot}"
 
@@ -131,8 +131,9 @@
             return False
         if self._written_entry == self.entry:
             return True
-        # Until this start is ready, keep the entry of the previous start: a newer entry
-        # that is not ready would remove the host from all lists sent to callers.
+        # Until this host incarnation is ready, keep the entry of the previous one: a
+        # newer entry that is not ready would remove the host from all lists sent to
+        # callers.
         if self._written_entry is None and not self.entry.is_ready:
             return True
         entry = self.entry
@@ -316,7 +317,7 @@
         changed.set()
 
     def list_hosts(self) -> list[HostEntry]:
-        """Return the newest start of each registered host."""
+        """Return the newest incarnation of each registered host."""
         newest: dict[HostId, HostEntry] = {}
         for entry in self._entries.values():
             known = newest.get(entry.id)
--- a/dewridge/gateway/jobs.py
+++ b/dewridge/gateway/jobs.py
@@ -22,7 +22,7 @@
 
 @dataclass
 class Job:
-    """A request that is being served; all times are steady times.
+    """A request that is being served; all times are monotonic times.
 
     Attributes:
         request: the caller's request.
--- a/dewridge/gateway/model.py
+++ b/dewridge/gateway/model.py
@@ -278,8 +278,8 @@
         sizes: the sizes that the request states.
         last_event: id of the event after which the caller resumes; None for a new
             request.
-        arrived_at: steady time at which its head was read.
-        deadline: steady time at which the caller stops waiting.
+        arrived_at: monotonic time at which its head was read.
+        deadline: monotonic time at which the caller stops waiting.
     """
 
     id: AttemptKey
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Pool of idle connections to backend servers, retained while surely usable."""
+"""Pool of idle connections to backend servers, retained while certainly usable."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass
--- a/dewridge/gateway/servers.py
+++ b/dewridge/gateway/servers.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Departure:
-    """Departure of a server process; steady times.
+    """Departure of a server process; monotonic times.
 
     Attributes:
         learned_at: when this host learned of it.
@@ -171,7 +171,7 @@
 
         Args:
             server: the process.
-            now: steady time.
+            now: monotonic time.
             reason: reason for the log.
             leaves_in: seconds until it stops serving; None if unknown.
             is_reported: whether another host reported the departure.
@@ -229,7 +229,7 @@
     def list_cache_warm(self, service: ServiceName, now: float) -> list[ServerRecord]:
         """Return the servers of a service that have had time to fill their caches.
 
-        Leaving servers are included as long as they surely still serve.
+        Leaving servers are included as long as they certainly still serve.
         """
         self._departing_records = {
             server: record
--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -107,7 +107,7 @@
         on_outcomes: called with the growth of a rollout outcome counter at other hosts.
         is_outcome_open: whether such a counter belongs to a rollout in progress.
         on_report: called with each periodic report that is accepted.
-        started_at: steady time at which this process started.
+        started_at: monotonic time at which this process started.
         boot: start time of this process, in microseconds since 1970.
         cell_peers: the last report of each other host of the local cell.
         cells: the other cells.
@@ -356,7 +356,7 @@
 
         Args:
             local: this host's totals.
-            now: steady time.
+            now: monotonic time.
         """
         peer_totals = [
             view.report.totals
--- a/dewridge/gateway/sharinglink.py
+++ b/dewridge/gateway/sharinglink.py
@@ -107,7 +107,7 @@
 
 
 class ReportLink:
-    """Sends the reports of this host and receives those of the others.
+    """Sends the reports of this host and receives those of the other hosts.
 
     Attributes:
         on_departures: called with each urgent message about departing servers.
--- a/dewridge/gateway/streams.py
+++ b/dewridge/gateway/streams.py
@@ -19,7 +19,7 @@
 
 @dataclass
 class RunningStream:
-    """A stream on one server; all times are steady times.
+    """A stream on one server; all times are monotonic times.
 
     Attributes:
         moves_at: time at which it is moved or, once stopped, no longer waited for.
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -162,7 +162,7 @@
 
 
 def decode_stored(stored: StoredSuspect) -> Suspect:
-    """Return a request from its stored form, with steady times of this host."""
+    """Return a request from its stored form, with monotonic times of this host."""
     now = trio.current_time()
     offset = now - time.time()
     return Suspect(
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -28,7 +28,7 @@
 goes through all suspects, and reports are frequent."""
 SUSPECTS_PER_REPORT = 4
 """Maximum number of updated suspects in a report, and of quarantined ones, which are
-repeated for hosts that missed them. The others follow in later reports."""
+repeated for hosts that missed them. The other suspects follow in later reports."""
 
 
 def check_quarantine(state: GatewayState, job: Job) -> Failure | None:
@@ -182,7 +182,7 @@
 
 
 def encode_suspect(suspect: Suspect, now: float) -> SuspectUpdate:
-    """Return a suspect's wire form, with ages in place of this host's steady times."""
+    """Return a suspect's wire form, with ages instead of monotonic times."""
     return SuspectUpdate(
         digest=suspect.digest,
         account=suspect.account,
@@ -199,7 +199,7 @@
 
 
 def decode_suspect(update: SuspectUpdate, now: float) -> Suspect:
-    """Return a suspect reported by another host, with steady times of this host."""
+    """Return a suspect reported by another host, with monotonic times of this host."""
     return Suspect(
         update.digest,
         update.account,
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -86,7 +86,7 @@
 BATCH_DELAY = 0.1
 """Seconds between two watches of the servers. The servers of a failure domain join and
 leave within this time, and without the delay each of them would cost each host a call.
-Hosts wake at different times, and the first one reports to the others."""
+Hosts wake at different times, and the first one reports to the other hosts."""
 MAX_BATCH_DELAY = 1.0
 """Upper limit on the delay in seconds if many hosts read for all. This is half of the
 time within which all hosts must know of a leaving server, in case only one reader is
--- a/dewridge/membership/exchanges.py
+++ b/dewridge/membership/exchanges.py
@@ -338,10 +338,10 @@
 
     def _was_isolated(self) -> bool:
         # An isolated host, one that was paused or partitioned from all others, is
-        # terminated: the others took over its requests and are consistent without
-        # it. Members that were partitioned together refute and continue, because
-        # they hold replicas of each other's requests, which would be lost if all
-        # of them restarted.
+        # terminated: the other hosts took over its requests and are consistent
+        # without it. Members that were partitioned together refute and continue,
+        # because they hold replicas of each other's requests, which would be lost if
+        # all of them restarted.
         if trio.current_time() > self._isolated_until:
             return False
         return sum(1 for _ in self._table.others()) >= MIN_OTHERS_TO_TERMINATE
--- a/dewridge/policy/affinity.py
+++ b/dewridge/policy/affinity.py
@@ -22,7 +22,7 @@
 
     Consistent hashing with bounded loads. When most requests share one prefix, such as
     a document template, the bound keeps its server from getting nearly all the work
-    while the others are idle: the overflow goes to the next server by score.
+    while the other servers are idle: the overflow goes to the next server by score.
 
     Args:
         in_flight: requests in flight to the server.
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -172,7 +172,7 @@
             # An account that was idle gets credit for a small part of the service
             # that it missed, so that two or three requests at once don't each wait
             # for a round of all accounts. With credit for all of it, the account
-            # would starve the others until it had caught up.
+            # would starve the other accounts until it had caught up.
             queue.weight = weight
             queue.since = self._served
             queue.served = 0.0
--- a/dewridge/policy/registry.py
+++ b/dewridge/policy/registry.py
@@ -232,7 +232,7 @@
     PolicyKind.ADMISSION: "fair",
     PolicyKind.RECOVERY: "resume",
 }
-"""Policies used in place of a name that this release does not know. A newer release may
+"""Policies used instead of a name that this release does not know. A newer release may
 have published it; a host that stopped serving because of it would turn a rolling
 upgrade into an outage."""
 
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -20,16 +20,16 @@
 a burst finds no free slots."""
 TOLERATED_DEFICIT_SHARE = 0.1
 """Share of the needed servers that may be missing without a replacement: what each of
-the others can take on beside its own work. Computed from the planned servers instead of
-the needed ones, a small fleet replaced servers that it had to spare, at 0.05 of a day's
-benefit; where the loss of a whole domain was tolerated, a large fleet served only 0.75
-of the worth of a day with four waves of reclaims."""
+the other servers can take on beside its own work. Computed from the planned servers
+instead of the needed ones, a small fleet replaced servers that it had to spare, at 0.05
+of a day's benefit; where the loss of a whole domain was tolerated, a large fleet served
+only 0.75 of the worth of a day with four waves of reclaims."""
 INITIAL_QUOTA_SHARE = 0.33
 """Share of all accounts' quotas that is taken as the demand until it has been measured.
 Quotas allow an account about twice its usual demand, and small ones more. At one half,
 90 servers were ordered where the measured demand then needed about 60."""
 INITIAL_SERVER_SHARE = 0.8
-"""Share of the servers found at the start that is retained if accounts have no
+"""Share of the servers found at startup that is retained if accounts have no
 quotas."""
 DEMAND_WARM_UP = 12.0
 """Seconds since the first request after which only the measured demand counts: the time
@@ -94,13 +94,13 @@
 ) -> int:
     """Return how many servers are assumed to be needed while the demand is unknown.
 
-    This applies at a start, and at a restart of all hosts: a rate is measured over
+    This applies at startup, and at a restart of all hosts: a rate is measured over
     eight seconds, and a server takes four to start. Planned by the measured rate from
     the first requests on, callers got half of their answers in time in the first twenty
     seconds.
 
     Args:
-        found_servers: servers of all kinds that existed at the start.
+        found_servers: servers of all kinds that existed when the hosts started.
         quota_rate: tokens per second that all accounts together may use; 0 for no
             limit.
         work_age: seconds since the first request; 0 before it.
@@ -124,7 +124,7 @@
 
     They are enough for the need when one domain is reclaimed: an on-demand server in
     their place costs four to five times as much, and starts seconds later. Each domain
-    gets at least one, so that it is not empty when the others are reclaimed.
+    gets at least one, so that it is not empty when the other domains are reclaimed.
 
     Args:
         needed: servers needed for the demand, or at the start.
--- a/dewridge/policy/usual.py
+++ b/dewridge/policy/usual.py
@@ -35,7 +35,7 @@
 
 
 MAX_SAMPLE_AGE = 10.0
-"""Seconds since the last answer for which the latencies are used. Used for ever,
+"""Seconds since the last answer for which the latencies are used. Used forever,
 latencies of a bad moment could cause every request with a short deadline to be refused,
 and with nothing sent no answer would ever correct them."""
 
@@ -106,7 +106,7 @@
         return first + between * max(0, work.expected_tokens - work.tokens_done - 1)
 
     def is_slow(self, record: ServerCredits, now: float) -> bool:
-        """Whether a server is much slower than the others, or silent."""
+        """Whether a server is much slower than the other servers, or silent."""
         if record.health is Health.PROBING:
             sent_at = (
                 record.awaiting_first_token.get(record.probe, now)
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -32,7 +32,7 @@
 """Leading characters of a prompt that are hashed, so that requests with a common prefix
 can be placed on the same server."""
 DEFAULT_LEAVE_NOTICE = 2.0
-"""Seconds until a leaving server is assumed to be gone if no time was announced;
+"""Seconds until a leaving server is assumed to have departed if no time was announced;
 reclaim notices give 2 to 5 s."""
 
 
--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -418,8 +418,8 @@
 async def test_requests_to_overloaded_engines_are_refused_at_once() -> None:
     """Guards against callers that wait until their deadline before they can retry.
 
-    Half of the engines were reclaimed, and the others have far more requests than they
-    can run.
+    Half of the engines were reclaimed, and the other engines have far more requests
+    than they can run.
     """
 
     async def stream(exchange: ServerExchange) -> None:
--- a/dewridge/tests/gateway/pool_tests.py
+++ b/dewridge/tests/gateway/pool_tests.py
@@ -78,7 +78,8 @@
     """Guards against losing a request on each idle connection to a dead server.
 
     A server's host loses power, and its connections stay open. The first request that
-    is sent on one of them is lost; further requests must not use the others.
+    is sent on one of them is lost; further requests must not use the other
+    connections.
     """
     answered = 0
 
--- a/dewridge/tests/gateway/restarts_tests.py
+++ b/dewridge/tests/gateway/restarts_tests.py
@@ -23,7 +23,7 @@
 
 
 def make_record(born: int, *, is_draining: bool = False) -> ServerRecord:
-    """Return the record of one start of the server `s-1`."""
+    """Return the record of one process of the server `s-1`."""
     name = ServerName("s-1")
     return ServerRecord(
         make_server_id(name, born),
@@ -54,7 +54,7 @@
 
 
 def test_a_server_that_drained_gets_requests_after_a_restart() -> None:
-    """Guards against excluding a restarted server because its previous start drained.
+    """Guards against excluding a restarted server because its previous process drained.
 
     It would stay idle while callers are refused.
     """
@@ -66,11 +66,11 @@
 
 
 def test_a_late_record_of_an_earlier_start_does_not_affect_the_next_one() -> None:
-    """Guards against applying outdated records of the previous start of a server.
+    """Guards against applying outdated records of the previous process of a server.
 
-    A lagging read returns the previous start as draining or ready. If it were applied,
-    the restarted server would never get requests, or requests would be counted for a
-    start that has ended.
+    A lagging read returns the previous process as draining or ready. If it were
+    applied, the restarted server would never get requests, or requests would be counted
+    for a process that has ended.
     """
     table = ServerTable()
     table.update(make_record(SECOND_START), 0.0)
--- a/dewridge/tests/gateway/state_tests.py
+++ b/dewridge/tests/gateway/state_tests.py
@@ -341,8 +341,9 @@
 ) -> None:
     """Guards against an empty list of addresses after a power loss of all hosts.
 
-    The entries of the earlier starts still exist. If entries that are not ready yet
-    replaced them, callers would get no address although all hosts are ready soon.
+    The entries of the earlier host incarnations still exist. If entries that are not
+    ready yet replaced them, callers would get no address although all hosts are ready
+    soon.
     """
     monkeypatch.setattr(hosts, "read_boot_clock", trio.current_time)
     store = MemoryStore()
@@ -380,8 +381,8 @@
 def test_live_peers_share_the_polls() -> None:
     """Guards against late detection of changes while the watches of all hosts hang.
 
-    The first host that polls reports to the others. A host without live peers has only
-    its own polls, and operators rely on two seconds.
+    The first host that polls reports to the other hosts. A host without live peers has
+    only its own polls, and operators rely on two seconds.
     """
     rng = random.Random(5)
     alone = StoreWatcher(
--- a/dewridge/tests/policy/quota_tests.py
+++ b/dewridge/tests/policy/quota_tests.py
@@ -145,7 +145,8 @@
 def test_hosts_that_are_cut_off_use_only_their_share() -> None:
     """Guards against both sides of a network partition spending the full quota.
 
-    Three of seven hosts lose contact to the others, and both sides continue to serve.
+    Three of seven hosts lose contact to the other hosts, and both sides continue to
+    serve.
     """
     quota = Quota(rate=1000.0, burst=1000.0)
     fleet = Fleet(7, quota)
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -276,8 +276,8 @@
     """Guards against hosts that judge a server only by their own attempts.
 
     In a fleet of 85 hosts, each tries a failing server once in ten seconds and sees no
-    two failures in a row. Without the reports of the others, the server would continue
-    to get its share of all requests and fail them.
+    two failures in a row. Without the reports of the other hosts, the server would
+    continue to get its share of all requests and fail them.
     """
     meters = [OutcomeMeter() for _ in range(20)]
     for meter in meters:
@@ -402,7 +402,8 @@
 def test_a_fleet_that_loses_a_domain_has_the_needed_servers() -> None:
     """Guards against an overload after the reclaim of one failure domain.
 
-    Without spare servers the others are overloaded until new ones have started.
+    Without spare servers, the remaining ones are overloaded until new servers have
+    started.
     """
     for needed in range(1, 40):
         for domains in (2, 3, 7):
--- a/dewridge/tests/requests/fakes.py
+++ b/dewridge/tests/requests/fakes.py
@@ -100,7 +100,7 @@
     is_crashed: bool = False
 
     async def wait_until_running(self) -> None:
-        """Wait while the host is paused, and for ever once it has crashed."""
+        """Wait while the host is paused, and forever once it has crashed."""
         await self.resumed.wait()
         if self.is_crashed:
             await trio.sleep_forever()
