--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -208,7 +208,7 @@
         The growth during a silence of the peer is not applied. The silent peer used no
         more than its share of each quota, which this host had reserved for it.
         Deducting that usage again would, after a partition of ten seconds, refuse an
-        account for ten more at the host that was cut off.
+        account for ten more at the host that was partitioned.
         """
         # Usage from before this process started is not in its quota buckets.
         if previous is None and report.age > now - self.started_at:
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -26,7 +26,7 @@
 """Seconds between two checks for copies to write or to delete."""
 FALLBACK_WRITE_DELAY = 3.0
 """Seconds that the hosts that saw the crashes have for writing a copy before the holder
-of the duties writes it: they may have ended, or be cut off from the store."""
+of the duties writes it: they may have ended, or be partitioned from the store."""
 MAX_STORED = 64
 """Maximum number of copies in the store; all hosts read the whole list."""
 MIN_LEASE = 5.0
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -182,7 +182,7 @@
 
 
 def encode_suspect(suspect: Suspect, now: float) -> SuspectUpdate:
-    """Return a suspect's wire form, with ages instead of monotonic times."""
+    """Return a suspect's wire form, with ages instead of local monotonic times."""
     return SuspectUpdate(
         digest=suspect.digest,
         account=suspect.account,
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -78,7 +78,7 @@
         candidates,
         state.rng,
         can_copy=bool(holders),
-        news_age=state.sharing.staleness,
+        staleness=state.sharing.staleness,
     )
     if placement is None:
         return None
@@ -106,8 +106,8 @@
     """Return the server where a crash caused by a suspect request harms least.
 
     The server with the fewest requests is chosen, so that the fewest are lost with it.
-    Servers that already run a suspect request are avoided, so that an innocent request
-    is not blamed for the same crash again.
+    Servers that already run a suspect request are avoided, so that a request is not
+    counted again for a crash that another one causes.
     """
     candidates = list_candidates(state, records, now)
     chosen = choose_fewest_requests(candidates, state.work.suspects, state.rng)
@@ -140,7 +140,7 @@
     rng: random.Random,
     *,
     can_copy: bool,
-    news_age: float,
+    staleness: float,
 ) -> Placement | None:
     """Choose a server by prompt and cache for an engine, else by free slots."""
     sizes = job.request.sizes
@@ -152,7 +152,7 @@
             sizes.prompt_tokens,
             rng,
             can_copy=can_copy,
-            staleness=news_age,
+            staleness=staleness,
         )
     chosen = choose_least_loaded(candidates, rng)
     return None if chosen is None else Placement(chosen.id, 0)
--- a/dewridge/policy/choice.py
+++ b/dewridge/policy/choice.py
@@ -24,8 +24,8 @@
 receive each other's reports."""
 
 HOLDERS_PER_PREFIX = 2
-"""Number of cache holders of a prefix. With a single one, prompts that it has no time
-for would be read completely at other servers, each time at a different one."""
+"""Number of cache holders of a prefix. With a single one, prompts that exceed its
+capacity would be read completely at other servers, each time at a different one."""
 SHARED_WEIGHT = 2.0
 """Load that a cache holder may have above the least loaded server, as a multiple of the
 prompt's shared tokens. It is more than 1 because reading the shared tokens again at
@@ -36,8 +36,9 @@
 copy takes a tenth of the time of reading them, and costs some milliseconds of work."""
 BUSY_WEIGHT = 1.0
 """Load that a cache holder may have above the least loaded server, as a multiple of the
-load of that server: the busier all servers are, the less can be read twice. In the same
-replay at 90% of the capacity, 14% of the answers were late with 0 and 7% with 1."""
+load of that server: the busier all servers are, the fewer tokens can be read
+twice. In the same replay at 90% of the capacity, 14% of the answers were late with 0
+and 7% with 1."""
 
 MAX_STALENESS = 0.4
 """Staleness of the other hosts' reports, in seconds, above which they don't show which
@@ -116,9 +117,9 @@
     servers were idle, and a tenth of the answers were late under light load.
 
     In a large fleet the reports of other hosts are stale, and some servers are always
-    reported as idle. If all hosts chose these, their bursts would meet there, which is
-    worse than a random choice. With stale reports, only the cache holders are compared,
-    which differ by prefix.
+    reported as idle. If all hosts chose these, their bursts would go to the same
+    servers, which is worse than a random choice. With stale reports, only the cache
+    holders are compared, which differ by prefix.
 
     Args:
         candidates: the service's servers.
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -10,8 +10,9 @@
 from dewridge.policy.model import AttemptOutcome, Work, WorkClass
 
 MAX_OWED_MULTIPLE = 4.0
-"""Upper bound of the background work owed, as a multiple of the cost of the background
-head. It bounds the burst of background work after a long time of interactive work."""
+"""Upper bound of the background work owed, as a multiple of the cost of the first
+queued background entry. It bounds the burst of background work after a long time of
+interactive work."""
 
 BURST_REQUESTS = 8.0
 """Requests of an account that may be served in a burst after it was idle."""
--- a/dewridge/policy/quota.py
+++ b/dewridge/policy/quota.py
@@ -29,7 +29,7 @@
 late."""
 EARLY_USAGE_RETENTION = 30.0
 """Seconds for which usage by other hosts is stored for an account without a bucket
-here. An account that goes on using its quota for longer has a nearly empty bucket
+here. An account that continues to use its quota for longer has a nearly empty bucket
 anyway."""
 MAX_EXTRAPOLATED_HOSTS = 8
 """Other hosts, at most, that are assumed to have the same demand as this host until
@@ -127,7 +127,7 @@
     def fill(self, quota: Quota, live_share: float, now: float) -> None:
         """Add the units since the last call, without the shares of silent hosts."""
         if live_share < self.live_share and self.level > 0:
-            # A host that has just been cut off has a replica with the same level, and
+            # A host that was just partitioned has a replica with the same level, and
             # both sides would spend it.
             self.level *= live_share / self.live_share
         self.live_share = live_share
@@ -140,8 +140,8 @@
     """One host's replicas of the buckets of all accounts.
 
     Attributes:
-        usage_totals: units that each account used at this host since the start.
-        demand_totals: units that each account asked for at this host since the start.
+        usage_totals: units that each account used at this host since startup.
+        demand_totals: units that each account asked for at this host since startup.
     """
 
     def __init__(
@@ -203,7 +203,7 @@
         """Return 0 if an account may use some units now, else the seconds to wait.
 
         An account may suddenly send many times its usual demand to all hosts at once.
-        Without a quota it would take the engines from the other accounts; limited by
+        Without a quota it would occupy the engines that other accounts need; limited by
         each host alone, it would get one quota per host. While the demand at all hosts
         exceeds what the bucket holds until the next reports, each request is accepted
         with a probability equal to the part that fits: all hosts see the same level and
@@ -275,7 +275,7 @@
         In a large fleet an account's first request reaches some hosts seconds after its
         first request elsewhere, and what it used since has partly been refilled. The
         usage is therefore replayed in time: subtracted at once from a full bucket, it
-        would start the account with a debt.
+        would give the account a negative initial level.
         """
         early = self._early_usage.pop(account, deque())
         level = quota.burst if self._starts_full else quota.level_after_restart
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -21,7 +21,7 @@
 TOLERATED_DEFICIT_SHARE = 0.1
 """Share of the needed servers that may be missing without a replacement: what each of
 the other servers can take on beside its own work. Computed from the planned servers
-instead of the needed ones, a small fleet replaced servers that it had to spare, at 0.05
+instead of the needed ones, a small fleet replaced servers that it could spare, at 0.05
 of a day's benefit; where the loss of a whole domain was tolerated, a large fleet served
 only 0.75 of the worth of a day with four waves of reclaims."""
 INITIAL_QUOTA_SHARE = 0.33
@@ -37,9 +37,9 @@
 rise."""
 MIN_SHRINK_COUNT = 2
 MIN_SHRINK_SHARE = 0.1
-"""Number of servers, and share of them, that must be surplus before any is given up:
-giving up a server ends the requests that it runs, and with the next wave of demand it
-is ordered again."""
+"""Number of servers, and share of them, that must be surplus before any is removed:
+removing a server ends the requests that it runs, and with the next wave of demand it is
+ordered again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     seconds.
 
     Args:
-        found_servers: servers of all kinds that existed when the hosts started.
+        found_servers: servers of all kinds that existed at startup.
         quota_rate: tokens per second that all accounts together may use; 0 for no
             limit.
         work_age: seconds since the first request; 0 before it.
@@ -148,10 +148,10 @@
     """Spread reclaimable servers over all domains, and add on-demand ones if needed.
 
     Reclaims come in waves, domain after domain, and no reclaimable servers are
-    available for ten seconds or more: four waves take the whole fleet. On-demand
+    available for ten seconds or more: four waves remove the whole fleet. On-demand
     servers, which are still available then, cost four to five times as much. They are
     ordered only for the part of the demand that the serving reclaimable ones can't
-    take, where they are cheapest, and are given up when the reclaimable ones are back.
+    take, where they are cheapest, and are removed when the reclaimable ones are back.
     They take seconds to start, and the next domain is reclaimed seconds after the
     first. The servers that its loss would leave missing are therefore ordered as soon
     as the first is lost.
--- a/dewridge/tests/gateway/duties_tests.py
+++ b/dewridge/tests/gateway/duties_tests.py
@@ -245,7 +245,7 @@
         self._fails = fails
 
     async def report_usage(
-        self, tenure: DutyTerm, window: int, counts: dict[ClientAccount, int]
+        self, term: DutyTerm, window: int, counts: dict[ClientAccount, int]
     ) -> CallOutcome:
         """Record a report."""
         self.reports.append((window, counts))
--- a/dewridge/tests/gateway/scaling_tests.py
+++ b/dewridge/tests/gateway/scaling_tests.py
@@ -31,7 +31,7 @@
         self.ordered: dict[tuple[FailureDomain, bool], int] = {}
         self.is_dry = False
 
-    async def order_servers(self, tenure: DutyTerm, order: Order) -> CallOutcome:
+    async def order_servers(self, term: DutyTerm, order: Order) -> CallOutcome:
         """Record an order."""
         pool = order.failure_domain, order.is_reclaimable
         grows = order.count > self.ordered.get(pool, 0)
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -176,7 +176,7 @@
 
 
 class AlwaysThisHolder(AlwaysHolder):
-    """HolderElection of the host `HOLDER_ID`, which always holds the duties."""
+    """An election that the host `HOLDER_ID` always wins."""
 
     def __init__(self) -> None:
         self._fixed_term = DutyTerm(HOLDER_ID, 5)
--- a/dewridge/tests/policy/quota_tests.py
+++ b/dewridge/tests/policy/quota_tests.py
@@ -19,7 +19,7 @@
 
 
 class Fleet:
-    """Hosts that receive each other's usage after a delay, except those cut off."""
+    """Hosts that receive each other's usage after a delay, except those partitioned."""
 
     def __init__(self, count: int, quota: Quota, *, delay: float = 0.15) -> None:
         self.names = [HostId(f"host-{number}") for number in range(count)]
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -385,7 +385,7 @@
 def test_servers_follow_a_burst_within_seconds_and_shrink_slowly() -> None:
     """Guards against late growth in a burst, and against shrinking right after it.
 
-    Late servers make callers wait; servers given up in each trough of the load are
+    Late servers make callers wait; servers removed in each trough of the load are
     missing at the next peak.
     """
     totals = replay_demand([90_000.0] * 30 + [480_000.0] * 10 + [90_000.0] * 40)
