--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -63,7 +63,7 @@
             record_crash(state, job, server.id, now)
         elif verdict.server is ServerVerdict.GONE and not lost.is_not_run:
             # The route's attempt limit bounds how many servers a request may crash. The
-            # attempt does not count against it if the request is not blamed.
+            # attempt does not count against it if the request is not a suspect.
             job.possible_runs -= 1
 
     async def _probe_server(self, server: ServerRecord) -> ConnectResult | None:
--- a/dewridge/membership/prober.py
+++ b/dewridge/membership/prober.py
@@ -19,8 +19,8 @@
 instead of one each."""
 URGENT_FANOUT = 2
 """Members that urgent updates are sent to at once. Two reach four fifths of any number
-of members within a second; the others get the update by probes within the next few
-seconds. Each contact costs a connection, and three would cost half as much again
+of members within a second; the other members get the update by probes within the next
+few seconds. Each contact costs a connection, and three would cost half as much again
 without finishing sooner."""
 URGENT_RATE = 2.0
 URGENT_BURST = 10.0
--- a/dewridge/membership/ranking.py
+++ b/dewridge/membership/ranking.py
@@ -62,8 +62,8 @@
 def has_duty(duty: str, view: MembershipView, holders: int = 1) -> bool:
     """Return whether this host is among the first `holders` members for a duty.
 
-    Views of the membership may differ for a while, so too many hosts may believe
-    that they have the duty. It must therefore be harmless if carried out twice.
+    Views of the membership may differ for a while, so more than `holders` hosts
+    may carry out the duty. It must therefore be harmless if carried out twice.
     """
     live = [member for member in view.members() if member.accepts_work]
     first = rank_members(duty, live)[:holders]
--- a/dewridge/policy/mergedtotals.py
+++ b/dewridge/policy/mergedtotals.py
@@ -1,4 +1,4 @@
-"""Merges reports of the same running total, each counted from its own start."""
+"""Merges reports of the same running total, each counted since its sender started."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -127,8 +127,8 @@
     gets at least one, so that it is not empty when the other domains are reclaimed.
 
     Args:
-        needed: servers needed for the demand, or at the start.
-        previous: result of the previous plan; 0 at the start.
+        needed: servers needed for the demand, or at startup.
+        previous: result of the previous plan; 0 at startup.
         domains: number of failure domains.
     """
     spread = math.ceil(needed / RECLAIMABLE_LOAD_SHARE * domains / max(1, domains - 1))
--- a/dewridge/requests/answers.py
+++ b/dewridge/requests/answers.py
@@ -39,8 +39,8 @@
         former_replicas: replicas of earlier owners. They may hold an end that this
             host has not received.
         trusted: replicas whose acknowledgement counts. A successor must be able to
-            find each of them through the other ones, or it would continue without the
-            tokens that only that replica holds.
+            find each of them through the other replicas, or it would continue without
+            the tokens that only that replica holds.
         visible_tokens: number of tokens that a replica has acknowledged. Callers see
             no more, so that the next owner has everything that a caller saw.
         end_visible: whether callers may see the end.
--- a/dewridge/requests/replicas.py
+++ b/dewridge/requests/replicas.py
@@ -115,7 +115,8 @@
         """Return the records that have not ended, whoever owns them.
 
         They have an index of their own: most of a host's tens of thousands of
-        records have ended, and the owners of the others are checked twice a second.
+        records have ended, and the owners of the live ones are checked twice a
+        second.
         """
         for request, record in list(self._live.items()):
             if record.ended is not None or self._records.get(request) is not record:
