--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -2,10 +2,10 @@
 
 Covers versions that fail or slow down at once, after some time, under full load or on
 one route only. A trial sends a small share of the requests to a few servers of the
-target version, so that these are as loaded as the others. Their answers are compared
-with those of the old version over the same time and routes, so that causes common to
-both, such as a burst, the loss of a failure domain or a request that crashes servers,
-do not count against the target.
+target version, so that these are as loaded as the servers of the old version. Their
+answers are compared with those of the old version over the same time and routes, so
+that causes common to both, such as a burst, the loss of a failure domain or a request
+that crashes servers, do not count against the target.
 """
 
 import math
--- a/dewridge/policy/suspects.py
+++ b/dewridge/policy/suspects.py
@@ -16,8 +16,8 @@
 crashes at different times."""
 MAX_CRASHES = 12
 """Crashes stored per request, the newest ones: a few times the threshold, so that those
-that no longer count, since the request was answered later, don't displace the
-others."""
+that no longer count, since the request was answered later, don't displace those
+that count."""
 MAX_SUSPECTS = 512
 """Requests stored, in half a megabyte. Beyond that, the one with the fewest crashes is
 evicted, the oldest among equals: a caller who sends many different requests has to
