--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -107,7 +107,7 @@
         on_outcomes: called with the growth of a rollout outcome counter at other hosts.
         is_outcome_open: whether such a counter belongs to a rollout in progress.
         on_report: called with each periodic report that is accepted.
-        started_at: steady time at which this process started.
+        started_at: monotonic time at which this process started.
         boot: start time of this process, in microseconds since 1970.
         cell_peers: the last report of each other host of the local cell.
         cells: the other cells.
@@ -208,7 +208,7 @@
         The growth during a silence of the peer is not applied. The silent peer used no
         more than its share of each quota, which this host had reserved for it.
         Deducting that usage again would, after a partition of ten seconds, refuse an
-        account for ten more at the host that was cut off.
+        account for ten more at the host that was partitioned.
         """
         # Usage from before this process started is not in its quota buckets.
         if previous is None and report.age > now - self.started_at:
@@ -356,7 +356,7 @@
 
         Args:
             local: this host's totals.
-            now: steady time.
+            now: monotonic time.
         """
         peer_totals = [
             view.report.totals
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -18,7 +18,7 @@
 from dewridge.gateway.suspects import merge_suspects
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest, ServiceName
 from dewridge.platform.store import Item, Store, Write
-from dewridge.policy.suspects import End, Suspect
+from dewridge.policy.suspects import Crash, Suspect
 from dewridge.sentinels import Failure
 
 SUSPECTS_PREFIX = SYSTEM_PREFIX + "suspects/"
@@ -26,7 +26,7 @@
 """Seconds between two checks for copies to write or to delete."""
 FALLBACK_WRITE_DELAY = 3.0
 """Seconds that the hosts that saw the crashes have for writing a copy before the holder
-of the duties writes it: they may have ended, or be cut off from the store."""
+of the duties writes it: they may have ended, or be partitioned from the store."""
 MAX_STORED = 64
 """Maximum number of copies in the store; all hosts read the whole list."""
 MIN_LEASE = 5.0
@@ -154,15 +154,15 @@
         suspect.account,
         suspect.service,
         {
-            server: (end.at + offset, end.sent_at + offset)
-            for server, end in suspect.crashes.items()
+            server: (crash.at + offset, crash.sent_at + offset)
+            for server, crash in suspect.crashes.items()
         },
         sorted(suspect.cleared),
     )
 
 
 def decode_stored(stored: StoredSuspect) -> Suspect:
-    """Return a request from its stored form, with steady times of this host."""
+    """Return a request from its stored form, with monotonic times of this host."""
     now = trio.current_time()
     offset = now - time.time()
     return Suspect(
@@ -170,7 +170,7 @@
         stored.account,
         stored.service,
         {
-            server: End(min(now, crashed_at + offset), sent_at + offset)
+            server: Crash(min(now, crashed_at + offset), sent_at + offset)
             for server, (crashed_at, sent_at) in stored.ends.items()
         },
         set(stored.cleared),
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -14,7 +14,7 @@
 from dewridge.gateway.reports import SuspectUpdate
 from dewridge.gateway.state import GatewayState
 from dewridge.ids import BackendServerId, ClientAccount, RequestDigest
-from dewridge.policy.suspects import End, Suspect
+from dewridge.policy.suspects import Crash, Suspect
 from dewridge.sentinels import Failure
 
 REPORT_TIME = 4.0
@@ -28,7 +28,7 @@
 goes through all suspects, and reports are frequent."""
 SUSPECTS_PER_REPORT = 4
 """Maximum number of updated suspects in a report, and of quarantined ones, which are
-repeated for hosts that missed them. The others follow in later reports."""
+repeated for hosts that missed them. The other suspects follow in later reports."""
 
 
 def check_quarantine(state: GatewayState, job: Job) -> Failure | None:
@@ -60,7 +60,7 @@
     """Record that a server crashed when it had just begun to run a request."""
     account = job.account.name if job.account else ClientAccount("")
     suspect = Suspect(
-        job.digest, account, job.service, {server: End(crashed_at, job.sent_at)}
+        job.digest, account, job.service, {server: Crash(crashed_at, job.sent_at)}
     )
     state.metrics.add("servers_ended_under_requests_total", service=job.service)
     state.observed_crashes.add(job.digest)
@@ -182,27 +182,30 @@
 
 
 def encode_suspect(suspect: Suspect, now: float) -> SuspectUpdate:
-    """Return a suspect's wire form, with ages in place of this host's steady times."""
+    """Return a suspect's wire form, with ages instead of local monotonic times."""
     return SuspectUpdate(
         digest=suspect.digest,
         account=suspect.account,
         service=suspect.service,
         crashes={
-            server: (round((now - end.at) * 1000), round((now - end.sent_at) * 1000))
-            for server, end in suspect.crashes.items()
+            server: (
+                round((now - crash.at) * 1000),
+                round((now - crash.sent_at) * 1000),
+            )
+            for server, crash in suspect.crashes.items()
         },
         cleared=sorted(suspect.cleared),
     )
 
 
 def decode_suspect(update: SuspectUpdate, now: float) -> Suspect:
-    """Return a suspect reported by another host, with steady times of this host."""
+    """Return a suspect reported by another host, with monotonic times of this host."""
     return Suspect(
         update.digest,
         update.account,
         update.service,
         {
-            server: End(now - crashed_ms / 1000, now - sent_ms / 1000)
+            server: Crash(now - crashed_ms / 1000, now - sent_ms / 1000)
             for server, (crashed_ms, sent_ms) in update.crashes.items()
         },
         set(update.cleared),
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -10,8 +10,9 @@
 from dewridge.policy.model import AttemptOutcome, Work, WorkClass
 
 MAX_OWED_MULTIPLE = 4.0
-"""Upper bound of the background work owed, as a multiple of the cost of the background
-head. It bounds the burst of background work after a long time of interactive work."""
+"""Upper bound of the background work owed, as a multiple of the cost of the first
+queued background entry. It bounds the burst of background work after a long time of
+interactive work."""
 
 BURST_REQUESTS = 8.0
 """Requests of an account that may be served in a burst after it was idle."""
@@ -172,7 +173,7 @@
             # An account that was idle gets credit for a small part of the service
             # that it missed, so that two or three requests at once don't each wait
             # for a round of all accounts. With credit for all of it, the account
-            # would starve the others until it had caught up.
+            # would starve the other accounts until it had caught up.
             queue.weight = weight
             queue.since = self._served
             queue.served = 0.0
