--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -142,7 +142,8 @@
             return complete
         if out.has_started:
             # This server failed to continue a stream. The caller already has the head
-            # of a successful answer, so only a cut connection can show the failure.
+            # of a successful answer, so only closing the connection can show the
+            # failure.
             return LostAttempt(
                 LossReason.FAILED,
                 f"status {complete.head.status}",
--- a/dewridge/gateway/directory.py
+++ b/dewridge/gateway/directory.py
@@ -16,12 +16,13 @@
 from dewridge.sentinels import Failure
 
 ADDRESS_TTL = 1.0
-"""Seconds for which callers may use a list of addresses. Some use it three times as
+"""Seconds for which callers may use a list of addresses. Some use it for three times as
 long, and a leaving host must serve them until then: at 1 s, the last stream that they
 start still has five of the eight seconds of the grace period."""
 LARGE_FLEET_ADDRESS_TTL = 2.0
-"""The same in a large fleet. A lookup takes about 3 ms of processor time with its
-connection, at 1 s a tenth of all. One departed host is only a small part of a list."""
+"""The same in a large fleet. With its connection, a lookup takes about 3 ms of
+processor time; at 1 s, lookups would take a tenth of all processor time. One departed
+host is only a small part of a list."""
 JSON_HEADERS = [(b"content-type", b"application/json")]
 
 
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -43,8 +43,9 @@
 """Seconds after a restore of the store during which known hosts that are missing from a
 listing are retained, so that they can register again."""
 LAPSED_RETENTION = 15.0
-"""Seconds that a lapsed registration is retained: longer than the store may reject the
-calls of some hosts while it serves others. A silent host is ignored in any case."""
+"""Seconds that a lapsed registration is retained: longer than the periods in which the
+store may reject the calls of some hosts while it serves others. A silent host is
+ignored in any case."""
 
 
 class HostEntry(msgspec.Struct, frozen=True):
@@ -277,7 +278,7 @@
             log.bind(key=item.key, reason=str(error)).error("entry can't be read")
 
     def _record_end(self, entry: HostEntry) -> None:
-        # A host that leaves in order first sets its entry to not ready.
+        # A host that leaves gracefully first sets its entry to not ready.
         if entry.is_ready:
             self._lapsed_registrations[entry.id] = LapsedRegistration(
                 entry, trio.current_time()
--- a/dewridge/gateway/leaving.py
+++ b/dewridge/gateway/leaving.py
@@ -45,8 +45,8 @@
 
 
 async def _unregister(registration: Registration) -> None:
-    # The entry is set to not ready first. The delay gives readers time to see this, so
-    # that they need not learn of its removal.
+    # The entry was set to not ready before. The delay gives the hosts that read the
+    # store time to see this, so that they need not be informed of the removal.
     await trio.sleep(UNREGISTER_TIME)
     with trio.move_on_after(UNREGISTER_TIME):
         await registration.unregister()
--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -74,7 +74,8 @@
             and trio.current_time() - recent.started_at < PROBE_LIFETIME
         ):
             await recent.done.wait()
-            # There is no result if the probing job was cancelled, as its caller left.
+            # There is no result if the probing job was cancelled because its caller
+            # disconnected.
             if recent.reach is not None:
                 return recent.reach
         now = trio.current_time()
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -32,7 +32,7 @@
 about a boot time, and less for on-demand servers, which cost 4 to 5 times as much."""
 RECLAIM_WAVE_BOOT_TIMES = 2.0
 """Boot times after a reclaim during which another one is expected. Waves come within
-that time; later, newly ordered reclaimable servers have replaced the first ones."""
+that time; later, newly ordered reclaimable servers have replaced the reclaimed ones."""
 BOOT_SLACK = 2.0
 """Seconds beyond their boot time within which ordered servers must be listed."""
 LISTING_TIME = 1.5
@@ -299,7 +299,8 @@
             self._lower_since.pop(pool, None)
         elif outcome is CallOutcome.NONE_AVAILABLE:
             self._not_before[pool] = now + NONE_AVAILABLE_RETRY_DELAY
-            # Tells a new holder of the duties of a reclaim before its term.
+            # This is how a new holder of the duties learns of a reclaim that happened
+            # before its term.
             self._reclaimed_at.setdefault(order.service, now)
 
 
--- a/dewridge/gateway/servers.py
+++ b/dewridge/gateway/servers.py
@@ -33,8 +33,9 @@
 """Seconds after which a server has cached most of the prefixes that it is responsible
 for: twice the time within which the more frequent half of them is requested again."""
 COPY_CUTOFF = 0.4
-"""Seconds before a server stops from which nothing is copied from it any more. A copy
-takes a few hundredths of a second, but the prompt may be queued before it."""
+"""Length in seconds of the period before a server stops in which nothing is copied from
+it. A copy takes a few hundredths of a second, but the prompt that needs it may have to
+wait in a queue first."""
 DEPARTURE_RETENTION = 120.0
 """Seconds for which a departed process is remembered. Store reads may be answered
 seconds late; two minutes outlast them and bound the memory used."""
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -29,8 +29,8 @@
 With an older configuration the caller is asked to retry: the route or key may have been
 added since then, and must not be denied permanently."""
 STALE_RETRY_AFTER = 0.3
-"""Mean seconds after which a caller with an outdated or missing configuration at this
-host is asked to retry, here or at another host: half a poll interval."""
+"""Mean seconds after which a caller is asked to retry, here or at another host, if the
+configuration of this host is outdated or missing: half a poll interval."""
 STREAM_TIME_P99 = 4.0
 """Seconds within which 99% of the streams complete under load."""
 DEADLINE_SLACK = 0.1
--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -208,7 +208,7 @@
         The growth during a silence of the peer is not applied. The silent peer used no
         more than its share of each quota, which this host had reserved for it.
         Deducting that usage again would, after a partition of ten seconds, refuse an
-        account for ten more at the host that was partitioned.
+        account for ten more seconds at the host that was partitioned.
         """
         # Usage from before this process started is not in its quota buckets.
         if previous is None and report.age > now - self.started_at:
@@ -276,7 +276,7 @@
         return self.find_summary(trio.current_time()).live_hosts
 
     def is_silent(self, host: HostId, now: float) -> bool:
-        """Whether no recent report came from a host or lists it as a cell member."""
+        """Whether a host sent no recent report and no recent cell report lists it."""
         return host not in self.find_summary(now).live_hosts
 
     def find_summary(self, now: float) -> FleetSummary:
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -87,7 +87,10 @@
             self.suspects[server] += 1
 
     def record_prompt_read(self, server: BackendServerId, tokens: int) -> None:
-        """Record that a prompt is processed: its answer has begun, or never will."""
+        """Record that a prompt is no longer waiting to be processed.
+
+        Its answer has begun, or never will.
+        """
         self.tokens[server] -= tokens
 
     def remove(self, server: BackendServerId, *, is_suspect: bool = False) -> None:
--- a/dewridge/gateway/streams.py
+++ b/dewridge/gateway/streams.py
@@ -10,7 +10,8 @@
 MOVE_LEAD_TIME = 0.5
 """Seconds before a server stops at which its streams are moved. This covers two calls
 and the sequential transfer of the memory of all its streams over one link (about 7 ms
-each between failure domains). Earlier, streams would be moved that complete in time."""
+each between failure domains). With a longer lead time, streams would be moved that
+complete in time anyway."""
 DRAIN_TIME = 0.3
 """Seconds to wait for events of a stopped stream that are still in transit."""
 MOVE_RETRY_DELAY = 0.12
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -102,9 +102,10 @@
     def _is_ready_to_report(self, window: int) -> bool:
         """Whether a sum would cover all registered hosts, or must not wait any longer.
 
-        The first sum of a window is final. Computed while counts were missing, it left
-        out requests permanently and nothing showed whose; so the missing hosts are
-        asked for their counts first, and logged.
+        The first sum of a window is final. A sum computed while counts were missing
+        left out requests permanently, and nothing showed which hosts' requests they
+        were. So the hosts whose counts are missing are asked for them first, and
+        logged.
         """
         missing = self._list_missing_hosts(window)
         if not missing:
--- a/dewridge/gateway/usagetelling.py
+++ b/dewridge/gateway/usagetelling.py
@@ -29,9 +29,9 @@
 from dewridge.gateway.sharing import SharedReports
 
 MIN_USAGE_PERIOD = 1.0
-"""Minimum seconds between two usage reports of a host. This is less than a sum waits
-for them, and a host that dies leaves at most a fifth of a short usage window
-unreported."""
+"""Minimum seconds between two usage reports of a host. This is less than the
+time that a sum waits for them, and a host that crashes leaves at most a fifth of a
+short usage window unreported."""
 CONFIRMATION_TIMEOUT = 0.3
 """Seconds after which an unconfirmed report is sent again: a round trip, with the
 report and its confirmation queued behind a round of reports."""
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -2,11 +2,11 @@
 
 In a small fleet every host polls and watches everything. The polls guarantee how
 outdated a host may be, since each one confirms the configuration in force; watches only
-bring changes earlier. In a large fleet this would cost more calls than the requests are
-worth. There a host confirms the configuration by watches that return no change, and
-only some hosts, the readers, follow the servers. The other hosts, the listeners,
-receive reports of leaving servers from the readers, and find new servers by cheaper
-reads that may return outdated data.
+bring changes earlier. In a large fleet, the calls for this would cost more than the
+requests are worth. There a host confirms the configuration by watches that return no
+change, and only some hosts, the readers, follow the servers. The other hosts, the
+listeners, receive reports of leaving servers from the readers, and find new servers by
+cheaper reads that may return outdated data.
 """
 
 import random
@@ -88,7 +88,7 @@
 leave within this time, and without the delay each of them would cost each host a call.
 Hosts wake at different times, and the first one reports to the other hosts."""
 MAX_BATCH_DELAY = 1.0
-"""Upper limit on the delay in seconds if many hosts read for all. This is half of the
+"""Upper limit on the delay in seconds if many hosts are readers. This is half of the
 time within which all hosts must know of a leaving server, in case only one reader is
 left."""
 MIN_JITTER = 0.5
@@ -219,8 +219,9 @@
         max_age, drawn_for = UNCONFIRMED_AFTER, float("-inf")
         while True:
             if is_small_fleet and drawn_for != self._configuration.confirmed_at:
-                # Draw a new age for each confirmation: if hosts kept the old ones, only
-                # the highest ages would remain.
+                # Draw a new age for each confirmation. Only hosts that reach their age
+                # would otherwise draw again, so that the low ages would disappear and
+                # only the highest would remain.
                 drawn_for = self._configuration.confirmed_at
                 max_age = self._draw_recheck_age()
             remaining = max_age - self._configuration.age
--- a/dewridge/http1/sockets.py
+++ b/dewridge/http1/sockets.py
@@ -10,7 +10,7 @@
 
     The check is not a checkpoint: no other task runs during it, so that the caller can
     close a connection found without input, or send a request on it, before any input
-    is processed. A closed connection has none.
+    is processed. Returns False for a connection that is closed on this side.
     """
     if connection.fileno() < 0:
         return False
--- a/dewridge/platform/directory.py
+++ b/dewridge/platform/directory.py
@@ -7,7 +7,7 @@
 READY_PATH = names.READY_PATH
 RESOLVE_PATH = names.RESOLVE_PATH
 MAX_ADDRESSES = 64
-"""Addresses of one response that callers use."""
+"""Maximum number of addresses in one response; callers use no more than this."""
 
 
 def encode_addresses(addresses: list[str], ttl: float) -> bytes:
--- a/dewridge/policy/capacity.py
+++ b/dewridge/policy/capacity.py
@@ -18,9 +18,9 @@
 were released and ordered again."""
 TRIMMED_SHARE = 0.4
 """Share of the samples, the slowest, that are left out: they include the time that the
-engine spent on prompts which other hosts sent at the same moment. With a tenth, a
-crowded service seemed to read at half of its rate, so that servers were ordered until
-the service was no longer crowded."""
+engine spent on prompts which other hosts sent at the same moment. With a tenth left
+out, a crowded service seemed to read at half of its rate, so that servers were ordered
+until the service was no longer crowded."""
 FIXED_TIME_QUANTILE = 0.05
 """Quantile of the response times that is taken as the fixed time of a request: the
 network round trip and the first engine step, which is spent on other prompts. With the
--- a/dewridge/policy/choice.py
+++ b/dewridge/policy/choice.py
@@ -168,10 +168,10 @@
     """Return the server that probably has a prefix cached, if the chosen one has not.
 
     After a reclaim, the prefixes of the servers that left have new cache holders with
-    empty caches, and so have a share of the other prefixes once new servers join. All
-    of these would be read again just when there are the fewest servers. Copying a
-    shared part of 6,000 tokens from the previous cache holder, which may be a leaving
-    server, takes a tenth of the time.
+    empty caches. Once new servers join, the same is true of a share of the other
+    prefixes. All of these would be read again just when there are the fewest servers.
+    Copying a shared part of 6,000 tokens from the previous cache holder, which may be a
+    leaving server, takes a tenth of the time.
 
     Args:
         warm_servers: servers that have been running long enough to have read their
--- a/dewridge/policy/credits.py
+++ b/dewridge/policy/credits.py
@@ -240,7 +240,7 @@
         )
 
     def reduce_to_share(self, now: float) -> None:
-        """Reduce the credits above the host's share, which other hosts use again."""
+        """Reduce the credits to the host's share, as other hosts need the rest."""
         self.reduce_limit(now, self.share)
 
     def record_success(self) -> None:
--- a/dewridge/policy/quota.py
+++ b/dewridge/policy/quota.py
@@ -14,8 +14,8 @@
 from dewridge.ids import ClientAccount, HostId
 
 USABLE_TOLERANCE_SHARE = 0.6
-"""Share of the tolerance that operators allow over a quota which the buckets use. The
-rest covers requests that are being accepted by two hosts at once."""
+"""Operators tolerate some usage above a quota; the buckets use this share of the
+tolerance. The rest covers requests that are being accepted by two hosts at once."""
 BURST_SLACK_SHARE = 0.1
 """Share of the usable slack that is added to the burst: an account with no burst of its
 own needs some room for a single request."""
@@ -32,9 +32,10 @@
 here. An account that continues to use its quota for longer has a nearly empty bucket
 anyway."""
 MAX_EXTRAPOLATED_HOSTS = 8
-"""Other hosts, at most, that are assumed to have the same demand as this host until
-their reports arrive. Callers spread over all hosts, so that a rise shows here at once;
-assumed of all hosts of a large fleet, one long prompt here would count at each host."""
+"""Maximum number of other hosts that are assumed to have the same demand as this host
+until their reports arrive. Callers spread over all hosts, so that a rise shows here at
+once. Without the limit, one long prompt here would count once for each host of a large
+fleet."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -22,8 +22,10 @@
 """Name of a route."""
 
 PLANNED_EXPOSURE = 0.5
-"""Part of the permitted exposure that a trial is planned to use. The rest covers load
-that falls during the trial and requests sent before a verdict reaches all hosts."""
+"""Part of the permitted exposure that a trial is planned to use; the permitted exposure
+is the share of all requests until the deadline that a bad target version may get. The
+other part covers load that falls during the trial and requests sent before a verdict
+reaches all hosts."""
 MAX_TRIAL_SHARE = 0.25
 """Upper bound on the share of a service's requests that a trial takes."""
 MOVE_TIME = 6.0
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -10,8 +10,8 @@
 TARGET_LOAD = 0.42
 """Share of its time that a server should spend on reading prompts, at the highest rate
 of the last half minute. Prompts arrive in bursts, and wait while another one is read:
-with three servers at two thirds one answer in six was late, with four at one half one
-in twenty."""
+with three servers at a load of two thirds, one answer in six was late; with four at one
+half, one in twenty."""
 RECLAIMABLE_LOAD_SHARE = 0.75
 """Share of `TARGET_LOAD` that reclaimable servers are planned for. They are cheap, and
 the spare capacity serves bursts that exceed the measured ones."""
@@ -20,14 +20,15 @@
 a burst finds no free slots."""
 TOLERATED_DEFICIT_SHARE = 0.1
 """Share of the needed servers that may be missing without a replacement: what each of
-the other servers can take on beside its own work. Computed from the planned servers
-instead of the needed ones, a small fleet replaced servers that it could spare, at 0.05
-of a day's benefit; where the loss of a whole domain was tolerated, a large fleet served
-only 0.75 of the worth of a day with four waves of reclaims."""
+the other servers can take on beside its own work. When it was computed from the
+planned servers instead of the needed ones, a small fleet replaced servers that it could
+spare, which cost 0.05 of a day's benefit. When the loss of a whole domain was
+tolerated, a large fleet served only 0.75 of the value of a day with four waves of
+reclaims."""
 INITIAL_QUOTA_SHARE = 0.33
 """Share of all accounts' quotas that is taken as the demand until it has been measured.
-Quotas allow an account about twice its usual demand, and small ones more. At one half,
-90 servers were ordered where the measured demand then needed about 60."""
+Quotas allow an account about twice its usual demand, and small accounts more. At one
+half, 90 servers were ordered where the measured demand then needed about 60."""
 INITIAL_SERVER_SHARE = 0.8
 """Share of the servers found at startup that is retained if accounts have no
 quotas."""
@@ -95,9 +96,9 @@
     """Return how many servers are assumed to be needed while the demand is unknown.
 
     This applies at startup, and at a restart of all hosts: a rate is measured over
-    eight seconds, and a server takes four to start. Planned by the measured rate from
-    the first requests on, callers got half of their answers in time in the first twenty
-    seconds.
+    eight seconds, and a server takes four to start. When servers were planned by the
+    measured rate from the first requests on, callers got half of their answers in time
+    in the first twenty seconds.
 
     Args:
         found_servers: servers of all kinds that existed at startup.
--- a/dewridge/policy/suspects.py
+++ b/dewridge/policy/suspects.py
@@ -20,8 +20,8 @@
 that count."""
 MAX_SUSPECTS = 512
 """Requests stored, in half a megabyte. Beyond that, the one with the fewest crashes is
-evicted, the oldest among equals: a caller who sends many different requests has to
-crash three servers for each of them that evicts a quarantined one."""
+evicted, the oldest among equals. A caller who sends many different requests can thus
+evict a quarantined one only with a request that itself crashes three servers."""
 
 
 @dataclass(frozen=True, slots=True)
