--- a/dewridge/proofs/checks.py
+++ b/dewridge/proofs/checks.py
@@ -29,7 +29,7 @@
 E = TypeVar("E", bound=Event)
 
 MAX_DEPARTING_DISPATCH_DELAY = 3.0
-"""Seconds after its announcement in which a departing server may still get new work."""
+"""Seconds after its departure is announced in which a server may still get new work."""
 
 MAX_PROPAGATION_DELAY = 13.0
 """Seconds in which an accepted change must reach every host that admits work."""
@@ -180,8 +180,9 @@
 
 
 def check_final_answers(history: History) -> list[Violation]:
-    """Promise 3: a final answer arrives in time and, if a retry makes sense, says when.
+    """Promise 3: a final answer arrives in time and has a retry time if needed.
 
+    A retry time is needed if a retry makes sense.
     Code -1 is exempt from the time limit: the client itself stopped waiting.
     """
     violations = []
@@ -246,7 +247,10 @@
 
 
 def list_late_dispatches(history: History) -> list[tuple[str, float]]:
-    """Return server and seconds since its announcement for each later execution."""
+    """Return the server and delay of each execution after an announced departure.
+
+    The delay is the number of seconds since the first announcement.
+    """
     announced: dict[str, float] = {}
     for event in _select_events(history, Leaving):
         announced[event.server] = min(event.at, announced.get(event.server, event.at))
--- a/dewridge/proofs/scenarios.py
+++ b/dewridge/proofs/scenarios.py
@@ -39,7 +39,8 @@
 """Seconds for which a fault of the key-value service lasts."""
 
 FREEZE_DURATION = 8.0
-"""Seconds of a freeze; longer than the suspicion period, claims and every timeout."""
+"""Seconds of a freeze; longer than the suspicion period and all timeouts, also those
+of claims."""
 
 MAX_PENDING_WAIT = 5.0
 """Seconds to wait for work in flight before a fault is injected anyway."""
@@ -90,7 +91,7 @@
 
         Args:
             backend: the process.
-            is_announced_by_cloud: if false, only the servers announce it themselves.
+            is_announced_by_cloud: if false, only the servers announce the reclaim.
         """
         notice = self.random.uniform(*RECLAIM_NOTICE)
         leaving_order = {"leaving": not is_announced_by_cloud, "dies_in": notice}
@@ -275,7 +276,7 @@
 
 
 async def reclaim_without_cloud(run: Run) -> None:
-    """Reclaim servers that announce it only themselves, since the cloud is down."""
+    """Reclaim servers while the cloud is down, so that only they announce it."""
     await run.deployment.set_platform_fault("cloud", "down")
     domain = run.random.choice(run.deployment.spec.failure_domains)
     async with trio.open_nursery() as nursery:
--- a/dewridge/standins/backend.py
+++ b/dewridge/standins/backend.py
@@ -18,7 +18,7 @@
 from dewridge.standins.serving import Listener, make_app, read_body, reply
 
 REGISTER_RETRY_INTERVAL = 0.2
-"""Seconds."""
+"""Seconds between two attempts to register the servers in the host list."""
 REGISTER_TIMEOUT = 2.0
 """Seconds for one HTTP request to the host list."""
 
--- a/dewridge/standins/engine.py
+++ b/dewridge/standins/engine.py
@@ -76,7 +76,7 @@
 
 
 class StreamState(Enum):
-    """State of a stream."""
+    """State of a stream; an aborted stream also ends as `CANCELLED`."""
 
     WAITING = "waiting"
     RUNNING = "running"
--- a/dewridge/standins/enginehttp.py
+++ b/dewridge/standins/enginehttp.py
@@ -26,7 +26,7 @@
 KEEPALIVE_SECONDS = 0.5
 """Seconds between the keep-alive comments of a stream that has no new tokens."""
 IMPORT_TIMEOUT = 1.0
-"""Seconds."""
+"""Seconds to fetch an exported KV cache from another engine."""
 KEEPALIVE_COMMENT = b": waiting\n\n"
 DONE_EVENT = b"data: [DONE]\n\n"
 
--- a/dewridge/standins/hostlist.py
+++ b/dewridge/standins/hostlist.py
@@ -66,7 +66,7 @@
         return [record for record in records.values() if record.state != "gone"]
 
     def list_current(self) -> list[HostRecord]:
-        """Return the current list, including removed servers."""
+        """Return the latest record of each server, also of removed servers."""
         return list(self._list_as_of(time.time()).values())
 
     def _list_as_of(self, until: float) -> dict[str, HostRecord]:
--- a/dewridge/testbed/deployment.py
+++ b/dewridge/testbed/deployment.py
@@ -189,7 +189,10 @@
     async def start_host(
         self, domain: str, peer_port: int = 0, seeds: list[str] | None = None
     ) -> EntryHost:
-        """Start an entry host; without seeds it reads the key-value service."""
+        """Start an entry host; without seeds it gets peers from the key-value service.
+
+        Seeds are peer addresses of other entry hosts.
+        """
         self._start_count += 1
         name = f"entry-{self._start_count}"
         frontend_port = choose_ports(1)[0]
--- a/dewridge/testbed/processes.py
+++ b/dewridge/testbed/processes.py
@@ -14,7 +14,7 @@
 import trio
 
 START_TIMEOUT = 30.0
-"""Seconds for a process to announce that it listens; imports alone take about one."""
+"""Seconds for a process to announce that it listens; its imports take about 1 s."""
 
 EXIT_TIMEOUT = 40.0
 """Seconds for a process to exit before it is killed."""
--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -385,7 +385,7 @@
 
 
 async def test_no_failure_is_sent_after_a_stream_has_begun() -> None:
-    """A stream is cut, and the server that should continue it answers with a failure.
+    """A stream is interrupted, and the next server answers its retry with a failure.
 
     The caller already has the head of a success and would read a second head as events.
     """
--- a/dewridge/tests/gateway/reloading_tests.py
+++ b/dewridge/tests/gateway/reloading_tests.py
@@ -24,7 +24,7 @@
 async def test_new_bounds_are_applied_without_a_signal(
     tmp_path: Path, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against missed changes without a signal and against partial files."""
+    """Guards against missing a change without a signal and applying a partial file."""
     path = tmp_path / "settings.json"
     path.write_text(TEXT % 5000)
     first = load_gateway_settings(path).settings
--- a/dewridge/tests/gateway/scaling_tests.py
+++ b/dewridge/tests/gateway/scaling_tests.py
@@ -16,7 +16,8 @@
 
 DOMAINS = [FailureDomain(name) for name in ("a", "b", "c")]
 FOUR_SERVER_RATE = 100_000.0
-"""Prompt tokens per second that four servers process at the usual pace."""
+"""Prompt tokens per second for which four servers are needed at the default prefill
+rate, with the headroom that the plan leaves."""
 
 
 class OrderRecordingCloud(Cloud):
--- a/dewridge/tests/gateway/sharing_tests.py
+++ b/dewridge/tests/gateway/sharing_tests.py
@@ -94,7 +94,7 @@
 
 
 def test_load_of_silent_hosts_is_not_counted() -> None:
-    """A host dies with requests in flight; its servers must not look busy forever."""
+    """A host crashes with requests in flight; servers must not look busy forever."""
     recorder = UsageRecorder()
     recorder.sharing.apply_report(make_report(1, 0, in_flight=5), 1.0)
     assert recorder.sharing.find_summary(1.1).server_totals == {
@@ -182,7 +182,7 @@
 
 
 def test_usage_that_several_hosts_report_counts_once() -> None:
-    """A host dies; two peers of its cell report its usage to the holder of the duties.
+    """A host crashes; two peers of its cell report its usage to the duty holder.
 
     One of them missed its last report. Accounts are billed by the sum.
     """
--- a/dewridge/tests/gateway/telling_tests.py
+++ b/dewridge/tests/gateway/telling_tests.py
@@ -99,10 +99,10 @@
 
 
 def test_error_answers_of_servers_have_priority_too(lines: Path) -> None:
-    """A service answers some requests of a burst with 500, which are passed on.
+    """A service answers some requests of a burst with 500; callers get these answers.
 
-    Callers complain about these answers, and their log lines must not be dropped like
-    those of other requests.
+    Callers complain about them, and their log lines must not be dropped like those of
+    other requests.
     """
     for number in range(3000):
         log.bind(id=f"ok-{number}", code="", status=200).info("request")
--- a/dewridge/tests/gateway/usagetelling_tests.py
+++ b/dewridge/tests/gateway/usagetelling_tests.py
@@ -40,7 +40,7 @@
 
 
 def test_a_new_holder_receives_all_usage() -> None:
-    """The holder dies, and the counts that it confirmed are lost with it."""
+    """The holder crashes, and the counts that it confirmed are lost with it."""
     outbox = UsageOutbox(FIRST_HOLDER)
     number = outbox.record_sent(outbox.select_unconfirmed(make_usage(3)))
     outbox.apply_confirmation(number)
--- a/dewridge/tests/policy/oldnews_tests.py
+++ b/dewridge/tests/policy/oldnews_tests.py
@@ -11,13 +11,13 @@
 
 DOMAIN = FailureDomain("domain-a")
 PACE = 41_000.0
-"""Prompt tokens per second that a server reads."""
+"""Prefill rate of a server in prompt tokens per second."""
 HOSTS = 60
 SERVERS = 45
 CACHE_LIFETIME = 10.0
 """Seconds for which a server caches a shared prefix after its last use."""
 COPY_COST_SHARE = 0.1
-"""Time to copy a shared prefix from another server, as a share of reading it."""
+"""Time to copy a shared prefix from another server, as a share of its prefill time."""
 BURST = 6
 """Mean number of prompts in a burst, all to one host."""
 
@@ -28,7 +28,7 @@
 
     Attributes:
         part: share of all prompts.
-        own: mean size in tokens without the shared prefix.
+        own: mean size of a prompt in tokens without the shared prefix.
         shared: size of the shared prefix in tokens.
         target: seconds after which the prompt is late.
         subjects: number of different shared prefixes.
@@ -47,7 +47,7 @@
 
     @property
     def cost_elsewhere(self) -> float:
-        """Cost of the prefix where it is not cached, as a share of reading it."""
+        """Cost of the prefix where it is not cached, as a share of its prefill time."""
         return COPY_COST_SHARE if self.is_copied else 1.0
 
 
@@ -66,9 +66,9 @@
     Attributes:
         at: when it was sent.
         server: index of the server.
-        tokens: tokens that the host expects the server to read.
+        tokens: tokens that the host expects the server to process.
         host: index of the host.
-        read_at: when the server has read it.
+        read_at: when the server has processed it.
     """
 
     at: float
@@ -100,9 +100,9 @@
     """Simulate ten seconds of bursts at many hosts; return the share of late prompts.
 
     Args:
-        load: expected load as a share of what the servers can read.
+        load: expected load as a share of what the servers can process.
         age: seconds by which the hosts' reports lag.
-        assumed_age: lag that the placement is given.
+        assumed_age: lag that the placement assumes.
         seed: seed of the random numbers.
     """
     rng = random.Random(seed)
--- a/dewridge/tests/policy/quota_tests.py
+++ b/dewridge/tests/policy/quota_tests.py
@@ -117,9 +117,9 @@
 def test_a_large_fleet_refuses_hardly_more_than_one_bucket_would() -> None:
     """Guards against refusals of an account that uses half of its quota.
 
-    It sends long prompts to 85 hosts, few to each. A host refused the second one if it
-    assumed the first one at every other host too, or if it subtracted earlier remote
-    usage from a full bucket without the units refilled since.
+    It sends long prompts to 85 hosts, few to each. A host would refuse the second one
+    if it assumed that every other host had accepted one as well, or if it subtracted
+    earlier remote usage from a full bucket without adding the units refilled since.
     """
     quota = Quota(rate=60_000.0, burst=60_000.0)
     fleet = Fleet(85, quota, delay=0.25)
@@ -184,7 +184,7 @@
 
 
 def test_one_large_request_does_not_lock_its_account_out() -> None:
-    """Guards against assuming the large request at every other host too.
+    """Guards against assuming that every other host accepted a large request as well.
 
     An account sends one long prompt to a host, and then a short one.
     """
@@ -240,11 +240,11 @@
 
 
 def test_an_account_that_constantly_asks_for_a_little_more_is_served() -> None:
-    """Guards against refusing what operators tolerate in each window.
+    """Guards against refusing usage that the tolerance permits in each window.
 
-    An operator lowers a quota below the demand of its account, which does not change.
-    With the tolerance added to the burst, it is used up after the first second, and
-    callers are refused for the rest of the day.
+    An operator lowers a quota below the constant demand of its account. If the
+    tolerance were added to the burst, it would be used up after the first second, and
+    callers would be refused for the rest of the day.
     """
     tolerated = make_quota(1000.0, 1000.0, overrun=0.1, slack=4000.0, window=WINDOW)
     as_burst = Quota(1060.0, 1060.0 + 2400.0)
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -40,7 +40,7 @@
 
 
 def make_candidates(unread: list[float]) -> list[Candidate]:
-    """Return usable servers with the given numbers of tokens to read."""
+    """Return usable servers with the given numbers of tokens to process."""
     return [
         Candidate(
             BackendServerId(f"s-{n}"),
@@ -92,10 +92,11 @@
 
 
 def test_a_short_prompt_does_not_wait_for_its_cached_prefix() -> None:
-    """Guards against a short prompt waiting at a cache holder that reads a long one.
+    """Guards against a short prompt that waits for a long one at its cache holder.
 
-    Its prefix of 200 tokens is read elsewhere in less time than it would wait. Sent to
-    the cache holder anyway, one short prompt in ten was late on an ordinary day.
+    Another server processes its prefix of 200 tokens in less time than it would wait.
+    Sent to the cache holder anyway, one short prompt in ten was late on an ordinary
+    day.
     """
     cache_holder = place_at(make_candidates([0.0] * 9), "chat", shared=200).server
     unread = [0.0] * 9
@@ -117,7 +118,7 @@
 
 
 def place_soonest(candidates: list[Candidate], prefix: str, shared: int) -> Placement:
-    """Place at the server that reads the prompt soonest, as gateways do."""
+    """Place at the server that finishes the prompt soonest, as gateways do."""
     rng = random.Random(prefix)
     placement = place_prompt(candidates, prefix, shared, shared + 1_500, rng)
     assert placement is not None
@@ -129,8 +130,8 @@
 ) -> float:
     """Simulate bursts of prompts over nine servers; return the share of late ones.
 
-    The prompts of a burst share a subject. Each server reads 41 tokens per millisecond,
-    in order of arrival; hosts know what was sent up to 100 ms ago.
+    The prompts of a burst share a subject. Each server processes 41 tokens per
+    millisecond, in order of arrival; hosts know what was sent up to 100 ms ago.
     """
     rng = random.Random(3)
     free_at = [0.0] * 9
@@ -179,10 +180,10 @@
 
 
 def test_bursts_near_full_load_are_not_read_twice() -> None:
-    """Guards against reading prefixes again when servers are nearly at full load.
+    """Guards against recomputing prefixes when servers are nearly at full load.
 
-    Sent to the server with the shortest wait, each subject is read at one server after
-    another, and the repeated reading makes all other prompts late.
+    If prompts were sent to the server with the shortest wait, one server after another
+    would process the prefix of each subject, which makes all other prompts late.
     """
     heavy = 40.0
     assert replay_bursts(place_soonest, heavy) < 1.5 * replay_bursts(
@@ -414,10 +415,11 @@
 
 
 def test_the_pace_of_servers_is_learned_from_their_answers() -> None:
-    """Guards against planning for a fixed pace.
+    """Guards against planning with one fixed prefill rate.
 
-    The engines of one service may read three times as fast as those of another. Planned
-    with one pace, the first pays for idle servers, or callers of the second wait.
+    The engines of one service may process prompts three times as fast as those of
+    another. With one rate for both, the first service pays for idle servers, or callers
+    of the second wait.
     """
     fast, slow = PrefillRateMeter(), PrefillRateMeter()
     rng = random.Random(2)
@@ -437,7 +439,8 @@
 def test_a_few_answers_do_not_move_the_plan() -> None:
     """Guards against halving the fleet after a few answers from cached prompts.
 
-    A new duty holder has seen only these; callers would wait until servers are back.
+    A new duty holder has seen only these. Callers would wait until the removed servers
+    have been replaced.
     """
     pace = PrefillRateMeter()
     for _ in range(2):
@@ -449,7 +452,7 @@
 def test_long_answers_need_servers_for_their_slots() -> None:
     """Guards against counting only the prompt tokens when answers are long.
 
-    One server could read the prompts, but most requests would wait for a slot.
+    One server could process the prompts, but most requests would wait for a slot.
     """
     assert (
         count_needed_servers(
@@ -548,8 +551,8 @@
 def test_shedding_checks_serves_more_drafts() -> None:
     """Guards against a full queue that slows down the engines in an overload.
 
-    Waiting requests are preempted and read again. Refusing checks at once leaves the
-    engines to the drafts.
+    Waiting requests are preempted, and their prompts are processed again. Refusing
+    checks at once leaves the engines to the drafts.
     """
     drafts_without, _ = serve_through_overload(sheds=False)
     drafts_with, _ = serve_through_overload(sheds=True)
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -68,7 +68,7 @@
 
 
 def test_crashes_of_successive_attempts_count_separately() -> None:
-    """Guards against taking crashes by fast retries for the loss of a domain."""
+    """Guards against mistaking crashes by fast retries for a failure domain's loss."""
     ledger = SuspectLedger()
     for number in range(CRASH_THRESHOLD):
         sent_at = 1.0 + number * 0.01
@@ -81,7 +81,7 @@
 
 
 def test_a_request_that_is_answered_is_cleared_for_all_hosts() -> None:
-    """Guards against a quarantine of common requests by crashes minutes apart."""
+    """Guards against quarantining common requests for crashes minutes apart."""
     ledger, other = SuspectLedger(), SuspectLedger()
     ledger.merge(make_suspect({"s0": 1.0, "s1": 2.0}), 2.0)
     assert ledger.clear(CAUSE, 3.0)
@@ -241,7 +241,7 @@
     blames: bool,
     server: ServerVerdict,
 ) -> None:
-    """Guards against blaming requests for reclaims, network cuts and lost answers."""
+    """Guards against blaming requests for reclaims, partitions and lost answers."""
     verdict = classify_loss(
         loss, reach, is_leaving=is_leaving, seconds_since_first_event=begun_for
     )
--- a/dewridge/tests/requests/claims_tests.py
+++ b/dewridge/tests/requests/claims_tests.py
@@ -1,4 +1,4 @@
-"""Claims: the merge of a bucket's value, and the writes per claim."""
+"""Tests of claims: the merge of claims stored under one key, and writes per claim."""
 
 import pytest
 import trio
--- a/dewridge/tests/requests/committer_tests.py
+++ b/dewridge/tests/requests/committer_tests.py
@@ -1,4 +1,4 @@
-"""The committer of claims: its write budget, also during and after an outage."""
+"""Tests of the write budget of the claims' committer, also around an outage."""
 
 import random
 
--- a/dewridge/tests/requests/delayed_claims_tests.py
+++ b/dewridge/tests/requests/delayed_claims_tests.py
@@ -1,4 +1,4 @@
-"""Claims and releases that are written to a bucket late."""
+"""Tests of claims and releases that are written late to their bucket, a stored key."""
 
 from dewridge.ids import HostId, Incarnation, RequestId
 from dewridge.requests.claims import BucketValue, ClaimIntent, apply_intents
@@ -22,11 +22,11 @@
 
 
 def test_delayed_claim_is_not_granted_after_its_release() -> None:
-    # During a key-value service outage two ballots of a request are released, each
-    # while its claim is still in transit. If the second release found the first one's
-    # entry and stored none of its own, the second claim would be granted when it
-    # arrived and remain forever. The third attempt would then be denied until its
-    # deadline by a claim that no host holds.
+    # During a key-value service outage two ballots (ownership epochs) of a request are
+    # released, each while its claim is still in transit. If the second release found
+    # the first one's entry and stored none of its own, the second claim would be
+    # granted when it arrived and remain forever. The third attempt would then be denied
+    # until its deadline by a claim that no host holds.
     first, second, third = make_intent(1), make_intent(2), make_intent(3)
     granted = apply(
         make_intent(1, release=True), make_intent(2, release=True), second, third
--- a/dewridge/tests/requests/leaving_tests.py
+++ b/dewridge/tests/requests/leaving_tests.py
@@ -51,7 +51,7 @@
 async def leave_answer_on_second_replica(
     cluster: Cluster,
 ) -> tuple[RequestKey, str, str]:
-    """Run a call whose end reaches only its second replica before its owner crashes.
+    """Run a call whose answer reaches only its second replica before its owner crashes.
 
     The second replica is then paused. Returns the key and the two replicas.
     """
@@ -65,11 +65,11 @@
     return key, first, second
 
 
-# A call waits for its claim when its host is told to leave. The host acquired the
-# claim, sent the call to a server that needed longer than the notice, and departed, so
-# the caller of an accepted call got "unknown" (301). The other hosts then logged that
-# they took the call over and that its claim was held by the departed host; the server
-# logged the start of the call after the notice.
+# A call waits for its claim when its host is told to leave. If the host still acquired
+# the claim and sent the call to a server that needs longer than the notice, the caller
+# of an accepted call would get "unknown" (301) after the host has departed. The other
+# hosts would log that they took the call over and that its claim is held by the
+# departed host; the server would log the start of the call after the notice.
 def test_leaving_host_sends_no_call() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.04
@@ -84,11 +84,11 @@
     run_cluster(scenario)
 
 
-# A host writes a call's claim and is told to leave. The release of the claim is lost
-# on its way to the host that now writes claims, and the first host departs before it
-# writes the release itself. The call's next owner was denied the claim, and the caller
-# got "unknown" (301) for a call never sent. The departed host logged "draining" and
-# then nothing about the call.
+# A host writes a call's claim and is told to leave. The release of the claim is lost on
+# its way to the host that now writes claims, and the first host departs before it
+# writes the release itself. If the call's next owner were denied the claim, the caller
+# would get "unknown" (301) for a call never sent. The departed host would log
+# "draining" and then nothing about the call.
 def test_call_is_handed_off_before_its_claim_is_released() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 0.6
@@ -105,9 +105,9 @@
     run_cluster(scenario)
 
 
-# Callers that do not know that a host is leaving continue to submit requests to it,
-# and slow peers delay each rejection. The handoff waited for the last submission, so
-# that in a reclaim's notice of 2 s no request was handed off. The host logged
+# Callers that do not know that a host is leaving continue to submit requests to it, and
+# slow peers delay each rejection. If the handoff waited for the last submission, no
+# request would be handed off in a reclaim's notice of 2 s. The host would log
 # "draining" and "drained" just 2 s apart.
 def test_handoff_does_not_wait_for_new_submissions() -> None:
     async def scenario(cluster: Cluster) -> None:
@@ -134,9 +134,9 @@
 
 
 # A call was sent before its host was told to leave, and its answer arrives after the
-# time for handing off but before the host departs. The host stopped without waiting
-# and lost the answer: the caller got "unknown" (301) for a call that had run while the
-# host had 0.5 s left.
+# time for handing off but before the host departs. If the host stopped without waiting,
+# it would lose the answer: the caller would get "unknown" (301) for a call that ran
+# while the host had 0.5 s left.
 def test_drain_waits_for_answer_after_handoff_time() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.workers.plain_time = 0.6
@@ -152,9 +152,9 @@
 
 
 # The answer of a call reaches one of its two replicas, then its owner crashes. The
-# other replica takes the call over while the first one is paused. It is denied the
-# claim, whose holder has crashed, and it reported "unknown" although the complete
-# answer was stored on a host that was merely slow.
+# other replica takes the call over while the one with the answer is paused. It is
+# denied the claim, whose holder has crashed, but must not report "unknown" at once: the
+# complete answer is stored on a host that is merely slow.
 def test_takeover_waits_for_answer_on_paused_replica() -> None:
     async def scenario(cluster: Cluster) -> None:
         key, first, second = await leave_answer_on_second_replica(cluster)
@@ -168,8 +168,8 @@
 
 
 # As above, but the replica with the answer is paused until the caller has got
-# "unknown". Callers that ask any host later must get the answer; the host that had
-# reported "unknown" continued to do so.
+# "unknown". Callers that ask any host later must get the answer; the host that has
+# reported "unknown" must not continue to do so.
 def test_late_answer_replaces_unknown() -> None:
     async def scenario(cluster: Cluster) -> None:
         key, first, second = await leave_answer_on_second_replica(cluster)
@@ -186,10 +186,10 @@
 
 # The replicas of a call store it, but their replies are lost, and so is the refusal
 # that the owner sends to one of them. The caller gets "unknown" and retries at another
-# host. That host found the replica and attached the caller to it: the retry was
-# accepted and then ended "unknown" on every query, though nothing ran or ever would.
-# The owner logged the refusal, and no host logged an attempt. A retry at the host that
-# stores the replica (holds_copy) failed in the same way.
+# host. If that host found the replica and attached the caller to it, the retry would be
+# accepted and then end "unknown" on every query, though nothing runs or ever will. The
+# owner would log the refusal, and no host would log an attempt. A retry at the host
+# that stores the replica (holds_copy) could fail in the same way.
 @pytest.mark.parametrize("holds_copy", [False, True])
 def test_retry_after_unconfirmed_refusal_runs(
     holds_copy: bool,
@@ -228,9 +228,9 @@
 
 # A call is taken over from a crashed host, and the key-value service is too slow to
 # record its claim in time. The call is abandoned as "unknown", since the crashed host
-# may have sent it; then the claim is recorded after all. It was never released, so a
-# retry was denied the claim because of a holder that had not sent the call and, once
-# that holder had departed as well, ended because its holder was lost (301).
+# may have sent it; then the claim is recorded after all. If it were never released, a
+# retry would be denied the claim because of a holder that has not sent the call and,
+# once that holder has departed as well, end because its holder was lost (301).
 def test_late_claim_of_abandoned_call_is_released() -> None:
     async def scenario(cluster: Cluster) -> None:
         cluster.key_value.delay = 2.0
--- a/dewridge/tests/soak/checks.py
+++ b/dewridge/tests/soak/checks.py
@@ -14,7 +14,8 @@
 HOST_SYNC_SECONDS = 3.0
 """Seconds without a fault after which a host counts as up to date."""
 LEASE_SECONDS = 3.0
-"""Minimum seconds between two calls of a holder if another called in between."""
+"""Minimum seconds between two calls by one duty holder if another holder made a call
+in between."""
 RECOVERY_SECONDS = 12.0
 """Seconds after the last fault by which most requests must succeed again."""
 MIN_SERVED_SHARE = 0.8
