--- a/dewridge/__main__.py
+++ b/dewridge/__main__.py
@@ -29,7 +29,7 @@
     no_args_is_help=True,
     add_completion=False,
     rich_markup_mode=None,
-    # These tracebacks print the values of variables, such as tokens and prompts.
+    # Typer's own tracebacks print the values of variables, such as tokens and prompts.
     pretty_exceptions_enable=False,
     epilog=STATUSES_HELP,
 )
--- a/dewridge/client/progress.py
+++ b/dewridge/client/progress.py
@@ -38,7 +38,7 @@
 
 
 UNKNOWNS_BEFORE_RESUBMIT = 2
-"""Unknown outcomes after which the key is submitted again. The first one leads to
+"""Number of unknown outcomes after which the key is submitted again. The first leads to
 another query, which finds an answer that a resumed holder has delivered meanwhile."""
 
 
--- a/dewridge/commands/service.py
+++ b/dewridge/commands/service.py
@@ -83,7 +83,7 @@
     token_file: TokenFile = None,
     as_json: AsJson = False,
 ) -> None:
-    """Put a service under another profile; work in flight goes on.
+    """Put a service under another profile; requests in progress continue.
 
     Example: dewridge service move findings interactive --revision 4
     -a 10.0.0.7:8080 --token-file operator.token
--- a/dewridge/configuration/freshness.py
+++ b/dewridge/configuration/freshness.py
@@ -8,9 +8,10 @@
 from dewridge.sentinels import Failure
 
 LOST_HOST_SECONDS = 60.0
-"""Seconds that a host which failed without leaving counts as a known host. From
-inside, a partition looks like crashes of the other hosts; a minute is longer than
-any partition shorter than the suspicion and restart of a real crash."""
+"""Seconds for which a host that failed without announcing its departure still counts
+as a known host. To a partitioned host, the others look crashed; if it forgot them
+sooner, a minority could count itself as a majority. A minute covers every partition
+that is shorter than the suspicion and the restart after a real crash."""
 
 
 @dataclass
@@ -18,7 +19,7 @@
     """Tracks when the configuration was last confirmed and which hosts were lost.
 
     Hosts that this one can't reach may have accepted a change, and this host
-    would continue under the old configuration unnoticed. It therefore stops
+    would keep using the old configuration without noticing. It therefore stops
     admitting requests unless, within the limit, the key-value service confirmed
     its revision or it was among a majority of the known hosts. A change is only
     accepted by a host among a majority, so the two sides of a partition never
--- a/dewridge/configuration/service.py
+++ b/dewridge/configuration/service.py
@@ -57,7 +57,7 @@
 
 RETRY_PAUSE = 0.5
 """Mean seconds before the key-value service is read again after a failure, and
-seconds between checks whether this host must watch it."""
+seconds between checks of whether this host must watch it."""
 
 PULLS_BEFORE_ORIGIN = 2
 """Pulls from random peers before the origin, the host that accepted the change, is
--- a/dewridge/explaining.py
+++ b/dewridge/explaining.py
@@ -7,7 +7,8 @@
 
 CONTEXT_SECONDS = 5.0
 """Seconds before and after a request within which context events are included. Long
-enough for a reclaim with its notice, a lease, or the first timeouts of an outage."""
+enough to cover the notice of a reclaim, the duration of a lease, or the first timeouts
+of an outage."""
 CONTEXT_EVENTS = frozenset(
     {
         "configuration in force",
--- a/dewridge/fleet/dispatch.py
+++ b/dewridge/fleet/dispatch.py
@@ -36,8 +36,8 @@
 """Longest wait for the end of the HTTP body after an attempt's last event."""
 BATCH_DELAY_SECONDS = 0.02
 """Time between two reads of a stream after its first tokens: half of the 41 ms allowed
-between two tokens. The other half is left for the engine's step and the way to the
-caller. The first token is never delayed."""
+between two tokens. The other half is left for the engine's step and the transfer to
+the caller. The first token is never delayed."""
 
 
 class CompletionBody(msgspec.Struct, omit_defaults=True):
--- a/dewridge/fleet/refusals.py
+++ b/dewridge/fleet/refusals.py
@@ -1,4 +1,4 @@
-"""Maps error answers of backend servers to failures that tell whether work began."""
+"""Maps error answers of backend servers to failures that state whether work began."""
 
 import msgspec
 
@@ -27,8 +27,8 @@
 
     Only an error type that the server returns for work it did not begin proves that
     nothing ran. A status without one may come from an intermediary after the work was
-    done: a retry of a call that is not idempotent would then run it twice, for
-    example issue two letters.
+    done: a retry of a call that is not idempotent would then run it twice and, for
+    example, issue two letters.
     """
     kind = read_error_type(content)
     if kind == LEAVING_TYPE:
--- a/dewridge/fleet/watcher.py
+++ b/dewridge/fleet/watcher.py
@@ -29,10 +29,12 @@
 DUTY = "fleet"
 DUTY_HOLDERS = 2
 """Hosts that poll the platform. With a single one, nobody would poll for a few seconds
-after it crashes; more would add calls. If each of 440 hosts polled twice a second, the
-platform would get 1,760 calls a second instead of 8."""
+after it crashes; more would add calls. If each of 440 hosts polled the host list and
+the reclaim notices twice a second, the platform would get 1,760 calls a second instead
+of 8."""
 HEARTBEAT_PERIODS = 8
-"""Polls between two heartbeats: rumors that report that the list is being polled."""
+"""Polls from one heartbeat to the next. A heartbeat is a rumor that reports that the
+host list is being polled."""
 STALE_PERIODS = 24
 """Poll periods without a heartbeat after which a host polls on its own: it or the
 platform may be partitioned from the holders of the duty."""
@@ -177,7 +179,7 @@
             self._absent_since.pop(listed.backend_server, None)
             if self._has_changed(listed):
                 self._spread_server(listed)
-        # An empty list while servers are known is a fault of the list. To apply it
+        # An empty list while servers are known is a fault of the list. Applying it
         # would reject every request; failed attempts soon show which servers are
         # down.
         if listing:
--- a/dewridge/frontend/connections.py
+++ b/dewridge/frontend/connections.py
@@ -16,10 +16,11 @@
 RETRY_AFTER = 1
 """Seconds after which a rejected caller may reconnect."""
 INPUT_POLL_INTERVAL = 0.005
-"""Seconds between two checks whether received input was delivered. Delivery takes one
-iteration of the event loop; the check runs only before a connection is closed."""
+"""Seconds between two checks of whether received input was delivered. Delivery takes
+one iteration of the event loop; the check runs only before a connection is closed."""
 CHECKS_PER_TIMEOUT = 4
-"""Checks for stalled writes per write timeout; 4 let a write exceed it by a quarter."""
+"""Checks for stalled writes per write timeout. With 4, a write can exceed the timeout
+by up to a quarter before its connection is closed."""
 
 
 class TimedStream:
--- a/dewridge/frontend/limits.py
+++ b/dewridge/frontend/limits.py
@@ -9,7 +9,8 @@
 from dewridge.sentinels import Failure
 
 RETRY_AFTER = 1.0
-"""Seconds after which a caller over its limit may retry; streams end frequently."""
+"""Seconds after which a caller over its limit may retry. It is short, since streams
+end frequently."""
 
 
 class StreamLimiter:
--- a/dewridge/frontend/server.py
+++ b/dewridge/frontend/server.py
@@ -23,13 +23,13 @@
 """Connections that may wait to be accepted. When a failure domain is reclaimed, all
 of its callers connect to the remaining hosts within the same second."""
 HEAD_QUIET_TIME = 0.5
-"""Seconds during a shutdown in which no connection has received its first request head
-(request line and headers), after which connections without a request are closed."""
+"""During a shutdown, connections without a request are closed once no connection has
+received its first request head (request line and headers) for this many seconds."""
 
 HEAD_POLL_INTERVAL = 0.05
 """Seconds between two polls for request heads during a shutdown. A poll that is late
-by another interval shows that the process was stalled, and likely also its callers on
-the same host."""
+by more than one interval shows that the process was stalled, and likely also callers
+on the same host."""
 MAX_QUIET_POLLS = round(HEAD_QUIET_TIME / HEAD_POLL_INTERVAL)
 """Consecutive polls without a new head after which the wait for heads ends."""
 
--- a/dewridge/membership/exchanges.py
+++ b/dewridge/membership/exchanges.py
@@ -37,8 +37,8 @@
 """Maximum seconds of a probe on behalf of another member; the longest timeout that a
 slow host uses. A corrupt value must not keep a handler busy forever."""
 MIN_OTHERS_TO_TERMINATE = 2
-"""Other members needed for an isolated host to terminate its incarnation. In a pair,
-a partition isolates both; if both terminated, all their requests would be lost."""
+"""Minimum number of other members for an isolated host to terminate its incarnation. In
+a pair, a partition isolates both; if both terminated, all requests would be lost."""
 
 _TERMINATED = Failure(ResultCode.PEER_REFUSED, "this incarnation was given up")
 """Answer of a host whose incarnation was terminated. With FENCED, the receiver would
--- a/dewridge/membership/prober.py
+++ b/dewridge/membership/prober.py
@@ -18,13 +18,13 @@
 together, such as those of 63 members of a failure domain, are sent in one message
 instead of one each."""
 URGENT_FANOUT = 2
-"""Members that urgent updates are sent to at once. Two reach four fifths of any number
-of members within a second; the other members get the update by probes within the next
-few seconds. Each contact costs a connection, and three would cost half as much again
-without finishing sooner."""
+"""Number of members to which an urgent update is sent at once. Two reach four fifths of
+any number of members within a second; the other members get the update by probes within
+the next few seconds. Each contact costs a connection, and three would cost half as much
+again without finishing sooner."""
 URGENT_RATE = 2.0
 URGENT_BURST = 10.0
-"""Rate of such contacts per second, and their maximum burst. 21,000 configuration
+"""Contacts per second for urgent updates, and their maximum burst. 21,000 configuration
 changes a day, and as many notices, need 0.7 a second. While updates arrive constantly,
 such as during the loss of a failure domain, probes carry the rest within 3 KB/s."""
 
@@ -184,8 +184,9 @@
             self._metrics.add("membership_probes_relayed")
             return
         if trio.current_time() - started_at > 4 * timeout:
-            # The calls above end after at most three timeouts. The timers fired far
-            # too late, so replies may have arrived that were not processed yet.
+            # The probes above end after at most three timeouts. These took more than
+            # four, so this process was stalled, and replies may have arrived that
+            # it has not processed yet.
             self._health.record_local_fault()
             return
         if answers and RelayResult.NOT_REACHED not in answers:
--- a/dewridge/membership/registration.py
+++ b/dewridge/membership/registration.py
@@ -26,8 +26,8 @@
 class Registration:
     """Registers this host's address in the key-value service, for starting hosts.
 
-    After a day of host replacements, none of the seeds in the settings may exist
-    any more; the key-value service still lists hosts that do.
+    After a day of host replacements, it may be that no seed in the settings still
+    exists; the key-value service lists hosts that do.
     """
 
     def __init__(
--- a/dewridge/membership/state.py
+++ b/dewridge/membership/state.py
@@ -224,7 +224,7 @@
     def make_corrections(self, records: list[Message] | None) -> list[Message]:
         """Return records of members that refuted a received suspicion or death.
 
-        A late claim may still be sent when the refutation is not sent any more. A
+        A late claim may still be sent when the refutation is no longer sent. A
         member that applied the claim would finally declare a healthy member dead.
         """
         corrections = []
--- a/dewridge/peers/frames.py
+++ b/dewridge/peers/frames.py
@@ -19,7 +19,7 @@
 LENGTH_BYTES = 4
 MAX_CONTAINER_ELEMENTS = 262_144
 """Maximum number of elements of a list or map. The longest list holds the tokens of
-an answer, and the longest answers have a tenth of this. Without the limit, four
+an answer, and the longest answers have a tenth as many. Without the limit, four
 garbled bytes could request a list of two billion elements before one is read."""
 MAX_HELLO_BYTES = 4_096
 """Maximum size of the first frame of a connection. A hello takes under 300 bytes; the
--- a/dewridge/peers/transport.py
+++ b/dewridge/peers/transport.py
@@ -21,8 +21,8 @@
 """Maximum number of concurrent calls of one message type. The limit is per type, so
 that claims waiting for a slow key-value service can't block probes and make this host
 look dead. It is sized for 440 hosts that each have one or two calls in flight here.
-Calls beyond it are rejected at once, so that the caller can react, while letting them
-wait longer would hold memory."""
+Calls beyond it are rejected at once, so that the caller can react; queued calls would
+occupy memory."""
 MAX_QUEUED_MESSAGES = 4_096
 """Maximum number of one-way messages per connection that wait for their handler.
 Messages beyond it are dropped and counted, so that a slow handler can't exhaust the
--- a/dewridge/providers/channel.py
+++ b/dewridge/providers/channel.py
@@ -15,9 +15,9 @@
     import httpx
 
 CONNECT_SHARE = 0.5
-"""Share of a call's timeout that connecting may take. If it could take all of it, a
-timeout while connecting, which proves that nothing was sent, would look like a later
-one, which proves nothing."""
+"""Share of a call's timeout that connecting may take. A timeout while connecting proves
+that nothing was sent; a later one leaves the outcome unknown. If connecting could take
+the full timeout, the two could not be distinguished."""
 KEEPALIVE_SECONDS = 4.0
 """Time after which an idle connection is closed. Servers commonly close theirs after
 5 s, and a write sent at that moment has an unknown outcome."""
--- a/dewridge/providers/keyvalue.py
+++ b/dewridge/providers/keyvalue.py
@@ -98,7 +98,7 @@
 
     def _decode_write(self, kind: str, answer: Answer | CallFailure) -> Entry | Failure:
         # A write that took effect but whose answer was lost looks like a failed one.
-        # To report it as failed could run a claimed call twice or give an operator a
+        # Reporting it as failed could run a claimed call twice or give an operator a
         # wrong result. Only a write that was certainly not sent counts as not written;
         # any other outcome is unknown, and the caller has to read the key again.
         if answer is CallFailure.NOT_SENT:
--- a/dewridge/providers/model.py
+++ b/dewridge/providers/model.py
@@ -29,7 +29,7 @@
 
 
 class KeyValue(Protocol):
-    """The key-value service. Each method is one call towards its rate limits."""
+    """The key-value service. Each method counts as one call against its rate limits."""
 
     async def get(self, key: str) -> Entry | Failure:
         """Read a key. An absent key is an entry with revision 0."""
--- a/dewridge/requests/acceptance.py
+++ b/dewridge/requests/acceptance.py
@@ -42,7 +42,7 @@
     ResultCode.KEY_TOO_OLD,
     ResultCode.OUTCOME_UNKNOWN,
 )
-"""Refusals of keys that every host refuses, so they need no confirmation by others."""
+"""Codes for keys that every host refuses, so the refusal needs no confirmation."""
 
 
 UNKNOWN_TARGET_CODES = (ResultCode.UNKNOWN_SERVICE, ResultCode.UNKNOWN_OPERATION)
--- a/dewridge/requests/answers.py
+++ b/dewridge/requests/answers.py
@@ -99,7 +99,7 @@
         return False
 
     def extend_trusted(self, host: HostId, replicas: set[HostId]) -> None:
-        """Trust all of a record's replicas once a trusted replica has stored them."""
+        """Trust all replicas that a record lists, if a trusted one stored it."""
         if host in self.trusted:
             self.trusted |= replicas
             self._update_visibility()
--- a/dewridge/requests/attempts.py
+++ b/dewridge/requests/attempts.py
@@ -129,8 +129,8 @@
     def _displace_earlier(self, request: RequestId) -> None:
         """Displace the attempt of an earlier ownership by this host.
 
-        A sent non-idempotent call keeps running as an orphan, since its answer is
-        the only one; any other attempt is stopped.
+        A non-idempotent call that was sent keeps running as an orphan, since no
+        other attempt may produce its answer; any other attempt is stopped.
         """
         earlier = self._running.pop(request, None)
         if earlier is None:
--- a/dewridge/requests/claiming.py
+++ b/dewridge/requests/claiming.py
@@ -96,7 +96,7 @@
     async def write_release(self, request: RequestId, ballot: Ballot) -> None:
         """Mark a ballot as released in its bucket, whether it holds the claim or not.
 
-        Only for a ballot under which its host is known to send nothing any more.
+        Call it only if the ballot's host is known to send nothing more under it.
         """
         intent = ClaimIntent(request, ballot, release=True)
         for _ in range(MAX_RELEASE_ATTEMPTS):
--- a/dewridge/requests/committer.py
+++ b/dewridge/requests/committer.py
@@ -235,8 +235,9 @@
     async def delete_expired_windows(self) -> None:
         """Delete windows whose request keys every host rejects as too old.
 
-        A window is deleted after the retention time, four times the clock skew and
-        the claim timeout, because `Claimer` acquires no claim that late.
+        A window is deleted once it is older than the sum of the retention time, four
+        times the clock skew and the claim timeout. `Claimer` acquires no claim that
+        late.
         """
         settings = self._shared.settings
         while True:
--- a/dewridge/requests/failover.py
+++ b/dewridge/requests/failover.py
@@ -26,8 +26,9 @@
 still knows the request. If the owner abandoned it and the message was lost, no host
 would run the request and its caller would wait forever."""
 MAX_CONCURRENT_TAKEOVERS = 16
-"""After the loss of a failure domain a host takes over thousands of requests; all at
-once, their calls would time out and be retried."""
+"""Maximum number of concurrent takeovers. After the loss of a failure domain a host
+takes over thousands of requests; if it did so all at once, their calls would time out
+and be retried."""
 HOLDER_POLL_INTERVAL = 0.2
 """Seconds between two polls of the host that holds a request's claim."""
 HOLDER_GRACE = 5.0
--- a/dewridge/requests/following.py
+++ b/dewridge/requests/following.py
@@ -33,8 +33,8 @@
 
 STREAM_CHECK_INTERVAL = 1.0
 """Seconds without a frame after which a follower asks the owner whether the stream
-still exists. A connection can go silent forever without an error; the caller would
-wait for an answer that has long ended."""
+still exists. A connection can go silent forever without an error; without this check
+the caller would wait for an answer that has long ended."""
 SEARCH_INTERVAL = 0.05
 """Seconds between two searches for the host to follow."""
 UNKNOWN_KEY_TIMEOUT = 0.3
@@ -45,7 +45,8 @@
 MAX_BUFFERED_EVENTS = 16
 MAX_BUFFERED_FRAMES = 256
 MAX_MOVED_ADDRESSES = 3
-"""Addresses of other entry hosts that a caller is sent when this host leaves."""
+"""Maximum number of addresses of other entry hosts that are sent to a caller when this
+host leaves."""
 
 Emit = Callable[[AnswerEvent], Awaitable[None]]
 
--- a/dewridge/requests/handoff.py
+++ b/dewridge/requests/handoff.py
@@ -25,7 +25,8 @@
 """Fraction of the drain's time in which running attempts may finish. Stopping them
 costs tokens; a longer wait leaves too little time to hand off."""
 MAX_GRACE = 3.0
-"""Seconds that running attempts get at most: reclaims give 2 to 5 s of notice."""
+"""Maximum seconds in which running attempts may finish; reclaims give 2 to 5 s of
+notice."""
 MAX_CONCURRENT_HANDOFFS = 16
 POLL_INTERVAL = 0.05
 """Seconds between two checks for requests to hand off and for the end of the drain."""
@@ -33,7 +34,7 @@
 """Seconds to wait for submissions whose acceptance is undecided. The calls to replicas
 that a submission needs take no longer; callers may send new ones without end."""
 MAX_EXTRA_TARGETS = 3
-"""Hosts other than the replicas to which a handoff is offered."""
+"""Maximum number of hosts, besides the replicas, to which a handoff is offered."""
 
 
 class Handoff:
@@ -144,7 +145,8 @@
     def _is_drained(self, limit: float) -> bool:
         """Whether no request is left that this host must wait for.
 
-        Once the limit is reached, only non-idempotent requests are waited for.
+        Once the limit is reached, it waits only for non-idempotent requests that are
+        running or whose end is not replicated yet.
         """
         if any(not a.record.idempotent for a in self._list_running()):
             return False
--- a/dewridge/requests/outcomes.py
+++ b/dewridge/requests/outcomes.py
@@ -17,7 +17,7 @@
     ResultCode.BACKEND_SERVER_REJECTED,
     ResultCode.REQUEST_SET_ASIDE,
 )
-"""Failures after which no further attempt is made."""
+"""Failures after which no further attempt is made, unless tokens were received."""
 
 _RUNNING_CODES = {
     ResultCode.DEADLINE_PASSED: ResultCode.DEADLINE_PASSED_RUNNING,
--- a/dewridge/requests/replication.py
+++ b/dewridge/requests/replication.py
@@ -18,9 +18,9 @@
 from dewridge.sentinels import Failure
 
 TARGET_FRAME_TOKENS = 20_000
-"""Tokens after which a frame takes in no further request, about a megabyte: far
-below the frame limit, and small enough not to delay the acknowledgements of other
-streams."""
+"""Number of tokens after which no further request is added to a frame. They take
+about a megabyte: far below the frame limit, and small enough not to delay the
+acknowledgements of other streams."""
 MAX_CONCURRENT_RECORDS = 4
 """Full records sent to one peer concurrently. After the loss of a failure domain
 each host replicates thousands again; sent all at once they would fill the peers'
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -66,7 +66,7 @@
 
 
 class Scheduling:
-    """Feeds events to the schedulers and starts the attempts that they assign.
+    """Passes events to the schedulers and starts the attempts that they assign.
 
     Attributes:
         on_assigned: starts an attempt.
--- a/dewridge/requests/stopping.py
+++ b/dewridge/requests/stopping.py
@@ -22,7 +22,7 @@
 
 
 class EngineOrders(Protocol):
-    """Requests to engines other than attempts."""
+    """Calls to engines that control attempts: cancellation and cache export."""
 
     async def cancel(
         self, server: BackendServer, attempt: AttemptId, /
@@ -85,7 +85,7 @@
 
 
 class AttemptStopper:
-    """Requests that engines stop attempts or export their caches."""
+    """Asks engines to stop attempts or to export the KV caches of attempts."""
 
     def __init__(
         self, shared: Shared, servers: Servers, orders: EngineOrders | None
@@ -97,10 +97,10 @@
     async def stop_with_confirmation(self, attempt: Attempt) -> bool:
         """Stop a non-idempotent call; returns whether its engine confirmed the stop.
 
-        A long draft would otherwise be lost with a reclaimed engine. Once the engine
-        confirms that the attempt has ended without a complete answer, the call can
-        continue on another server from the stored tokens. Plain services cannot
-        confirm that, so their calls are not moved.
+        A long partial answer would otherwise be lost with a reclaimed engine. Once
+        the engine confirms that the attempt has ended without a complete answer, the
+        call can continue on another server from the stored tokens. Plain services
+        cannot confirm that, so their calls are not moved.
         """
         server = self._servers.find(attempt.server)
         if self._orders is None or attempt.service_scheduler.service.kind != "model":
