--- a/dewridge/bench/services.py
+++ b/dewridge/bench/services.py
@@ -22,7 +22,7 @@
 )
 from dewridge.configuration.model import Profile
 from dewridge.ids import BackendServerId, RequestId
-from dewridge.policy.cost import find_slot_price
+from dewridge.policy.cost import compute_slot_price
 from dewridge.policy.model import (
     Abandoned,
     Assignment,
@@ -309,7 +309,7 @@
             request_state.record.recomputed_tokens += attempt.recomputed_tokens
             occupied_seconds = self._timeline.now - attempt.started_at
             if server is not None:
-                request_state.record.cost += occupied_seconds * find_slot_price(
+                request_state.record.cost += occupied_seconds * compute_slot_price(
                     server.view
                 )
 
--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -69,7 +69,7 @@
                 return self._refuse_with_retry_after(
                     job, ResultCode.QUEUE_FULL, "shed: overloaded"
                 )
-        self._state.find_budget(job.service).record_first_attempt(trio.current_time())
+        self._state.get_budget(job.service).record_first_attempt(trio.current_time())
         while True:
             refusal = check_quarantine(self._state, job)
             if refusal is not None:
@@ -102,10 +102,10 @@
         server = choice.server
         job.tried_servers.append(server.id)
         work = self._state.work
-        job.unread_tokens = choice.unread_tokens
-        job.pace_timed_from = trio.current_time() if choice.is_idle else None
+        job.unprocessed_tokens = choice.unprocessed_tokens
+        job.prefill_measured_from = trio.current_time() if choice.is_idle else None
         job.cache_holder = choice.cache_holder
-        work.add(server.id, job.unread_tokens, is_suspect=choice.is_suspect)
+        work.add(server.id, job.unprocessed_tokens, is_suspect=choice.is_suspect)
         result = AttemptResult.ABANDONED
         try:
             lost = await self._exchange(job, server, continuation, out)
@@ -120,8 +120,8 @@
             )
 
     def _record_prompt_read(self, job: Job, server: ServerRecord) -> None:
-        self._state.work.record_prompt_read(server.id, job.unread_tokens)
-        job.unread_tokens = 0
+        self._state.work.record_prompt_processed(server.id, job.unprocessed_tokens)
+        job.unprocessed_tokens = 0
 
     async def _exchange(
         self,
@@ -176,7 +176,7 @@
             cache_holder=job.cache_holder,
         )
         answer: IncomingAnswer | LostAttempt = LostAttempt(LossReason.CUT_OFF, "silent")
-        with trio.move_on_after(self._find_silence_timeout(job)):
+        with trio.move_on_after(self._compute_silence_timeout(job)):
             answer = await send_request(
                 job.request,
                 dispatch,
@@ -194,7 +194,7 @@
             job.may_have_run = True
         return answer
 
-    def _find_silence_timeout(self, job: Job) -> float:
+    def _compute_silence_timeout(self, job: Job) -> float:
         if not job.route.is_repeatable or not self._has_attempts_left(job):
             return float("inf")
         if job.route.kind is RouteKind.STREAM:
@@ -219,7 +219,7 @@
     async def _forward_answer(
         self, job: Job, server: ServerRecord, answer: CompleteAnswer, out: Responder
     ) -> None:
-        health = self._state.find_health(server.id)
+        health = self._state.get_health(server.id)
         if answer.head.status >= 500:
             health.record_failure(trio.current_time(), is_hard=False)
         else:
@@ -236,7 +236,7 @@
         try:
             while True:
                 piece: bytes | None = None
-                silent_at = trio.current_time() + self._find_silence_timeout(job)
+                silent_at = trio.current_time() + self._compute_silence_timeout(job)
                 with trio.move_on_at(min(silent_at, stream.moves_at)) as scope:
                     stream.scope = scope
                     piece = await answer.receive()
@@ -259,7 +259,7 @@
             self._state.streams.unregister(server.id, stream)
             answer.close()
         job.continuation = None
-        self._state.find_health(server.id).record_success(trio.current_time())
+        self._state.get_health(server.id).record_success(trio.current_time())
         if splitter.remainder:
             return LostAttempt(LossReason.CUT_OFF, "ended within an event")
         if not out.has_started:
@@ -288,7 +288,7 @@
         state = self._state
         now = trio.current_time()
         target = choose_move_target(state, job, server.id, now)
-        budget = state.find_budget(job.service)
+        budget = state.get_budget(job.service)
         if target is None or not budget.acquire(now, state.hosts.count()):
             stream.moves_at = float("inf")
             return
@@ -334,15 +334,17 @@
             job.attempt_first_event_at = job.last_event_at
         if job.first_event_at is None:
             job.first_event_at = job.last_event_at
-            self._record_pace(job, job.first_event_at)
+            self._record_prefill_rate(job, job.first_event_at)
         if not out.has_started:
             await out.send_head(200, clean_answer_headers(answer.head.headers))
         await out.send_body_part(b"".join(new_events))
 
-    def _record_pace(self, job: Job, now: float) -> None:
-        if job.pace_timed_from is not None:
-            pace = self._state.paces[job.service]
-            pace.add_sample(job.request.sizes.prompt_tokens, now - job.pace_timed_from)
+    def _record_prefill_rate(self, job: Job, now: float) -> None:
+        if job.prefill_measured_from is not None:
+            meter = self._state.prefill_rate_meters[job.service]
+            meter.add_sample(
+                job.request.sizes.prompt_tokens, now - job.prefill_measured_from
+            )
 
     def _count_usage(self, job: Job) -> None:
         if not job.is_usage_counted:
@@ -359,7 +361,7 @@
             job.continuation, job.fallback = job.fallback, None
             return None
         now = trio.current_time()
-        budget = self._state.find_budget(job.service)
+        budget = self._state.get_budget(job.service)
         hosts = self._state.hosts.count()
         if lost.is_not_run and not job.was_moved:
             job.rejections += 1
--- a/dewridge/gateway/composition.py
+++ b/dewridge/gateway/composition.py
@@ -54,7 +54,7 @@
 from dewridge.platform.cloud import Cloud
 from dewridge.platform.eras import StoreEra
 from dewridge.platform.store import Item, Store
-from dewridge.policy.pacing import DatagramPacer, find_datagram_rate
+from dewridge.policy.pacing import DatagramPacer, compute_datagram_rate
 from dewridge.policy.quota import QuotaLedger
 from dewridge.settings.gateway import GatewaySettings
 from dewridge.supervision.tree import Supervisor
@@ -134,14 +134,14 @@
         self._socket = PacedSocket(
             settings.host.address,
             settings.listen.peer_ports[0],
-            DatagramPacer(find_datagram_rate(settings.host.link_mbps)),
+            DatagramPacer(compute_datagram_rate(settings.host.link_mbps)),
             metrics,
         )
         self._usage_reporter = UsageReporter(
             self._state.sharing,
             self._state.hosts,
             self._socket,
-            lambda: self._state.find_window(time.time()),
+            lambda: self._state.compute_window(time.time()),
             lambda: self._state.list_usage(REPORTED_WINDOWS),
         )
         self._link = ReportLink(
@@ -251,7 +251,7 @@
             state.servers,
             state.hosts.count,
             self._settings.services.store_reads,
-            state.find_store_role,
+            state.get_store_role,
             state.count_live_peers,
             lambda: state.sharing.reader_count,
             state.rollouts.apply_order,
--- a/dewridge/gateway/datagrams.py
+++ b/dewridge/gateway/datagrams.py
@@ -98,7 +98,7 @@
         """Send queued datagrams forever."""
         while True:
             await self._datagram_queued.wait()
-            wait = self._pace.find_wait(trio.current_time())
+            wait = self._pace.compute_wait(trio.current_time())
             if wait > 0:
                 await trio.sleep(wait)
             datagram = self._pop_next()
--- a/dewridge/gateway/jobs.py
+++ b/dewridge/gateway/jobs.py
@@ -39,8 +39,8 @@
         rejections: attempts that servers rejected.
         may_have_run: whether some server may have run it.
         is_usage_counted: whether it is counted in its account's usage.
-        unread_tokens: prompt tokens that the server probably has yet to process.
-        pace_timed_from: time at which the attempt was sent to an idle engine, to
+        unprocessed_tokens: prompt tokens that the server probably has yet to process.
+        prefill_measured_from: time at which the attempt was sent to an idle engine, to
             measure its prompt processing rate; None if the engine was not idle.
         cache_holder: address of a server that probably has the prompt's shared prefix
             cached; None if no copy is needed.
@@ -66,8 +66,8 @@
     last_event: int | None = None
     may_have_run: bool = False
     is_usage_counted: bool = False
-    unread_tokens: int = 0
-    pace_timed_from: float | None = None
+    unprocessed_tokens: int = 0
+    prefill_measured_from: float | None = None
     cache_holder: str | None = None
     events: int = 0
     first_event_at: float | None = None
--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -84,7 +84,7 @@
         # The server counts as full meanwhile. A crashed server has no requests left, so
         # it would look like the best choice for the requests that it lost; if several
         # crash together, a request would be sent to one after the other.
-        health = self._state.find_health(server.id)
+        health = self._state.get_health(server.id)
         health.full_until = now + PROBE_LIFETIME
         try:
             probe.reach = await self._state.pool.probe(server)
@@ -102,7 +102,7 @@
 
     def _apply_verdict(self, server: ServerRecord, verdict: ServerVerdict) -> None:
         now = trio.current_time()
-        health = self._state.find_health(server.id)
+        health = self._state.get_health(server.id)
         match verdict:
             case ServerVerdict.REPLACED:
                 self._state.servers.drop(server.id, now, "another has its address")
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -84,7 +84,7 @@
     for server in state.servers.list_all():
         in_flight = state.work.requests.get(server.id, 0)
         metrics.set_gauge("server_in_flight", in_flight, server=server.id)
-        share = state.find_health(server.id).failure_share
+        share = state.get_health(server.id).failure_share
         metrics.set_gauge("server_failure_share", share, server=server.id)
 
 
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -139,7 +139,7 @@
         "digest": suspect.digest,
         "account": suspect.account,
         "service": suspect.service,
-        "set_aside_for_seconds": round(suspect.find_quarantine_left(now), 1),
+        "set_aside_for_seconds": round(suspect.compute_quarantine_left(now), 1),
         "ends_counted": len(suspect.list_crash_times(now)),
         "seconds_since_ends": {
             server: round(now - crash.at, 1)
@@ -165,7 +165,7 @@
 
 def _describe_server(state: GatewayState, server: Any, now: float) -> dict[str, Any]:
     record = state.servers.find(server)
-    health = state.find_health(server)
+    health = state.get_health(server)
     return {
         "id": server,
         "service": record.service if record else "",
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -61,7 +61,7 @@
         while connections:
             idle = connections[-1]
             age = trio.current_time() - idle.connection.idle_since
-            if age > self._find_idle_limit(idle, must_arrive=must_arrive):
+            if age > self._compute_idle_limit(idle, must_arrive=must_arrive):
                 return None
             connections.pop()
             if self._check_open(idle, age):
@@ -106,17 +106,17 @@
             while connections:
                 idle = connections[0]
                 age = now - idle.connection.idle_since
-                if age <= self._find_idle_limit(idle, must_arrive=False):
+                if age <= self._compute_idle_limit(idle, must_arrive=False):
                     break
                 self._check_open(idle, age)
                 connections.popleft().connection.close()
             if not connections:
                 del self._idle[server]
 
-    def _find_idle_limit(self, idle: IdleConnection, *, must_arrive: bool) -> float:
+    def _compute_idle_limit(self, idle: IdleConnection, *, must_arrive: bool) -> float:
         announced = idle.connection.keep_alive_timeout
         times = self._idle_times[idle.service]
-        return times.find_limit(announced, must_arrive=must_arrive)
+        return times.compute_limit(announced, must_arrive=must_arrive)
 
     def _check_open(self, idle: IdleConnection, age: float) -> bool:
         """Return whether a connection is open, and adjust the service's idle limit."""
--- a/dewridge/gateway/rolloutduty.py
+++ b/dewridge/gateway/rolloutduty.py
@@ -20,8 +20,8 @@
     FINAL,
     RolloutState,
     Stage,
+    compute_trial_share,
     find_next_stage,
-    find_trial_share,
     judge_version,
 )
 from dewridge.sentinels import Failure
@@ -113,7 +113,7 @@
         share = progress.share
         if stage is Stage.TRIAL:
             bounds = self._state.settings.bounds
-            share = find_trial_share(bounds.exposure_share, progress.duration)
+            share = compute_trial_share(bounds.exposure_share, progress.duration)
         advanced = msgspec.structs.replace(progress, stage=stage, share=share)
         if not await self._write(advanced):
             return
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -99,7 +99,7 @@
         for service in configuration.services.values():
             if service.scaling is None:
                 continue
-            if self._has_counted_start(service.name, trio.current_time()):
+            if self._try_count_initial_servers(service.name, trio.current_time()):
                 await self._order_service(service, service.scaling)
         await self._write_needed()
 
@@ -126,8 +126,8 @@
     ) -> dict[FailureDomain, WantedServers]:
         now = trio.current_time()
         name = service.name
-        load = self._find_load(service, now)
-        needed = max(count_needed_servers(load), self._find_start_need(name, now))
+        load = self._compute_load(service, now)
+        needed = max(count_needed_servers(load), self._estimate_initial_need(name, now))
         previous_total = self._totals.get(name, 0)
         total = count_reclaimable_servers(needed, previous_total, len(domains))
         if total != previous_total or needed != self._needed.get(name):
@@ -136,7 +136,7 @@
                 total=total,
                 needed=needed,
                 tokens_per_second=round(load.rate),
-                pace=round(load.pace),
+                pace=round(load.prefill_rate),
                 in_flight=load.in_flight,
                 found_at_start=self._found_at_start[name],
                 quotas=round(self._sum_quotas()),
@@ -170,10 +170,10 @@
             if now - drained_at < RECLAIM_DETECTION_PERIOD:
                 self._reclaimed_at[service] = now
 
-    def _find_load(self, service: Service, now: float) -> Load:
+    def _compute_load(self, service: Service, now: float) -> Load:
         return Load(
-            rate=self._state.demand[service.name].find_peak_rate(now),
-            pace=self._state.paces[service.name].estimate(),
+            rate=self._state.demand[service.name].compute_peak_rate(now),
+            prefill_rate=self._state.prefill_rate_meters[service.name].estimate(),
             in_flight=self._state.count_in_flight(
                 self._state.servers.list_service(service.name)
             ),
@@ -211,7 +211,7 @@
             return
         self._written_needed = needed
 
-    def _has_counted_start(self, service: ServiceName, now: float) -> bool:
+    def _try_count_initial_servers(self, service: ServiceName, now: float) -> bool:
         """Return whether the servers that run at the start have been counted.
 
         Servers write their records one by one within the first second. Orders sent
@@ -227,7 +227,7 @@
         self._found_at_start[service] = listed
         return True
 
-    def _find_start_need(self, service: ServiceName, now: float) -> int:
+    def _estimate_initial_need(self, service: ServiceName, now: float) -> int:
         since = self._state.demand[service].first_arrival_at
         return estimate_initial_need(
             self._found_at_start[service],
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -145,10 +145,10 @@
         now = trio.current_time()
         fleet = state.make_fleet_view()
         draw = state.rng.random()
-        wait = state.ledger.find_wait(account.name, amount, quota, now, fleet, draw)
+        wait = state.ledger.compute_wait(account.name, amount, quota, now, fleet, draw)
         if wait > 0:
             retry_after = wait * state.rng.uniform(1.0, 1.5)
-            level = state.ledger.find_level(account.name)
+            level = state.ledger.get_level(account.name)
             reason = (
                 f"over the quota: asks {amount:.0f}, {level:.0f} left, "
                 f"{fleet.hosts} hosts, {fleet.silent} silent"
--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -30,7 +30,7 @@
 from dewridge.gateway.usagecounts import FleetUsage
 from dewridge.ids import BackendServerId, ClientAccount, HostId, ServiceName
 from dewridge.policy.cells import CellName
-from dewridge.policy.mergedtotals import find_growth
+from dewridge.policy.mergedtotals import compute_growth
 
 MIN_REPORT_PERIOD = 0.1
 """Seconds between two reports: a tenth of the shortest time to first token, so that
@@ -215,22 +215,22 @@
             return
         earlier = previous.totals if previous is not None else Totals()
         totals = report.totals
-        for account, growth in find_growth(
+        for account, growth in compute_growth(
             totals.quota_usage, earlier.quota_usage
         ).items():
             self._cell_quota_usage[account] += growth
             self.on_quota_usage(report.host, account, growth, now)
-        for account, growth in find_growth(
+        for account, growth in compute_growth(
             totals.quota_demand, earlier.quota_demand
         ).items():
             self._cell_quota_demand[account] += growth
             self.on_quota_demand(account, growth, now)
-        for service, growth in find_growth(
+        for service, growth in compute_growth(
             totals.token_demand, earlier.token_demand
         ).items():
             self._cell_token_demand[service] += growth
             self.on_token_demand(service, growth, now)
-        for name, growth in find_growth(totals.outcomes, earlier.outcomes).items():
+        for name, growth in compute_growth(totals.outcomes, earlier.outcomes).items():
             self._cell_outcomes[name] += growth
             self.on_outcomes(name, growth)
 
--- a/dewridge/gateway/sharinglink.py
+++ b/dewridge/gateway/sharinglink.py
@@ -224,13 +224,13 @@
             cell_report = self._make_cell_report(plan.cell, report, totals)
             cell_data = self._encoder.encode(cell_report)
         size = len(plan.cell_peers) * len(data) + len(plan.receivers) * len(cell_data)
-        sharing.period = self._find_period(plan, size)
+        sharing.period = self._compute_period(plan, size)
         self._sent_times.record_sent(self._number, read_boot_clock())
         self._socket.begin_round()
         self._enqueue(plan.cell_peers, data, Urgency.ROUND)
         self._enqueue(plan.receivers, cell_data, Urgency.ROUND)
 
-    def _find_period(self, plan: Round, size: int) -> float:
+    def _compute_period(self, plan: Round, size: int) -> float:
         """Return the seconds until the next round, enough to send all of this one."""
         pace = CELL_REPORTS_PER_SECOND if plan.receivers else REPORTS_PER_SECOND
         return max(
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -86,7 +86,7 @@
         if is_suspect:
             self.suspects[server] += 1
 
-    def record_prompt_read(self, server: BackendServerId, tokens: int) -> None:
+    def record_prompt_processed(self, server: BackendServerId, tokens: int) -> None:
         """Record that a prompt is no longer waiting to be processed.
 
         Its answer has begun, or never will.
@@ -130,7 +130,7 @@
     demand: dict[ServiceName, DemandMeter] = field(
         default_factory=lambda: defaultdict(DemandMeter)
     )
-    paces: dict[ServiceName, PrefillRateMeter] = field(
+    prefill_rate_meters: dict[ServiceName, PrefillRateMeter] = field(
         default_factory=lambda: defaultdict(PrefillRateMeter)
     )
     local_demand: dict[ServiceName, float] = field(
@@ -164,13 +164,13 @@
         self.hosts.handle_restore()
         self.rollouts.handle_restore()
 
-    def find_health(self, server: BackendServerId) -> ServerHealth:
+    def get_health(self, server: BackendServerId) -> ServerHealth:
         """Return the health of a server as observed by this host's attempts."""
         if server not in self.health:
             self.health[server] = ServerHealth()
         return self.health[server]
 
-    def find_budget(self, service: ServiceName) -> RetryBudget:
+    def get_budget(self, service: ServiceName) -> RetryBudget:
         """Return the retry budget of a service."""
         if service not in self.budgets:
             bounds = self.settings.bounds
@@ -203,14 +203,14 @@
         """Record prompt tokens that arrived at another host."""
         self.demand[service].add(tokens, now)
 
-    def find_window(self, at: float) -> int:
+    def compute_window(self, at: float) -> int:
         """Return the usage window of a time in seconds since 1970."""
         return int(at // self.settings.bounds.usage_window)
 
     def count_usage(self, account: ClientAccount | None) -> None:
         """Record that a request of an account has just started."""
         if account is not None:
-            self.usage_counts[self.find_window(time.time())][account] += 1
+            self.usage_counts[self.compute_window(time.time())][account] += 1
 
     def make_report(self, number: int) -> Report:
         """Return this host's report to its peers, with its running totals."""
@@ -235,7 +235,7 @@
 
     def list_usage(self, windows: int) -> UsageCounts:
         """Return the requests started on this host in the newest usage windows."""
-        newest = self.find_window(time.time())
+        newest = self.compute_window(time.time())
         recent = range(newest - windows + 1, newest + 1)
         return {
             at: dict(self.usage_counts[at]) for at in recent if at in self.usage_counts
@@ -253,7 +253,7 @@
     def _list_server_totals(self, now: float) -> dict[BackendServerId, ServerTotals]:
         reported = {}
         for server in {*self.work.requests, *self.health}:
-            attempts, failures = self.find_health(server).recent.read(now)
+            attempts, failures = self.get_health(server).recent.read(now)
             totals = ServerTotals(
                 requests=self.work.requests.get(server, 0),
                 tokens=self.work.tokens.get(server, 0),
@@ -273,7 +273,7 @@
             hosts=len(peers) + 1, silent=silent_count, staleness=self.sharing.staleness
         )
 
-    def find_store_role(self) -> StoreRole:
+    def get_store_role(self) -> StoreRole:
         """Return which data this host has to read from the store itself."""
         if not self.sharing.has_cells:
             return StoreRole.ALL
@@ -290,7 +290,7 @@
 
     def drop_expired(self) -> None:
         """Remove outdated counts and the data of departed servers."""
-        window = self.find_window(time.time()) - REPORTED_WINDOWS * 2
+        window = self.compute_window(time.time()) - REPORTED_WINDOWS * 2
         for old_window in [
             known_window for known_window in self.usage_counts if known_window < window
         ]:
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -101,14 +101,14 @@
         if suspect.digest in self._written or make_key(suspect.digest) in items:
             return False
         stored = sum(key.startswith(SUSPECTS_PREFIX) for key in items)
-        if stored >= MAX_STORED or suspect.find_quarantine_left(now) < MIN_LEASE:
+        if stored >= MAX_STORED or suspect.compute_quarantine_left(now) < MIN_LEASE:
             return False
         if suspect.digest in self._state.observed_crashes:
             return True
         return self._has_duties() and now - suspect.updated_at > FALLBACK_WRITE_DELAY
 
     async def _write(self, suspect: Suspect, now: float) -> None:
-        lease = await self._store.grant_lease(suspect.find_quarantine_left(now))
+        lease = await self._store.grant_lease(suspect.compute_quarantine_left(now))
         if isinstance(lease, Failure):
             return
         value = msgspec.json.encode(encode_stored(suspect, now))
@@ -136,7 +136,11 @@
             key = make_key(suspect.digest)
             is_responsible = suspect.digest in self._written or self._has_duties()
             is_stored = key in self._state.hosts.items and key not in self._deleted
-            if is_responsible and is_stored and suspect.find_quarantine_left(now) <= 0:
+            if (
+                is_responsible
+                and is_stored
+                and suspect.compute_quarantine_left(now) <= 0
+            ):
                 cleared.append(key)
         return cleared
 
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -39,7 +39,9 @@
     """
     if state.suspects.is_empty:
         return None
-    seconds_left = state.suspects.find_quarantine_left(job.digest, trio.current_time())
+    seconds_left = state.suspects.compute_quarantine_left(
+        job.digest, trio.current_time()
+    )
     if seconds_left <= 0:
         return None
     state.metrics.add("requests_set_aside_total", service=job.service)
@@ -105,11 +107,11 @@
     now = trio.current_time()
     is_new = False
     for suspect in suspects:
-        left_before = state.suspects.find_quarantine_left(suspect.digest, now)
+        left_before = state.suspects.compute_quarantine_left(suspect.digest, now)
         if not state.suspects.merge(suspect, now):
             continue
         is_new = True
-        seconds_left = state.suspects.find_quarantine_left(suspect.digest, now)
+        seconds_left = state.suspects.compute_quarantine_left(suspect.digest, now)
         if seconds_left > 0 and left_before <= 0:
             _log_quarantine(state, suspect.digest, seconds_left)
     return is_new
@@ -159,10 +161,10 @@
         now = trio.current_time()
         if now - polled_at >= QUARANTINE_POLL_INTERVAL:
             quarantined, polled_at = state.suspects.list_quarantined(now), now
-        updated = select_turn(_list_updated(state, now - REPORT_TIME), turn)
+        updated = select_report_part(_list_updated(state, now - REPORT_TIME), turn)
         chosen = {
             suspect.digest: suspect
-            for suspect in [*updated, *select_turn(quarantined, turn)]
+            for suspect in [*updated, *select_report_part(quarantined, turn)]
         }
         return [encode_suspect(suspect, now) for suspect in chosen.values()]
 
@@ -175,7 +177,7 @@
     return sorted(updated, key=lambda suspect: -len(suspect.crashes))
 
 
-def select_turn(suspects: list[Suspect], turn: int) -> list[Suspect]:
+def select_report_part(suspects: list[Suspect], turn: int) -> list[Suspect]:
     """Return the part of a list that the report with a given number contains."""
     begin = (turn * SUSPECTS_PER_REPORT) % max(1, len(suspects))
     return [*suspects[begin:], *suspects[:begin]][:SUSPECTS_PER_REPORT]
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -86,8 +86,8 @@
     def _list_due_windows(self) -> list[int]:
         bounds = self._state.settings.bounds
         now = time.time()
-        newest = self._state.find_window(now - SETTLE_TIME) - 1
-        oldest = self._state.find_window(now - bounds.usage_due) - 1
+        newest = self._state.compute_window(now - SETTLE_TIME) - 1
+        oldest = self._state.compute_window(now - bounds.usage_due) - 1
         windows = range(oldest, newest + 1)
         self._reported_windows = {
             window for window in self._reported_windows if window >= oldest
--- a/dewridge/gateway/usagetelling.py
+++ b/dewridge/gateway/usagetelling.py
@@ -47,7 +47,7 @@
 core."""
 
 
-def find_usage_report_period(hosts: int) -> float:
+def compute_usage_report_period(hosts: int) -> float:
     """Return the seconds between two usage reports of a host."""
     return max(MIN_USAGE_PERIOD, hosts / MAX_USAGE_REPORTS_PER_SECOND)
 
@@ -144,7 +144,7 @@
             await trio.sleep(CONFIRMATION_TIMEOUT)
             if self._sharing.has_cells and self._unconfirmed_number:
                 self._send_usage()
-            period = find_usage_report_period(self._host_table.count())
+            period = compute_usage_report_period(self._host_table.count())
             await trio.sleep(period * random.uniform(0.9, 1.1) - CONFIRMATION_TIMEOUT)
 
     def _send_usage(self) -> None:
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -170,7 +170,7 @@
         self._is_store_outdated = False
         self._newest_peer_version = 0
 
-    def find_poll_period(self) -> float:
+    def compute_poll_interval(self) -> float:
         """Return the seconds between polls.
 
         The period grows with the number of live peers, and keeps the polls of all hosts
@@ -245,7 +245,7 @@
         store just before the next poll then left their keys trusted for two seconds
         instead of four.
         """
-        period = self.find_poll_period()
+        period = self.compute_poll_interval()
         min_age = max(MIN_RECHECK_AGE, period / (1 + self._count_live_peers()))
         min_age = min(min_age, period)
         return float(
@@ -302,7 +302,9 @@
                 continue
             role = self._find_role()
             period = (
-                self.find_poll_period() if role is StoreRole.ALL else READER_POLL_PERIOD
+                self.compute_poll_interval()
+                if role is StoreRole.ALL
+                else READER_POLL_PERIOD
             )
             if role is StoreRole.LISTENER:
                 period = LISTENER_POLL_PERIOD
@@ -399,7 +401,7 @@
             changes: Listing | Failure | None = None
             requested_at = read_boot_clock()
             is_servers = prefix == SERVERS_PREFIX
-            wait = WATCH_WAIT if is_servers else self._find_confirm_wait()
+            wait = WATCH_WAIT if is_servers else self._compute_confirm_wait()
             if revision is not None:
                 changes = await self._watch_store.watch(prefix, revision, wait)
             if isinstance(changes, Listing):
@@ -422,7 +424,7 @@
             )
             retry_delay = min(MAX_RETRY_DELAY, retry_delay * 2)
 
-    def _find_confirm_wait(self) -> float:
+    def _compute_confirm_wait(self) -> float:
         if trio.current_time() - self._started_at < STARTUP_PERIOD:
             return STARTUP_CONFIRM_WAIT
         return CONFIRM_WAITS[self._find_role()]
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -19,10 +19,10 @@
 )
 from dewridge.policy.serverhealth import (
     ServerHealth,
-    find_failure_share,
-    find_median,
+    compute_failure_share,
+    compute_median,
 )
-from dewridge.policy.shedding import must_shed
+from dewridge.policy.shedding import should_shed
 
 MIN_COPIED_TOKENS = 1_500
 """Size in tokens from which a shared prompt prefix is copied between servers. A shorter
@@ -38,7 +38,7 @@
 
     Attributes:
         server: the server to send the request to.
-        unread_tokens: prompt tokens that the server probably has to process.
+        unprocessed_tokens: prompt tokens that the server probably has to process.
         is_idle: whether no earlier prompt is known to be waiting there.
         cache_holder: `a.b.c.d:port` of a server that probably has the shared prefix
             cached, if the chosen one does not.
@@ -46,7 +46,7 @@
     """
 
     server: ServerRecord
-    unread_tokens: int
+    unprocessed_tokens: int
     is_idle: bool = False
     cache_holder: str | None = None
     is_suspect: bool = False
@@ -86,7 +86,7 @@
     if server is None:
         return None
     holder = find_cache_holder(holders, make_prefix_name(job), server.id)
-    if holder is not None and now < state.find_health(holder).cooldown_until:
+    if holder is not None and now < state.get_health(holder).cooldown_until:
         holder = None
     address = None if holder is None else cache_warm[holder].address
     return ServerChoice(server, placement.tokens, placement.is_idle, address)
@@ -163,7 +163,7 @@
     records = state.list_serving(job.service)
     in_flight = state.count_in_flight(records)
     slots = sum(record.slots for record in records)
-    return must_shed(in_flight, slots, job.route.priority, state.rng.random())
+    return should_shed(in_flight, slots, job.route.priority, state.rng.random())
 
 
 def choose_move_target(
@@ -189,12 +189,12 @@
 ) -> list[Candidate]:
     """Return the servers with their load from all hosts and whether they are usable."""
     others = state.sharing.find_summary(now)
-    healths = [state.find_health(server.id) for server in records]
+    healths = [state.get_health(server.id) for server in records]
     shares = [
         compute_fleet_failure_share(server.id, health, others, now)
         for server, health in zip(records, healths, strict=True)
     ]
-    median = find_median(
+    median = compute_median(
         health.failure_share if share is None else share
         for share, health in zip(shares, healths, strict=True)
     )
@@ -208,7 +208,7 @@
                 id=record.id,
                 failure_domain=record.failure_domain,
                 requests=requests,
-                unread_tokens=tokens,
+                unprocessed_tokens=tokens,
                 slots=record.slots,
                 is_usable=health.is_usable(now, share, median),
             )
@@ -226,7 +226,7 @@
     """
     elsewhere = others.server_totals.get(server, ZERO_SERVER_TOTALS)
     attempts, failures = health.recent.read(now)
-    return find_failure_share(
+    return compute_failure_share(
         elsewhere.attempts / TENTHS_PER_ATTEMPT + attempts,
         elsewhere.failures / TENTHS_PER_ATTEMPT + failures,
     )
--- a/dewridge/policy/admission.py
+++ b/dewridge/policy/admission.py
@@ -112,7 +112,7 @@
         # refused at once has time to go elsewhere, while a request that expires in
         # the queue has cost its caller the whole wait.
         wait = estimate_wait(view)
-        lateness = find_lateness(work, view, wait * margin, now)
+        lateness = estimate_lateness(work, view, wait * margin, now)
         if lateness > 0:
             return refuse(
                 ResultCode.DEADLINE_UNREACHABLE,
@@ -121,7 +121,7 @@
             )
         return check_bounds(view)
 
-    def find_lateness(
+    def estimate_lateness(
         work: Work, view: AdmissionView, wait: float, now: float
     ) -> float:
         # Answers take up to half as long again as expected. The margin applies only
--- a/dewridge/policy/backlog.py
+++ b/dewridge/policy/backlog.py
@@ -125,11 +125,11 @@
             default=None,
         )
 
-    def find_cost(self) -> float:
+    def compute_cost(self) -> float:
         """Return the cost of all queued work."""
-        return sum(self.queue.find_cost(work_class) for work_class in WorkClass)
+        return sum(self.queue.get_cost(work_class) for work_class in WorkClass)
 
-    def find_rate(self, work_class: WorkClass | None, prior_rate: float) -> float:
+    def estimate_rate(self, work_class: WorkClass | None, prior_rate: float) -> float:
         """Return the cost dispatched per second.
 
         Args:
@@ -138,7 +138,7 @@
                 measurements.
         """
         meter = self._rates[work_class] if work_class else self._total_rate
-        return max(1e-9, meter.find_rate(self._credits, prior_rate))
+        return max(1e-9, meter.estimate_rate(self._credits, prior_rate))
 
     @property
     def queued(self) -> int:
--- a/dewridge/policy/capacity.py
+++ b/dewridge/policy/capacity.py
@@ -61,11 +61,11 @@
             for seconds, tokens in self._samples
         )
         fastest = by_time_per_token[: max(1, int(count * (1 - TRIMMED_SHARE)))]
-        reading_time = sum(
+        processing_time = sum(
             time_per_token * tokens for time_per_token, tokens in fastest
         )
-        if reading_time <= 0:
+        if processing_time <= 0:
             return DEFAULT_PREFILL_RATE
-        measured = sum(tokens for _, tokens in fastest) / reading_time
+        measured = sum(tokens for _, tokens in fastest) / processing_time
         weight = count / (count + DEFAULT_WEIGHT)
         return DEFAULT_PREFILL_RATE * math.pow(measured / DEFAULT_PREFILL_RATE, weight)
--- a/dewridge/policy/choice.py
+++ b/dewridge/policy/choice.py
@@ -53,7 +53,7 @@
         id: id of the server.
         failure_domain: failure domain of the server.
         requests: requests in flight to the server from all hosts.
-        unread_tokens: prompt tokens of these requests that the server has not read
+        unprocessed_tokens: prompt tokens of these requests that the server has not read
             yet, as far as is known.
         slots: requests that the server runs concurrently.
         is_usable: whether to send work to the server while there are other usable
@@ -63,7 +63,7 @@
     id: BackendServerId
     failure_domain: FailureDomain
     requests: int
-    unread_tokens: float
+    unprocessed_tokens: float
     slots: int
     is_usable: bool
 
@@ -72,7 +72,7 @@
         """Load that delays a new prompt, in prompt tokens to read before it."""
         queued = max(0, self.requests + 1 - self.slots)
         return (
-            self.unread_tokens
+            self.unprocessed_tokens
             + self.requests * RUNNING_REQUEST_TOKENS
             + queued * QUEUED_REQUEST_TOKENS
         )
@@ -143,14 +143,14 @@
     bound = lowest * (1 + BUSY_WEIGHT) + shared_tokens * weight + EQUAL_LOAD_TOKENS
     for holder in list_cache_holders(usable, prefix):
         if holder.delay_tokens <= bound:
-            unshared_tokens = max(0, prompt_tokens - shared_tokens)
-            return Placement(holder.id, unshared_tokens, holder.unread_tokens <= 0)
+            uncached_tokens = max(0, prompt_tokens - shared_tokens)
+            return Placement(holder.id, uncached_tokens, holder.unprocessed_tokens <= 0)
     least_loaded = [
         server for server in usable if server.delay_tokens <= lowest + EQUAL_LOAD_TOKENS
     ]
     chosen = rng.choice(least_loaded)
     tokens = prompt_tokens - shared_tokens if can_copy else prompt_tokens
-    return Placement(chosen.id, max(0, tokens), chosen.unread_tokens <= 0)
+    return Placement(chosen.id, max(0, tokens), chosen.unprocessed_tokens <= 0)
 
 
 def list_cache_holders(candidates: Sequence[Candidate], prefix: str) -> list[Candidate]:
--- a/dewridge/policy/cost.py
+++ b/dewridge/policy/cost.py
@@ -22,7 +22,7 @@
     return remaining + PROMPT_WEIGHT * (work.prompt_tokens + work.tokens_done)
 
 
-def find_slot_price(server: ServerView) -> float:
+def compute_slot_price(server: ServerView) -> float:
     """Return the price per second of one of the server's concurrent requests."""
     return server.price / SECONDS_PER_HOUR / max(1, server.capacity)
 
@@ -44,7 +44,7 @@
         self._drain(now)
         self._spent += amount
 
-    def find_wait(self, expected: float, now: float) -> float:
+    def compute_wait(self, expected: float, now: float) -> float:
         """Return the seconds until an answer of the expected cost may start.
 
         The bucket drains continuously at the hourly limit. When callers send more than
--- a/dewridge/policy/credits.py
+++ b/dewridge/policy/credits.py
@@ -152,16 +152,16 @@
             self.background = max(0, self.background - 1)
         self.awaiting_first_token.pop(request, None)
 
-    def find_first_token(self, now: float) -> float:
+    def estimate_first_token(self, now: float) -> float:
         """Return the expected seconds to a first token; 0 if unknown.
 
         A server that has stopped answering yields no samples, so the time since its
         last response counts as one. Otherwise it would get work until the first
         timeout.
         """
-        return max(self.first_token, self.find_silence(now))
+        return max(self.first_token, self.compute_silence(now))
 
-    def find_silence(self, now: float) -> float:
+    def compute_silence(self, now: float) -> float:
         """Return the seconds without a response while a request awaits its first token.
 
         Tokens of any request count as a response: a server that is merely full still
@@ -170,7 +170,7 @@
         oldest = next(iter(self.awaiting_first_token.values()), now)
         return now - max(oldest, self.last_response_at)
 
-    def find_late_first_token(self, now: float) -> float:
+    def estimate_late_first_token(self, now: float) -> float:
         """Return the seconds within which about 95% of interactive first tokens come.
 
         The latency target applies to 95% of the answers; if the mean just met the
@@ -179,7 +179,7 @@
         typical = (
             self.interactive_first_token + SPREAD_MULTIPLE * self.interactive_spread
         )
-        return max(typical, self.find_silence(now))
+        return max(typical, self.compute_silence(now))
 
     def record_first_token(
         self, request: RequestId, work_class: WorkClass, now: float
--- a/dewridge/policy/demand.py
+++ b/dewridge/policy/demand.py
@@ -32,7 +32,7 @@
         else:
             self._buckets.append((bucket, tokens))
 
-    def find_peak_rate(self, now: float) -> float:
+    def compute_peak_rate(self, now: float) -> float:
         """Return the highest rate within PEAK_SECONDS, in tokens per second."""
         newest = int(now / BUCKET_SECONDS) - 1
         while self._buckets and self._buckets[0][0] <= newest - RATE_BUCKETS:
--- a/dewridge/policy/idletime.py
+++ b/dewridge/policy/idletime.py
@@ -49,7 +49,7 @@
         """Record that a connection was found closed after `age` idle seconds."""
         self.limit = max(MIN_LIMIT, min(self.limit, age * CLOSED_SHARE))
 
-    def find_limit(self, announced: float | None, *, must_arrive: bool) -> float:
+    def compute_limit(self, announced: float | None, *, must_arrive: bool) -> float:
         """Return the idle seconds up to which a connection may be reused.
 
         Args:
--- a/dewridge/policy/mergedtotals.py
+++ b/dewridge/policy/mergedtotals.py
@@ -67,7 +67,7 @@
         self._baselines.clear()
 
 
-def find_growth(
+def compute_growth(
     current: Mapping[Name, float], previous: Mapping[Name, float]
 ) -> dict[Name, float]:
     """Return by how much each total has grown; totals without growth are left out."""
--- a/dewridge/policy/pace.py
+++ b/dewridge/policy/pace.py
@@ -35,7 +35,7 @@
         if self._backlog_since is not None:
             self._dispatched_cost += cost
 
-    def find_rate(self, credits: float, prior_rate: float) -> float:
+    def estimate_rate(self, credits: float, prior_rate: float) -> float:
         """Return the cost dispatched per second with a number of credits.
 
         Args:
--- a/dewridge/policy/pacing.py
+++ b/dewridge/policy/pacing.py
@@ -15,7 +15,7 @@
 BYTES_PER_MEGABIT = 125_000
 
 
-def find_datagram_rate(link_mbps: float) -> float:
+def compute_datagram_rate(link_mbps: float) -> float:
     """Return the bytes per second for datagrams; `link_mbps` is 0 if unknown."""
     return LINK_SHARE * (link_mbps or DEFAULT_LINK_MBPS) * BYTES_PER_MEGABIT
 
@@ -27,7 +27,7 @@
         self.rate = rate
         self._sent_through = float("-inf")
 
-    def find_wait(self, now: float) -> float:
+    def compute_wait(self, now: float) -> float:
         """Return the seconds until a datagram may be sent.
 
         After a burst, waits until all of it has been sent at the rate. Waiting only
--- a/dewridge/policy/placement.py
+++ b/dewridge/policy/placement.py
@@ -6,7 +6,7 @@
 from dewridge.configuration.model import LatencyTargets
 from dewridge.ids import BackendServerId
 from dewridge.policy.affinity import is_within_load_bound, score_prefix
-from dewridge.policy.cost import find_slot_price
+from dewridge.policy.cost import compute_slot_price
 from dewridge.policy.credits import MAX_PAUSE, Health, ServerCredits
 from dewridge.policy.model import Work, WorkClass
 from dewridge.policy.servers import Servers
@@ -68,7 +68,8 @@
             )
         cached = find_cached(work, servers, fitting)
         return min(
-            fitting, key=lambda record: find_price(work, servers, record, cached, now)
+            fitting,
+            key=lambda record: compute_price(work, servers, record, cached, now),
         )
 
     def meets_target(work: Work, record: ServerCredits, now: float) -> bool:
@@ -77,7 +78,7 @@
         if work.work_class is WorkClass.BACKGROUND:
             return True
         time_left = work.arrival + targets.first_token - now
-        return record.find_late_first_token(now) <= target_share * time_left
+        return record.estimate_late_first_token(now) <= target_share * time_left
 
     def find_cached(
         work: Work, servers: Servers, fitting: Sequence[ServerCredits]
@@ -94,7 +95,7 @@
             below_bound, key=lambda record: score_prefix(work.prefix, record.id_hash)
         )
 
-    def find_price(
+    def compute_price(
         work: Work,
         servers: Servers,
         record: ServerCredits,
@@ -102,7 +103,7 @@
         now: float,
     ) -> float:
         duration = servers.latency_model.predict_duration(work, record)
-        price = find_slot_price(record.view) * duration
+        price = compute_slot_price(record.view) * duration
         view = record.view
         if view.reclaimable and servers.is_under_notice(view.failure_domain, now):
             # Reclaims come in waves: a long request in a failure domain where a
@@ -153,9 +154,9 @@
     The server to avoid is returned if it is the only one. The subset is bounded, so
     that the cost does not depend on the size of the fleet.
     """
-    if not servers.has_credit(work.work_class, reserve):
+    if not servers.has_total_credit(work.work_class, reserve):
         return []
-    reserved_share = servers.find_reserved_share(reserve)
+    reserved_share = servers.compute_reserved_share(reserve)
     free = [
         record
         for record in servers.subset
@@ -190,7 +191,9 @@
     work: Work, servers: Servers, record: ServerCredits, now: float
 ) -> float:
     """Return the expected seconds of an attempt, weighted by the credits in use."""
-    first_token = max(servers.latency_model.first_token, record.find_first_token(now))
+    first_token = max(
+        servers.latency_model.first_token, record.estimate_first_token(now)
+    )
     duration = servers.latency_model.predict_duration(work, record)
     return (first_token + duration) * (1 + record.in_flight / record.limit)
 
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -103,13 +103,13 @@
     def has_work(self, work_class: WorkClass) -> bool:
         """Return whether work of a class is queued."""
 
-    def find_cost(self, work_class: WorkClass) -> float:
+    def get_cost(self, work_class: WorkClass) -> float:
         """Return the queued cost of a class."""
 
-    def find_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
+    def get_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
         """Return the queued cost of a class for an account."""
 
-    def find_share(self, work_class: WorkClass, account: ClientAccount) -> float:
+    def estimate_share(self, work_class: WorkClass, account: ClientAccount) -> float:
         """Return an account's share of the dispatch rate of a class, from 0 to 1."""
 
 
@@ -233,11 +233,11 @@
         if self.size == 0:
             self._reset()
 
-    def find_account_cost(self, account: ClientAccount) -> float:
+    def get_account_cost(self, account: ClientAccount) -> float:
         queue = self._accounts.get(account)
         return queue.cost if queue else 0.0
 
-    def find_share(self, account: ClientAccount, weight: float) -> float:
+    def estimate_share(self, account: ClientAccount, weight: float) -> float:
         """Return an account's share of the dispatch rate.
 
         The share starts at the account's share of the active weights and approaches the
@@ -289,7 +289,7 @@
 
     def push(self, entry: QueueEntry, is_charged: bool) -> None:
         """Add an entry; retries are not charged again."""
-        weight = self._find_weight(entry.work.account)
+        weight = self._get_weight(entry.work.account)
         self._classes[entry.work.work_class].push(entry, weight, is_charged)
 
     def list_heads(self) -> list[QueueEntry]:
@@ -326,20 +326,20 @@
         """Return whether work of a class is queued."""
         return self._classes[work_class].size > 0
 
-    def find_cost(self, work_class: WorkClass) -> float:
+    def get_cost(self, work_class: WorkClass) -> float:
         """Return the queued cost of a class."""
         return self._classes[work_class].cost
 
-    def find_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
+    def get_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
         """Return the queued cost of a class for an account."""
-        return self._classes[work_class].find_account_cost(account)
+        return self._classes[work_class].get_account_cost(account)
 
-    def find_share(self, work_class: WorkClass, account: ClientAccount) -> float:
+    def estimate_share(self, work_class: WorkClass, account: ClientAccount) -> float:
         """Return an account's share of the dispatch rate of a class, from 0 to 1."""
-        weight = self._find_weight(account)
-        return self._classes[work_class].find_share(account, weight)
+        weight = self._get_weight(account)
+        return self._classes[work_class].estimate_share(account, weight)
 
-    def _find_weight(self, account: ClientAccount) -> float:
+    def _get_weight(self, account: ClientAccount) -> float:
         return max(1e-6, self._weights.get(account, 1.0))
 
 
@@ -381,14 +381,14 @@
         """Return whether work of a class is queued."""
         return self._sizes[work_class] > 0
 
-    def find_cost(self, work_class: WorkClass) -> float:
+    def get_cost(self, work_class: WorkClass) -> float:
         """Return the queued cost of a class."""
         return self._costs[work_class]
 
-    def find_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
+    def get_account_cost(self, work_class: WorkClass, account: ClientAccount) -> float:
         """Return the queued cost of the class; accounts are not distinguished."""
         return self._costs[work_class]
 
-    def find_share(self, work_class: WorkClass, account: ClientAccount) -> float:
+    def estimate_share(self, work_class: WorkClass, account: ClientAccount) -> float:
         """Return 1; accounts are not distinguished."""
         return 1.0
--- a/dewridge/policy/quota.py
+++ b/dewridge/policy/quota.py
@@ -110,7 +110,7 @@
         self._amounts.append((now, amount))
         self._sum += amount
 
-    def read(self, now: float) -> float:
+    def compute_rate(self, now: float) -> float:
         """Return units per second."""
         while self._amounts and self._amounts[0][0] < now - DEMAND_WINDOW:
             self._sum -= self._amounts.popleft()[1]
@@ -192,7 +192,7 @@
         """Count units that an account asked for at other hosts."""
         self._remote_demand[account].add(amount, now)
 
-    def find_wait(
+    def compute_wait(
         self,
         account: ClientAccount,
         amount: float,
@@ -243,8 +243,8 @@
     ) -> float:
         """Return the estimated demand at the other live hosts, in units per second."""
         others = max(0, fleet.hosts - 1 - fleet.silent)
-        local = self._local_demand[account].read(now)
-        reported = self._remote_demand[account].read(now)
+        local = self._local_demand[account].compute_rate(now)
+        reported = self._remote_demand[account].compute_rate(now)
         return max(reported, local * min(others, MAX_EXTRAPOLATED_HOSTS))
 
     def describe(self) -> dict[str, dict[str, float]]:
@@ -257,7 +257,7 @@
             for account, bucket in self._buckets.items()
         }
 
-    def find_level(self, account: ClientAccount) -> float:
+    def get_level(self, account: ClientAccount) -> float:
         """Return the level of an account's bucket when it was last filled."""
         bucket = self._buckets.get(account)
         return 0.0 if bucket is None else bucket.level
--- a/dewridge/policy/recovery.py
+++ b/dewridge/policy/recovery.py
@@ -116,7 +116,7 @@
         if outcome is AttemptOutcome.NOT_STARTED:
             # A first refusal is retried at another server at once. Further ones mean
             # that most servers are full, and immediate retries would slow them more.
-            pause = find_pause(entry.refused - 1) if entry.refused > 1 else 0.0
+            pause = compute_pause(entry.refused - 1) if entry.refused > 1 else 0.0
             return check_deadline(entry, pause, now, rng)
         if entry.lost >= attempt_limit:
             # A request that crashes every server that runs it has to fail before it
@@ -125,14 +125,14 @@
         # Without budget the request is still retried, because it was accepted, but
         # after the longest pause: when a whole failure domain is lost, the retries must
         # not double the load on the remaining servers.
-        pause = find_pause(entry.lost)
+        pause = compute_pause(entry.lost)
         if budget >= 1:
             budget -= 1
         else:
             pause = max_pause * rng.uniform(0.5, 1.0)
         return check_deadline(entry, pause, now, rng)
 
-    def find_pause(failures: int) -> float:
+    def compute_pause(failures: int) -> float:
         # Adds jitter, because requests that failed together would otherwise be retried
         # together and meet at the same full server.
         pause = min(max_pause, min_pause * 2.0 ** min(30, failures - 1))
--- a/dewridge/policy/reserve.py
+++ b/dewridge/policy/reserve.py
@@ -34,6 +34,6 @@
             self._demand *= math.exp((self._decayed_at - now) / AVERAGING_SECONDS)
             self._decayed_at = now
 
-    def find_credits(self, limit: float) -> float:
+    def compute_credits(self, limit: float) -> float:
         """Return the number of credits to reserve, at most `limit`."""
         return min(limit, self._demand + HEADROOM_DEVIATIONS * math.sqrt(self._demand))
--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -131,10 +131,10 @@
     baseline_rate = (baseline.bad + 1) / (baseline.answers + 1 / MIN_BAD_RATE)
     rate = min(1.0, max(MIN_BAD_RATE, baseline_rate * BAD_RATE_MARGIN))
     answers = max(target.answers, target.bad)
-    return find_tail_probability(answers, target.bad, rate) < SIGNIFICANCE
+    return compute_tail_probability(answers, target.bad, rate) < SIGNIFICANCE
 
 
-def find_tail_probability(answers: int, bad: int, rate: float) -> float:
+def compute_tail_probability(answers: int, bad: int, rate: float) -> float:
     """Return the probability of at least `bad` bad answers at a given rate."""
     if bad <= answers * rate:
         return 1.0
@@ -147,19 +147,19 @@
     )
 
 
-def find_trial_end(duration: float) -> float:
+def compute_trial_end(duration: float) -> float:
     """Return the seconds after the order at which its trial ends."""
     return max(duration * MIN_TRIAL_TIME_SHARE, duration - MOVE_TIME)
 
 
-def find_trial_share(exposure_share: float, duration: float) -> float:
+def compute_trial_share(exposure_share: float, duration: float) -> float:
     """Return the share of requests that a trial sends to the target version.
 
     The permitted exposure is a share of all requests until the deadline. All of the
     planned part is spent during the trial, to collect the most answers before the
     decision.
     """
-    planned = PLANNED_EXPOSURE * exposure_share * duration / find_trial_end(duration)
+    planned = PLANNED_EXPOSURE * exposure_share * duration / compute_trial_end(duration)
     return min(MAX_TRIAL_SHARE, planned)
 
 
@@ -227,7 +227,7 @@
 
 
 def _find_stage_after_trial(rollout: RolloutState) -> Stage:
-    if rollout.elapsed < find_trial_end(rollout.duration):
+    if rollout.elapsed < compute_trial_end(rollout.duration):
         return Stage.TRIAL
     # With fewer servers the target could not carry the load of the old version.
     has_capacity = rollout.target_servers >= rollout.baseline_servers
--- a/dewridge/policy/scaling.py
+++ b/dewridge/policy/scaling.py
@@ -72,22 +72,22 @@
 
     Attributes:
         rate: prompt tokens that arrive per second.
-        pace: prompt tokens that one server reads per second.
+        prefill_rate: prompt tokens that one server reads per second.
         in_flight: requests at all servers.
         slots: requests that one server runs at once.
     """
 
     rate: float
-    pace: float = DEFAULT_PREFILL_RATE
+    prefill_rate: float = DEFAULT_PREFILL_RATE
     in_flight: int = 0
     slots: int = 1
 
 
 def count_needed_servers(load: Load) -> int:
     """Return how many servers a load needs, by prompt tokens and by slots."""
-    by_reading = load.rate / (load.pace * TARGET_LOAD)
+    by_prefill_rate = load.rate / (load.prefill_rate * TARGET_LOAD)
     by_slots = load.in_flight / (max(1, load.slots) * TARGET_SLOT_LOAD)
-    return math.ceil(max(by_reading, by_slots))
+    return math.ceil(max(by_prefill_rate, by_slots))
 
 
 def estimate_initial_need(
--- a/dewridge/policy/scheduler.py
+++ b/dewridge/policy/scheduler.py
@@ -11,7 +11,7 @@
 from dewridge.policy import admission, placement, recovery
 from dewridge.policy.admission import AdmissionView
 from dewridge.policy.backlog import Backlog
-from dewridge.policy.cost import CostBudget, find_slot_price, measure_cost
+from dewridge.policy.cost import CostBudget, compute_slot_price, measure_cost
 from dewridge.policy.credits import ServerCredits
 from dewridge.policy.model import (
     Abandoned,
@@ -148,10 +148,10 @@
         if not expired:
             return []
         self._usage.count("expired", len(expired))
-        rate = self._backlog.find_rate(
+        rate = self._backlog.estimate_rate(
             None, self._estimate_credit_rate(expired[0].work)
         )
-        wait = self._backlog.find_cost() / rate
+        wait = self._backlog.compute_cost() / rate
         return [abandon_expired(entry, wait, self._rng) for entry in expired]
 
     def find_next_time(self, now: float) -> float | None:
@@ -250,7 +250,7 @@
         self._record_moves(moves)
         return moves
 
-    def read_usage(self) -> Usage:
+    def get_usage(self) -> Usage:
         """Return the counters of this service at this host."""
         return self._usage.read()
 
@@ -266,7 +266,7 @@
             "delayed": self._backlog.delayed,
             "running": len(self._running),
             "queued_work": {
-                work_class.value: round(queue.find_cost(work_class), 1)
+                work_class.value: round(queue.get_cost(work_class), 1)
                 for work_class in WorkClass
             },
             "servers": self._servers.describe(),
@@ -296,15 +296,15 @@
         return AdmissionView(
             cost=cost,
             first_token=servers.latency_model.first_token,
-            duration=servers.latency_model.find_duration(work, now),
-            class_cost=queue.find_cost(work.work_class),
-            account_cost=queue.find_account_cost(work.work_class, work.account),
-            account_share=queue.find_share(work.work_class, work.account),
-            class_rate=self._backlog.find_rate(work.work_class, prior_rate),
-            total_cost=self._backlog.find_cost(),
-            total_rate=self._backlog.find_rate(None, prior_rate),
+            duration=servers.latency_model.estimate_duration(work, now),
+            class_cost=queue.get_cost(work.work_class),
+            account_cost=queue.get_account_cost(work.work_class, work.account),
+            account_share=queue.estimate_share(work.work_class, work.account),
+            class_rate=self._backlog.estimate_rate(work.work_class, prior_rate),
+            total_cost=self._backlog.compute_cost(),
+            total_rate=self._backlog.estimate_rate(None, prior_rate),
             has_servers=bool(servers.fleet),
-            budget_wait=self._budget.find_wait(expected, now),
+            budget_wait=self._budget.compute_wait(expected, now),
             exceeds_answer_limit=self._budget.exceeds_answer_limit(expected),
         )
 
@@ -328,7 +328,7 @@
         if self._drops_expired:
             min_duration = (
                 MIN_DURATION_SHARE
-                * self._servers.latency_model.find_duration(entry.work, now)
+                * self._servers.latency_model.estimate_duration(entry.work, now)
             )
             entry.latest_start = entry.work.deadline - min_duration
         self._backlog.add(entry, is_charged, now)
@@ -339,7 +339,7 @@
         work = entry.work
         self._backlog.dequeue(entry, now)
         self._servers.acquire(record, work.request, work.work_class, now)
-        price = find_slot_price(record.view)
+        price = compute_slot_price(record.view)
         attempt = RunningAttempt(entry, record.view.id, now, price)
         self._running[work.request] = attempt
         self._by_server[record.view.id][work.request] = attempt
--- a/dewridge/policy/serverhealth.py
+++ b/dewridge/policy/serverhealth.py
@@ -44,12 +44,12 @@
         return self.attempts * decay, self.failures * decay
 
 
-def find_failure_share(attempts: float, failures: float) -> float | None:
+def compute_failure_share(attempts: float, failures: float) -> float | None:
     """Return the share of failed attempts, or None if there were too few attempts."""
     return failures / attempts if attempts >= MIN_ATTEMPTS else None
 
 
-def find_median(shares: Iterable[float]) -> float:
+def compute_median(shares: Iterable[float]) -> float:
     """Return the median of the shares, or 0 if there are none."""
     ordered = sorted(shares)
     return ordered[len(ordered) // 2] if ordered else 0.0
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -8,11 +8,11 @@
 
 from dewridge.configuration.model import LatencyTargets
 from dewridge.ids import BackendServerId, FailureDomain, RequestId
-from dewridge.policy.cost import find_slot_price
+from dewridge.policy.cost import compute_slot_price
 from dewridge.policy.credits import MIN_LIMIT, Health, ServerCredits
 from dewridge.policy.model import AttemptOutcome, ServerView, WorkClass
 from dewridge.policy.reserve import Reserve
-from dewridge.policy.subsets import choose_subset, find_hosts_per_server
+from dewridge.policy.subsets import choose_subset, compute_hosts_per_server
 from dewridge.policy.usual import LatencyModel
 
 REFRESH_INTERVAL = 0.1
@@ -159,7 +159,7 @@
         self.in_flight -= 1
         self.background -= work_class is WorkClass.BACKGROUND
 
-    def has_credit(self, work_class: WorkClass, share: float) -> bool:
+    def has_total_credit(self, work_class: WorkClass, share: float) -> bool:
         """Whether this host's credits in total allow one more request of a class.
 
         Credits are fractions, and rounded up for each server; this limit on their sum
@@ -169,7 +169,7 @@
         """
         total = max(1.0, self.total_limit)
         if work_class is WorkClass.BACKGROUND:
-            reserved = self.find_reserved_share(share) * total
+            reserved = self.compute_reserved_share(share) * total
             max_background = max(1.0, total - reserved)
             return self.in_flight < total and self.background < max_background
         # Background requests may hold all credits of this host while those of other
@@ -178,14 +178,14 @@
         extra = min(MAX_OVERDRAFT_SHARE * total, self.background)
         return self.in_flight < total + extra
 
-    def find_reserved_share(self, share: float) -> float:
+    def compute_reserved_share(self, share: float) -> float:
         """Return the share of the credits to reserve for interactive work.
 
         Args:
             share: upper limit of the result.
         """
         total = max(1.0, self.total_limit)
-        return self.reserve.find_credits(share * total) / total
+        return self.reserve.compute_credits(share * total) / total
 
     def is_under_notice(self, domain: FailureDomain, now: float) -> bool:
         """Whether a reclaim was recently announced for a server of a domain."""
@@ -293,7 +293,7 @@
             self.newly_slow.append(record.view.id)
 
     def _choose_subset(self) -> None:
-        self._hosts_per_server = find_hosts_per_server(
+        self._hosts_per_server = compute_hosts_per_server(
             self.fleet, self._host_count, self._target_subset_size
         )
         views = choose_subset(
@@ -301,9 +301,9 @@
         )
         self.subset = [self.records.get(v.id) or self._make_record(v) for v in views]
         for record in self.subset:
-            record.set_share(self._find_share(record.view))
+            record.set_share(self._compute_share(record.view))
         self._refresh_at = 0.0
-        prices = [find_slot_price(view) for view in views]
+        prices = [compute_slot_price(view) for view in views]
         self.min_price = min(prices, default=0.0)
         chosen = {view.id for view in views}
         for server, record in list(self.records.items()):
@@ -313,14 +313,14 @@
     def _make_record(self, view: ServerView) -> ServerCredits:
         # The initial limit is this host's share of the server's capacity, so that all
         # hosts together start at what the server can run and not above it.
-        share = self._find_share(view)
+        share = self._compute_share(view)
         record = ServerCredits(
             view, share, share, xxhash.xxh3_64_intdigest(view.id.encode())
         )
         self.records[view.id] = record
         return record
 
-    def _find_share(self, view: ServerView) -> float:
+    def _compute_share(self, view: ServerView) -> float:
         return max(MIN_LIMIT, view.capacity / self._hosts_per_server)
 
     def _drop_idle_record(self, server: BackendServerId) -> None:
--- a/dewridge/policy/shedding.py
+++ b/dewridge/policy/shedding.py
@@ -15,7 +15,7 @@
     begin: float
     end: float
 
-    def find_share(self, load: float) -> float:
+    def compute_share(self, load: float) -> float:
         """Return the share of requests to refuse at a load in requests per slot."""
         return min(1.0, max(0.0, (load - self.begin) / (self.end - self.begin)))
 
@@ -27,7 +27,7 @@
 while they run, and the work done for them is wasted."""
 
 
-def must_shed(in_flight: float, slots: int, urgency: int, draw: float) -> bool:
+def should_shed(in_flight: float, slots: int, urgency: int, draw: float) -> bool:
     """Return whether to refuse a request on arrival.
 
     Sheds load in the seconds after reclaims have removed more servers than can be
@@ -47,4 +47,4 @@
     if slots <= 0:
         return False
     ramp = SHEDDING_RAMPS[min(urgency, len(SHEDDING_RAMPS) - 1)]
-    return draw < ramp.find_share(in_flight / slots)
+    return draw < ramp.compute_share(in_flight / slots)
--- a/dewridge/policy/subsets.py
+++ b/dewridge/policy/subsets.py
@@ -37,7 +37,7 @@
     return [server for _, _, server in placed]
 
 
-def find_subset_size(
+def compute_subset_size(
     servers: Sequence[ServerView], host_count: int, target_size: int
 ) -> int:
     """Return how many servers each entry host uses, about `target_size`.
@@ -68,17 +68,17 @@
     ordered = order_servers(servers)
     if not ordered:
         return []
-    size = find_subset_size(ordered, host_count, target_size)
+    size = compute_subset_size(ordered, host_count, target_size)
     start = (host_index % max(1, host_count)) * len(ordered) // max(1, host_count)
     doubled = ordered + ordered[:size]
     return doubled[start : start + size]
 
 
-def find_hosts_per_server(
+def compute_hosts_per_server(
     servers: Sequence[ServerView], host_count: int, target_size: int
 ) -> float:
     """Return how many entry hosts use one server on average; at least 1."""
     if not servers:
         return 1.0
-    size = find_subset_size(servers, host_count, target_size)
+    size = compute_subset_size(servers, host_count, target_size)
     return max(1.0, host_count * size / len(servers))
--- a/dewridge/policy/suspects.py
+++ b/dewridge/policy/suspects.py
@@ -84,7 +84,7 @@
                 counted.append(crash.at)
         return counted
 
-    def find_quarantine_left(self, now: float) -> float:
+    def compute_quarantine_left(self, now: float) -> float:
         """Return the seconds of quarantine left; 0 if it is not quarantined."""
         if len(self.crashes) - len(self.cleared) < CRASH_THRESHOLD:
             return 0.0
@@ -138,17 +138,17 @@
         suspect = self._suspects.get(digest)
         return 0 if suspect is None else len(suspect.list_crash_times(now))
 
-    def find_quarantine_left(self, digest: RequestDigest, now: float) -> float:
+    def compute_quarantine_left(self, digest: RequestDigest, now: float) -> float:
         """Return the seconds of quarantine left; 0 if it is not quarantined."""
         suspect = self._suspects.get(digest)
-        return 0.0 if suspect is None else suspect.find_quarantine_left(now)
+        return 0.0 if suspect is None else suspect.compute_quarantine_left(now)
 
     def list_quarantined(self, now: float) -> list[Suspect]:
         """Return the requests that are quarantined."""
         return [
             suspect
             for suspect in self._suspects.values()
-            if suspect.find_quarantine_left(now) > 0
+            if suspect.compute_quarantine_left(now) > 0
         ]
 
     def list_all(self) -> list[Suspect]:
--- a/dewridge/policy/usual.py
+++ b/dewridge/policy/usual.py
@@ -65,7 +65,7 @@
         """Record that an answer began."""
         self._sampled_at = now
 
-    def find_duration(self, work: Work, now: float) -> float:
+    def estimate_duration(self, work: Work, now: float) -> float:
         """Return the expected seconds of an attempt, or 0 without recent answers."""
         if now - self._sampled_at > MAX_SAMPLE_AGE:
             return 0.0
@@ -117,13 +117,13 @@
         if record.token_time > SLOW_FACTOR * self.token_time:
             return True
         if self._is_plain:
-            return not self.is_good(record.find_first_token(now))
+            return not self.is_good(record.estimate_first_token(now))
         # A full engine lets new requests wait but still streams tokens, and it loses
         # credits for that. Only an engine that sends nothing at all is suspended.
         limit = max(
             SILENCE_FACTOR * self._targets.first_token, SLOW_FACTOR * self.first_token
         )
-        return record.find_silence(now) > limit
+        return record.compute_silence(now) > limit
 
     def is_good(self, sample: float) -> bool:
         """Whether a time to first token gives no sign of a slow server."""
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -216,7 +216,7 @@
                 self._hosts_changed = True
                 self._changed_services.add(ServiceName(name))
             else:
-                self._usage.record(entry.service, entry.scheduler.read_usage())
+                self._usage.record(entry.service, entry.scheduler.get_usage())
                 entry.service = service
                 entry.scheduler.set_profile(service, profile, now)
         self._servers_synced_at = 0.0
@@ -269,7 +269,7 @@
     def sync_usage(self) -> None:
         """Add the schedulers' counts since the last call to the usage ledger."""
         for entry in self._entries.values():
-            self._usage.record(entry.service, entry.scheduler.read_usage())
+            self._usage.record(entry.service, entry.scheduler.get_usage())
 
     def describe(self) -> dict[str, Any]:
         """Return the schedulers' state for a diagnostic dump."""
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -82,7 +82,9 @@
         if self._ledger.is_empty:
             return None
         digest = make_request_digest(account, service, operation, content)
-        seconds_left = self._ledger.find_quarantine_left(digest, self._shared.clock())
+        seconds_left = self._ledger.compute_quarantine_left(
+            digest, self._shared.clock()
+        )
         if seconds_left <= 0:
             return None
         self._shared.metrics.add("requests_set_aside_total", service=service)
@@ -185,10 +187,10 @@
 
     def _apply(self, suspect: Suspect) -> None:
         now = self._shared.clock()
-        seconds_left_before = self._ledger.find_quarantine_left(suspect.digest, now)
+        seconds_left_before = self._ledger.compute_quarantine_left(suspect.digest, now)
         self._ledger.drop_expired(now)
         self._ledger.merge(suspect, now)
-        seconds_left = self._ledger.find_quarantine_left(suspect.digest, now)
+        seconds_left = self._ledger.compute_quarantine_left(suspect.digest, now)
         if seconds_left > 0 and seconds_left_before <= 0:
             log.bind(
                 digest=suspect.digest,
--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -401,7 +401,7 @@
         exchange.reset()
 
     async with open_world() as world:
-        world.state.find_budget(ENGINE).slack = 100
+        world.state.get_budget(ENGINE).slack = 100
         for name in ("s-1", "s-2"):
             await world.add_server(name, cut_or_fail, ENGINE)
         answer = await world.request("/chat/a")
--- a/dewridge/tests/gateway/crashing_tests.py
+++ b/dewridge/tests/gateway/crashing_tests.py
@@ -261,7 +261,7 @@
             msgspec.msgpack.encode(update), type=SuspectUpdate
         )
         ledger.merge(decode_suspect(received, 500.0), 500.0)
-    assert ledger.find_quarantine_left(DIGEST, 500.0) > 0
+    assert ledger.compute_quarantine_left(DIGEST, 500.0) > 0
 
 
 async def test_updates_of_many_suspects_stay_small() -> None:
@@ -318,7 +318,7 @@
     assert isinstance(listing, Listing)
     after.hosts.replace(listing)
     assert (
-        after.suspects.find_quarantine_left(DIGEST, trio.current_time())
+        after.suspects.compute_quarantine_left(DIGEST, trio.current_time())
         > QUARANTINE_PERIOD - 10
     )
     assert store.calls <= 12
--- a/dewridge/tests/gateway/restarts_tests.py
+++ b/dewridge/tests/gateway/restarts_tests.py
@@ -153,10 +153,10 @@
         await world.add_server("s-1", answer_ok)
         first = world.state.servers.list_all()[0]
         for _ in range(5):
-            health = world.state.find_health(first.id)
+            health = world.state.get_health(first.id)
             health.record_failure(trio.current_time(), is_hard=True)
         start_again(world)
         second = world.state.servers.list_all()[0]
         now = trio.current_time()
-        assert not world.state.find_health(first.id).is_usable(now, None, 0.0)
-        assert world.state.find_health(second.id).is_usable(now, None, 0.0)
+        assert not world.state.get_health(first.id).is_usable(now, None, 0.0)
+        assert world.state.get_health(second.id).is_usable(now, None, 0.0)
--- a/dewridge/tests/gateway/state_tests.py
+++ b/dewridge/tests/gateway/state_tests.py
@@ -316,7 +316,7 @@
     work.add(server, 5_000)
     for _ in range(50):
         work.add(server, 5_000)
-        work.record_prompt_read(server, 5_000)
+        work.record_prompt_processed(server, 5_000)
         work.remove(server)
     assert work.requests[server] == 1
     assert work.tokens[server] == 5_000
@@ -333,7 +333,7 @@
             lambda count=count: count,  # type: ignore[misc]
             2000.0,
         )
-        assert count * 3 / watcher.find_poll_period() <= 0.31 * 2000
+        assert count * 3 / watcher.compute_poll_interval() <= 0.31 * 2000
 
 
 async def test_a_start_that_is_not_ready_retains_the_earlier_entry(
@@ -388,10 +388,10 @@
     alone = StoreWatcher(
         MemoryStore(), MemoryStore(), ConfigurationState(4.0), ServerTable(), int, 2e3
     )
-    assert alone.find_poll_period() == watching.POLL_PERIOD
+    assert alone.compute_poll_interval() == watching.POLL_PERIOD
     for live_peers in range(1, 16):
         watcher = WatchingHost(live_peers=live_peers).watcher
-        period = watcher.find_poll_period()
+        period = watcher.compute_poll_interval()
         late_count = 0
         for _ in range(2_000):
             first_poll = min(
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -88,7 +88,7 @@
             sharing,
             self.state.hosts,
             self.socket,
-            lambda: self.state.find_window(time.time()),
+            lambda: self.state.compute_window(time.time()),
             lambda: self.state.list_usage(REPORTED_WINDOWS),
         )
         self.link = ReportLink(
@@ -130,7 +130,7 @@
         for index, server in enumerate(SERVERS):
             self.state.work.requests[server] = 1 + index % 3
             self.state.work.tokens[server] = 4_000 + index
-            health = self.state.find_health(server)
+            health = self.state.get_health(server)
             for _ in range(3):
                 health.record_success(trio.current_time())
         for index, account in enumerate(ACCOUNTS):
@@ -359,7 +359,7 @@
         unaware = [
             host.id
             for host in fleet
-            if host.state.suspects.find_quarantine_left(crashing, now) <= 0
+            if host.state.suspects.compute_quarantine_left(crashing, now) <= 0
         ]
         wrongly_quarantined = [
             len(host.state.suspects.list_quarantined(now)) - 1 for host in fleet
--- a/dewridge/tests/policy/pacing_tests.py
+++ b/dewridge/tests/policy/pacing_tests.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewridge.policy.pacing import BURST_BYTES, DatagramPacer, find_datagram_rate
+from dewridge.policy.pacing import BURST_BYTES, DatagramPacer, compute_datagram_rate
 
 MAX_DATAGRAM_BYTES = 3_600
 
@@ -24,7 +24,7 @@
     now = 100.0
     sent: list[tuple[float, int]] = []
     for size in sizes:
-        now += pacer.find_wait(now)
+        now += pacer.compute_wait(now)
         pacer.record_sent(size, now)
         sent.append((now, size))
     for first, (begin, _) in enumerate(sent):
@@ -35,11 +35,11 @@
 
 
 def test_a_fast_link_needs_no_pause() -> None:
-    pacer = DatagramPacer(find_datagram_rate(1000.0))
-    assert pacer.find_wait(1.0) == 0.0
+    pacer = DatagramPacer(compute_datagram_rate(1000.0))
+    assert pacer.compute_wait(1.0) == 0.0
     pacer.record_sent(BURST_BYTES - 1, 1.0)
-    assert pacer.find_wait(1.0) == 0.0
+    assert pacer.compute_wait(1.0) == 0.0
 
 
 def test_an_unknown_bandwidth_counts_as_a_slow_link() -> None:
-    assert find_datagram_rate(0.0) == find_datagram_rate(10.0)
+    assert compute_datagram_rate(0.0) == compute_datagram_rate(10.0)
--- a/dewridge/tests/policy/quota_tests.py
+++ b/dewridge/tests/policy/quota_tests.py
@@ -37,7 +37,7 @@
         silent = len(self._list_silent(name))
         fleet = FleetView(len(self.names), silent, self.delay * 1.5)
         ledger = self.ledgers[name]
-        wait = ledger.find_wait(
+        wait = ledger.compute_wait(
             ACCOUNT, amount, self.quota, self.now, fleet, self.rng.random()
         )
         used = 0.0 if wait > 0 else amount
--- a/dewridge/tests/policy/rollouts_tests.py
+++ b/dewridge/tests/policy/rollouts_tests.py
@@ -18,8 +18,8 @@
     Tally,
     Verdict,
     choose_trial_servers,
+    compute_trial_share,
     find_next_stage,
-    find_trial_share,
     is_worse,
     judge_version,
 )
@@ -134,7 +134,7 @@
 ) -> Outcome:
     """Simulate a rollout from the order to its end."""
     servers = [BackendServerId(f"n-{n}") for n in range(SERVERS)]
-    share = find_trial_share(EXPOSURE_SHARE, version.duration)
+    share = compute_trial_share(EXPOSURE_SHARE, version.duration)
     chosen = choose(7, servers, SERVERS, share)
     load = share * SERVERS / len(chosen)
     arrivals: dict[tuple[bool, str], list[tuple[float, bool]]] = defaultdict(list)
--- a/dewridge/tests/policy/scheduler_tests.py
+++ b/dewridge/tests/policy/scheduler_tests.py
@@ -22,7 +22,7 @@
     )
     assert done is None
     assert scheduler.pick(0.5) is not None
-    counters = scheduler.read_usage().counters
+    counters = scheduler.get_usage().counters
     assert counters["answered_in_target"] == 1
     assert counters["cost"] > 0
 
--- a/dewridge/tests/policy/servers_tests.py
+++ b/dewridge/tests/policy/servers_tests.py
@@ -32,9 +32,9 @@
 from dewridge.policy.serverhealth import (
     OutcomeMeter,
     ServerHealth,
-    find_failure_share,
+    compute_failure_share,
 )
-from dewridge.policy.shedding import must_shed
+from dewridge.policy.shedding import should_shed
 
 DOMAIN = FailureDomain("a")
 
@@ -46,7 +46,7 @@
             BackendServerId(f"s-{n}"),
             DOMAIN,
             requests=0,
-            unread_tokens=tokens,
+            unprocessed_tokens=tokens,
             slots=8,
             is_usable=True,
         )
@@ -150,7 +150,9 @@
                 replace(
                     candidate,
                     requests=sum(server == n for _, server, _ in known),
-                    unread_tokens=sum(size for _, server, size in known if server == n),
+                    unprocessed_tokens=sum(
+                        size for _, server, size in known if server == n
+                    ),
                 )
                 for n, candidate in enumerate(make_candidates([0.0] * 9))
             ]
@@ -283,7 +285,7 @@
     for meter in meters:
         meter.add(10.0, has_failed=True)
     reported = [meter.read(10.4) for meter in meters]
-    share = find_failure_share(
+    share = compute_failure_share(
         sum(attempts for attempts, _ in reported),
         sum(failures for _, failures in reported),
     )
@@ -295,8 +297,8 @@
     meter = OutcomeMeter()
     for _ in range(20):
         meter.add(10.0, has_failed=True)
-    assert find_failure_share(*meter.read(11.0)) == 1.0
-    assert find_failure_share(*meter.read(16.0)) is None
+    assert compute_failure_share(*meter.read(11.0)) == 1.0
+    assert compute_failure_share(*meter.read(16.0)) is None
 
 
 def test_retries_of_all_hosts_stay_within_the_shared_budget() -> None:
@@ -377,7 +379,7 @@
         for part in range(10):
             meter.add(rate / 10, second + part / 10)
         now = second + 1.0
-        needed = count_needed_servers(Load(meter.find_peak_rate(now)))
+        needed = count_needed_servers(Load(meter.compute_peak_rate(now)))
         totals.append(count_reclaimable_servers(needed, totals[-1] if totals else 0, 4))
     return totals
 
@@ -503,7 +505,7 @@
     draws = [number / 100 for number in range(100)]
 
     def count(in_flight: float, urgency: int) -> int:
-        return sum(must_shed(in_flight, 100, urgency, draw) for draw in draws)
+        return sum(should_shed(in_flight, 100, urgency, draw) for draw in draws)
 
     assert [count(95, urgency) for urgency in (0, 1, 2)] == [0, 0, 0]
     assert [count(125, urgency) for urgency in (0, 1, 2)] == [0, 0, 50]
@@ -530,7 +532,7 @@
             for _ in range(int(rate * step)):
                 sent[urgency] += 1
                 in_flight = len(waiting) + len(running)
-                if sheds and must_shed(in_flight, slots, urgency, rng.random()):
+                if sheds and should_shed(in_flight, slots, urgency, rng.random()):
                     continue
                 waiting.append((urgency, now + patience, work))
         pace = 1.0 if len(waiting) < slots else 0.6
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -44,9 +44,9 @@
     """Guards against each host counting only the crashes that it noticed itself."""
     ledger = SuspectLedger()
     for number in range(CRASH_THRESHOLD):
-        assert ledger.find_quarantine_left(CAUSE, 1.0 + number) == 0
+        assert ledger.compute_quarantine_left(CAUSE, 1.0 + number) == 0
         ledger.merge(make_suspect({f"s{number}": 1.0 + number}), 1.0 + number)
-    assert ledger.find_quarantine_left(CAUSE, 3.0) == pytest.approx(
+    assert ledger.compute_quarantine_left(CAUSE, 3.0) == pytest.approx(
         QUARANTINE_PERIOD - 2.0
     )
 
@@ -64,7 +64,7 @@
     ledger = SuspectLedger()
     crashes = {f"s{number}": 1.0 + number * RUN_TIME / 8 for number in range(4)}
     ledger.merge(make_suspect(crashes), 1.1)
-    assert ledger.find_quarantine_left(CAUSE, 1.2) == 0
+    assert ledger.compute_quarantine_left(CAUSE, 1.2) == 0
 
 
 def test_crashes_of_successive_attempts_count_separately() -> None:
@@ -77,7 +77,7 @@
             BackendServerId(f"s{number}"): Crash(sent_at + 0.005, sent_at)
         }
         ledger.merge(suspect, sent_at)
-    assert ledger.find_quarantine_left(CAUSE, 1.1) > 0
+    assert ledger.compute_quarantine_left(CAUSE, 1.1) > 0
 
 
 def test_a_request_that_is_answered_is_cleared_for_all_hosts() -> None:
@@ -89,7 +89,7 @@
     reported = ledger.find(CAUSE)
     assert reported is not None
     other.merge(reported, 3.1)
-    assert other.find_quarantine_left(CAUSE, 3.2) == 0
+    assert other.compute_quarantine_left(CAUSE, 3.2) == 0
     assert other.count_crashes(CAUSE, 3.2) == 1
 
 
@@ -97,10 +97,10 @@
     """Guards against losing three more servers after each quarantine."""
     ledger = SuspectLedger()
     ledger.merge(make_suspect({"s0": 0.0, "s1": 10.0, "s2": 20.0}), 20.0)
-    assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD - 1) > 0
-    assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD + 1) == 0
+    assert ledger.compute_quarantine_left(CAUSE, QUARANTINE_PERIOD - 1) > 0
+    assert ledger.compute_quarantine_left(CAUSE, QUARANTINE_PERIOD + 1) == 0
     ledger.merge(make_suspect({"s3": QUARANTINE_PERIOD + 2}), QUARANTINE_PERIOD + 2)
-    assert ledger.find_quarantine_left(CAUSE, QUARANTINE_PERIOD + 3) > 0
+    assert ledger.compute_quarantine_left(CAUSE, QUARANTINE_PERIOD + 3) > 0
 
 
 def test_an_attack_with_many_requests_evicts_no_quarantined_one() -> None:
@@ -110,7 +110,7 @@
     for number in range(MAX_SUSPECTS * 2):
         ledger.merge(make_suspect({"s9": 4.0 + number / 100}, f"d{number}"), 4.0)
     assert len(ledger.list_all()) == MAX_SUSPECTS
-    assert ledger.find_quarantine_left(CAUSE, 30.0) > 0
+    assert ledger.compute_quarantine_left(CAUSE, 30.0) > 0
 
 
 def test_crashes_stored_per_request_are_bounded() -> None:
