--- a/dewridge/bench/services.py
+++ b/dewridge/bench/services.py
@@ -396,7 +396,7 @@
             start_move = partial(
                 self._move_attempt, server, request_state.attempt, move
             )
-            self._timeline.schedule(max(now, move.at), start_move)
+            self._timeline.schedule(max(now, move.stop_at), start_move)
 
     def _move_attempt(
         self, server: AnyServer, attempt: SimulatedAttempt, move: Move
--- a/dewridge/gateway/attempts.py
+++ b/dewridge/gateway/attempts.py
@@ -54,7 +54,7 @@
         self._state = state
         self._losses = LossHandler(state)
 
-    async def run(self, job: Job, out: Responder) -> Failure | None:
+    async def run(self, job: Job, responder: Responder) -> Failure | None:
         """Run a job until it is answered or has failed.
 
         Returns:
@@ -84,11 +84,11 @@
                     job, ResultCode.NO_BACKEND_SERVER, "no server"
                 )
             server = choice.server
-            lost = await self._attempt(job, choice, continuation, out)
+            lost = await self._attempt(job, choice, continuation, responder)
             if lost is None:
                 return None
             await self._losses.handle(job, server, lost)
-            failure = self._decide_retry(job, lost, out)
+            failure = self._decide_retry(job, lost, responder)
             if failure is not None:
                 return failure
 
@@ -97,19 +97,19 @@
         job: Job,
         choice: ServerChoice,
         continuation: Continuation | None,
-        out: Responder,
+        responder: Responder,
     ) -> LostAttempt | None:
         server = choice.server
         job.tried_servers.append(server.id)
-        work = self._state.work
+        work = self._state.work_in_flight
         job.unprocessed_tokens = choice.unprocessed_tokens
         job.prefill_measured_from = trio.current_time() if choice.is_idle else None
         job.cache_holder = choice.cache_holder
         work.add(server.id, job.unprocessed_tokens, is_suspect=choice.is_suspect)
         result = AttemptResult.ABANDONED
         try:
-            lost = await self._exchange(job, server, continuation, out)
-            result = classify_attempt(lost, out.status)
+            lost = await self._exchange(job, server, continuation, responder)
+            result = classify_attempt(lost, responder.status)
             return lost
         finally:
             self._record_prompt_read(job, server)
@@ -120,7 +120,9 @@
             )
 
     def _record_prompt_read(self, job: Job, server: ServerRecord) -> None:
-        self._state.work.record_prompt_processed(server.id, job.unprocessed_tokens)
+        self._state.work_in_flight.record_prompt_processed(
+            server.id, job.unprocessed_tokens
+        )
         job.unprocessed_tokens = 0
 
     async def _exchange(
@@ -128,7 +130,7 @@
         job: Job,
         server: ServerRecord,
         continuation: Continuation | None,
-        out: Responder,
+        responder: Responder,
     ) -> LostAttempt | None:
         answer = await self._send(job, server, continuation)
         if isinstance(answer, LostAttempt):
@@ -136,11 +138,11 @@
         job.may_have_run = True
         is_stream = job.route.kind is RouteKind.STREAM
         if is_stream and answer.head.status == 200:
-            return await self._relay_stream(job, server, answer, out)
+            return await self._relay_stream(job, server, answer, responder)
         complete = await read_complete_answer(answer)
         if isinstance(complete, LostAttempt):
             return complete
-        if out.has_started:
+        if responder.has_started:
             # This server failed to continue a stream. The caller already has the head
             # of a successful answer, so only closing the connection can show the
             # failure.
@@ -156,7 +158,7 @@
                 f"status {complete.head.status}",
                 complete.head.status,
             )
-        await self._forward_answer(job, server, complete, out)
+        await self._forward_answer(job, server, complete, responder)
         return None
 
     async def _send(
@@ -182,7 +184,7 @@
                 dispatch,
                 server,
                 self._state.pool,
-                must_arrive=not job.route.is_repeatable,
+                is_non_retryable=not job.route.is_repeatable,
             )
         if isinstance(answer, IncomingAnswer):
             seconds = trio.current_time() - now
@@ -217,7 +219,11 @@
         )
 
     async def _forward_answer(
-        self, job: Job, server: ServerRecord, answer: CompleteAnswer, out: Responder
+        self,
+        job: Job,
+        server: ServerRecord,
+        answer: CompleteAnswer,
+        responder: Responder,
     ) -> None:
         health = self._state.get_health(server.id)
         if answer.head.status >= 500:
@@ -226,10 +232,14 @@
             health.record_success(trio.current_time())
             record_answer(self._state, job)
         headers = clean_answer_headers(answer.head.headers)
-        await out.send_complete(answer.head.status, headers, answer.body)
+        await responder.send_complete(answer.head.status, headers, answer.body)
 
     async def _relay_stream(
-        self, job: Job, server: ServerRecord, answer: IncomingAnswer, out: Responder
+        self,
+        job: Job,
+        server: ServerRecord,
+        answer: IncomingAnswer,
+        responder: Responder,
     ) -> LostAttempt | None:
         splitter = EventSplitter()
         stream = self._open_stream(server)
@@ -250,7 +260,7 @@
                 if piece is None:
                     break
                 self._record_prompt_read(job, server)
-                await self._forward_events(job, splitter, piece, answer, out)
+                await self._forward_events(job, splitter, piece, answer, responder)
         except ConnectionBrokenError as error:
             if job.continuation is not None:
                 return LostAttempt(LossReason.MOVED, job.continuation.server.id)
@@ -262,10 +272,10 @@
         self._state.get_health(server.id).record_success(trio.current_time())
         if splitter.remainder:
             return LostAttempt(LossReason.CUT_OFF, "ended within an event")
-        if not out.has_started:
-            await out.send_head(200, clean_answer_headers(answer.head.headers))
+        if not responder.has_started:
+            await responder.send_head(200, clean_answer_headers(answer.head.headers))
         record_answer(self._state, job)
-        await out.finish()
+        await responder.finish()
         return None
 
     def _open_stream(self, server: ServerRecord) -> RunningStream:
@@ -316,7 +326,7 @@
         splitter: EventSplitter,
         piece: bytes,
         answer: IncomingAnswer,
-        out: Responder,
+        responder: Responder,
     ) -> None:
         new_events = []
         for event in splitter.push(piece):
@@ -335,9 +345,9 @@
         if job.first_event_at is None:
             job.first_event_at = job.last_event_at
             self._record_prefill_rate(job, job.first_event_at)
-        if not out.has_started:
-            await out.send_head(200, clean_answer_headers(answer.head.headers))
-        await out.send_body_part(b"".join(new_events))
+        if not responder.has_started:
+            await responder.send_head(200, clean_answer_headers(answer.head.headers))
+        await responder.send_body_part(b"".join(new_events))
 
     def _record_prefill_rate(self, job: Job, now: float) -> None:
         if job.prefill_measured_from is not None:
@@ -352,7 +362,7 @@
             self._state.count_usage(job.account.name if job.account else None)
 
     def _decide_retry(
-        self, job: Job, lost: LostAttempt, out: Responder
+        self, job: Job, lost: LostAttempt, responder: Responder
     ) -> Failure | None:
         """Return the failure to report, or None to try another server."""
         if lost.loss is LossReason.MOVED:
--- a/dewridge/gateway/datagrams.py
+++ b/dewridge/gateway/datagrams.py
@@ -19,11 +19,11 @@
 class Urgency(IntEnum):
     """Priority of a datagram; lower values are sent first."""
 
-    AT_ONCE = 0
+    URGENT = 0
     """Departing servers, whose streams have seconds to move, and suspect requests."""
-    MUST_ARRIVE = 1
+    CONFIRMED = 1
     """Messages that are sent again until they are confirmed."""
-    ROUND = 2
+    PERIODIC = 2
     """Reports that the next round replaces."""
 
 
@@ -90,7 +90,7 @@
         On a link too weak for a whole round, the last part of each round is lost, but
         the backlog and its delay do not grow without bound.
         """
-        outdated = self._queues[Urgency.ROUND]
+        outdated = self._queues[Urgency.PERIODIC]
         self._metrics.add("datagrams_outdated", len(outdated))
         outdated.clear()
 
--- a/dewridge/gateway/forwarding.py
+++ b/dewridge/gateway/forwarding.py
@@ -93,7 +93,7 @@
     server: ServerRecord,
     pool: ConnectionPool,
     *,
-    must_arrive: bool,
+    is_non_retryable: bool,
 ) -> IncomingAnswer | LostAttempt:
     """Send a request to a server and wait for the head of its answer.
 
@@ -102,9 +102,9 @@
         dispatch: additional information that is sent to the server in headers.
         server: the server to send it to.
         pool: connections to servers.
-        must_arrive: whether the request can't be retried if it is lost.
+        is_non_retryable: whether the request can't be retried if it is lost.
     """
-    connection = pool.acquire_idle(server, must_arrive=must_arrive)
+    connection = pool.acquire_idle(server, is_non_retryable=is_non_retryable)
     is_reused = connection is not None
     if connection is None:
         connection = await pool.open(server)
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -25,7 +25,7 @@
 LEASE_MARGIN = 0.4
 """Seconds before the end of the lease at which its holder treats it as ended. Covers
 one delayed wake-up of a busy process."""
-POLL_PERIOD = 4.0
+POLL_INTERVAL = 4.0
 """Seconds between two reads of all registrations. Most changes arrive earlier through a
 watch, and peers detect silent hosts earlier."""
 BATCH_DELAY = 0.3
@@ -367,7 +367,7 @@
             if isinstance(listing, Listing):
                 self._table.replace(listing)
             is_restored = False
-            with trio.move_on_after(POLL_PERIOD * random.uniform(0.8, 1.2)):
+            with trio.move_on_after(POLL_INTERVAL * random.uniform(0.8, 1.2)):
                 await self._table.restored.wait()
                 is_restored = True
                 await trio.sleep(BATCH_DELAY * random.random())
@@ -394,7 +394,7 @@
                         self._table.revision = max(revision, changes.revision)
                     await trio.sleep(self._draw_batch_delay())
                     continue
-            with trio.move_on_after(POLL_PERIOD):
+            with trio.move_on_after(POLL_INTERVAL):
                 await self._table.changed.wait()
 
     def _draw_batch_delay(self) -> float:
--- a/dewridge/gateway/ingress.py
+++ b/dewridge/gateway/ingress.py
@@ -279,27 +279,27 @@
     body: bytes,
     arrived_at: float,
 ) -> CallerRequest | Failure:
-    marks = parse_request_headers(headers)
-    if isinstance(marks, str):
-        return Failure(ResultCode.MALFORMED_REQUEST, marks)
+    parsed = parse_request_headers(headers)
+    if isinstance(parsed, str):
+        return Failure(ResultCode.MALFORMED_REQUEST, parsed)
     if not head.target.startswith(b"/"):
         return Failure(ResultCode.MALFORMED_REQUEST, "the target is no path")
     host = next((value for name, value in headers if name == b"host"), b"")
     caller_timeout = (
         DEFAULT_DEADLINE_SECONDS
-        if marks.caller_timeout is None
-        else marks.caller_timeout
+        if parsed.caller_timeout is None
+        else parsed.caller_timeout
     )
     return CallerRequest(
-        id=AttemptKey(marks.id),
+        id=AttemptKey(parsed.id),
         method=head.method,
         target=head.target,
         hostname=host.partition(b":")[0].decode("latin-1").lower(),
         headers=tuple(headers),
         body=body,
-        key=AccountKey(marks.key),
-        sizes=marks.sizes,
-        last_event=marks.last_event_id,
+        key=AccountKey(parsed.key),
+        sizes=parsed.sizes,
+        last_event=parsed.last_event_id,
         arrived_at=arrived_at,
         deadline=arrived_at + caller_timeout,
     )
--- a/dewridge/gateway/losses.py
+++ b/dewridge/gateway/losses.py
@@ -18,7 +18,7 @@
     classify_loss,
 )
 
-FULL_TIME = 0.1
+REJECTION_BACKOFF = 0.1
 """Seconds for which a server counts as full after it rejected a request: the time of a
 few answers."""
 PROBE_LIFETIME = 0.5
@@ -29,7 +29,7 @@
 @dataclass
 class _Probe:
     started_at: float
-    reach: ConnectResult | None = None
+    connect_result: ConnectResult | None = None
     done: trio.Event = field(default_factory=trio.Event)
 
 
@@ -44,15 +44,15 @@
         """Apply what a lost attempt shows about its server and about its request."""
         state = self._state
         now = trio.current_time()
-        reach = (
+        connect_result = (
             await self._probe_server(server)
             if lost.loss in INTERRUPTED_REASONS
             else None
         )
-        self._record_loss(job, server, lost, reach, now)
+        self._record_loss(job, server, lost, connect_result, now)
         verdict = classify_loss(
             lost.loss,
-            reach,
+            connect_result,
             is_leaving=state.servers.find_departure(server.id) is not None,
             seconds_since_first_event=None
             if job.attempt_first_event_at is None
@@ -61,7 +61,9 @@
         self._apply_verdict(server, verdict.server)
         if verdict.is_request_suspect:
             record_crash(state, job, server.id, now)
-        elif verdict.server is ServerVerdict.GONE and not lost.is_not_run:
+        elif (
+            verdict.server is ServerVerdict.ENDED_OR_UNREACHABLE and not lost.is_not_run
+        ):
             # The route's attempt limit bounds how many servers a request may crash. The
             # attempt does not count against it if the request is not a suspect.
             job.possible_runs -= 1
@@ -76,8 +78,8 @@
             await recent.done.wait()
             # There is no result if the probing job was cancelled because its caller
             # disconnected.
-            if recent.reach is not None:
-                return recent.reach
+            if recent.connect_result is not None:
+                return recent.connect_result
         now = trio.current_time()
         self._drop_expired_probes(now)
         probe = self._probes[server.id] = _Probe(now)
@@ -87,11 +89,11 @@
         health = self._state.get_health(server.id)
         health.full_until = now + PROBE_LIFETIME
         try:
-            probe.reach = await self._state.pool.probe(server)
+            probe.connect_result = await self._state.pool.probe(server)
         finally:
             health.full_until = float("-inf")
             probe.done.set()
-        return probe.reach
+        return probe.connect_result
 
     def _drop_expired_probes(self, now: float) -> None:
         self._probes = {
@@ -107,10 +109,10 @@
             case ServerVerdict.REPLACED:
                 self._state.servers.drop(server.id, now, "another has its address")
             case ServerVerdict.FULL:
-                health.full_until = now + FULL_TIME
+                health.full_until = now + REJECTION_BACKOFF
             case ServerVerdict.FAILED:
                 health.record_failure(now, is_hard=False)
-            case ServerVerdict.GONE:
+            case ServerVerdict.ENDED_OR_UNREACHABLE:
                 health.record_failure(now, is_hard=True)
 
     def _record_loss(
@@ -118,7 +120,7 @@
         job: Job,
         server: ServerRecord,
         lost: LostAttempt,
-        reach: ConnectResult | None,
+        connect_result: ConnectResult | None,
         now: float,
     ) -> None:
         self._state.metrics.add("attempts_lost_total", loss=lost.loss.name)
@@ -133,7 +135,7 @@
             server=server.id,
             loss=lost.loss.name,
             reason=lost.reason,
-            reach=reach.value if reach else "",
+            reach=connect_result.value if connect_result else "",
             digest=job.digest,
             account=job.account.name if job.account else "",
             begun_ms_ago=since_first_event_ms,
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -19,25 +19,25 @@
 def count_request(
     state: GatewayState,
     job: Job | None,
-    out: Responder,
+    responder: Responder,
     failure: Failure | None,
     seconds: float,
 ) -> None:
     """Count and time a completed request."""
     kind = job.route.kind.value if job else UNROUTED_KIND
-    outcome = classify_outcome(out)
+    outcome = classify_outcome(responder)
     code = failure.code.name if failure else ""
     state.metrics.add("requests_total", kind=kind, outcome=outcome, code=code)
     state.metrics.observe("request_seconds", seconds, kind=kind)
 
 
-def classify_outcome(out: Responder) -> str:
+def classify_outcome(responder: Responder) -> str:
     """Return the label value for the answer that a caller got."""
-    if not out.has_started:
+    if not responder.has_started:
         return "none"
-    if not out.is_finished:
+    if not responder.is_finished:
         return "cut"
-    return f"{out.status // 100}xx"
+    return f"{responder.status // 100}xx"
 
 
 def observe_first_event(state: GatewayState, job: Job, seconds: float) -> None:
@@ -82,7 +82,7 @@
             "dependency_failures", caller.failures, dependency=caller.name
         )
     for server in state.servers.list_all():
-        in_flight = state.work.requests.get(server.id, 0)
+        in_flight = state.work_in_flight.requests.get(server.id, 0)
         metrics.set_gauge("server_in_flight", in_flight, server=server.id)
         share = state.get_health(server.id).failure_share
         metrics.set_gauge("server_failure_share", share, server=server.id)
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -142,7 +142,7 @@
         "set_aside_for_seconds": round(suspect.compute_quarantine_left(now), 1),
         "ends_counted": len(suspect.list_crash_times(now)),
         "seconds_since_ends": {
-            server: round(now - crash.at, 1)
+            server: round(now - crash.crashed_at, 1)
             for server, crash in suspect.crashes.items()
         },
         "cleared": sorted(suspect.cleared),
@@ -171,7 +171,7 @@
         "service": record.service if record else "",
         "failure_domain": record.failure_domain if record else "",
         "is_reclaimable": bool(record and record.is_reclaimable),
-        "in_flight": state.work.requests.get(server, 0),
+        "in_flight": state.work_in_flight.requests.get(server, 0),
         "failure_share": round(health.failure_share, 3),
         "rests_for_seconds": round(max(0.0, health.cooldown_until - now), 3),
         "full_for_seconds": round(max(0.0, health.full_until - now), 3),
--- a/dewridge/gateway/pool.py
+++ b/dewridge/gateway/pool.py
@@ -48,20 +48,20 @@
         self.reused = 0
 
     def acquire_idle(
-        self, server: ServerRecord, *, must_arrive: bool
+        self, server: ServerRecord, *, is_non_retryable: bool
     ) -> ClientConnection | None:
         """Return an open connection without pending input; None if there is none.
 
         Args:
             server: the server to connect to.
-            must_arrive: whether the request can't be retried if it is lost; only more
-                recently used connections are returned then.
+            is_non_retryable: whether the request can't be retried if it is lost; only
+                more recently used connections are returned then.
         """
         connections = self._idle.get(server.id)
         while connections:
             idle = connections[-1]
             age = trio.current_time() - idle.connection.idle_since
-            if age > self._compute_idle_limit(idle, must_arrive=must_arrive):
+            if age > self._compute_idle_limit(idle, is_non_retryable=is_non_retryable):
                 return None
             connections.pop()
             if self._check_open(idle, age):
@@ -106,17 +106,19 @@
             while connections:
                 idle = connections[0]
                 age = now - idle.connection.idle_since
-                if age <= self._compute_idle_limit(idle, must_arrive=False):
+                if age <= self._compute_idle_limit(idle, is_non_retryable=False):
                     break
                 self._check_open(idle, age)
                 connections.popleft().connection.close()
             if not connections:
                 del self._idle[server]
 
-    def _compute_idle_limit(self, idle: IdleConnection, *, must_arrive: bool) -> float:
+    def _compute_idle_limit(
+        self, idle: IdleConnection, *, is_non_retryable: bool
+    ) -> float:
         announced = idle.connection.keep_alive_timeout
         times = self._idle_times[idle.service]
-        return times.compute_limit(announced, must_arrive=must_arrive)
+        return times.compute_limit(announced, is_non_retryable=is_non_retryable)
 
     def _check_open(self, idle: IdleConnection, age: float) -> bool:
         """Return whether a connection is open, and adjust the service's idle limit."""
--- a/dewridge/gateway/rollouts.py
+++ b/dewridge/gateway/rollouts.py
@@ -27,7 +27,7 @@
     RouteLabel,
     Stage,
     Tally,
-    Verdict,
+    VersionVerdict,
     choose_trial_servers,
     judge_version,
 )
@@ -124,7 +124,7 @@
     _latencies: dict[RouteName, TypicalLatency] = field(
         default_factory=lambda: defaultdict(TypicalLatency)
     )
-    _verdicts: dict[int, Verdict] = field(default_factory=dict)
+    _verdicts: dict[int, VersionVerdict] = field(default_factory=dict)
     _restored_at: float | None = None
 
     def apply_order(self, order: RolloutOrder) -> None:
@@ -164,7 +164,7 @@
 
     def _update_revision(self, known: RolloutProgress, revision: int) -> None:
         """Apply a rewritten order's revision; keep stage and verdict, reset counts."""
-        verdict = self._verdicts.get(known.order, Verdict.UNDECIDED)
+        verdict = self._verdicts.get(known.order, VersionVerdict.UNDECIDED)
         self._set_progress(msgspec.structs.replace(known, order=revision))
         self._verdicts[revision] = verdict
 
@@ -221,7 +221,7 @@
         if progress is None:
             return None
         verdict = self._verdicts.get(progress.order)
-        if verdict is Verdict.BAD and progress.stage not in FINAL:
+        if verdict is VersionVerdict.BAD and progress.stage not in FINAL:
             return Stage.REVERTED
         return progress.stage
 
@@ -247,7 +247,7 @@
         records: list[ServerRecord],
         *,
         is_first: bool,
-        draw: Callable[[], float],
+        draw_random: Callable[[], float],
     ) -> list[ServerRecord]:
         """Return the servers that a request may be sent to.
 
@@ -256,13 +256,14 @@
             records: all servers of the service.
             is_first: whether this is the request's first attempt; retries are not sent
                 to servers under trial.
-            draw: returns a random number from 0 to 1; called during a trial only.
+            draw_random: returns a random number from 0 to 1; called during a trial
+                only.
         """
         progress = self._progress.get(service)
         if progress is None:
             return records
         is_trial = self.find_stage(service) is Stage.TRIAL
-        if is_trial and is_first and draw() < progress.share:
+        if is_trial and is_first and draw_random() < progress.share:
             split = _split_by_version(records, progress.target)
             chosen = choose_trial_servers(
                 progress.order,
@@ -333,12 +334,12 @@
         return Evidence(target=sides[NEW], baseline=sides[OLD])
 
     def _update_verdict(self, progress: RolloutProgress) -> None:
-        if self._verdicts.get(progress.order) is Verdict.BAD:
+        if self._verdicts.get(progress.order) is VersionVerdict.BAD:
             return
         evidence = self.find_evidence(progress.order)
         verdict = judge_version(evidence)
         self._verdicts[progress.order] = verdict
-        if verdict is Verdict.BAD:
+        if verdict is VersionVerdict.BAD:
             log.bind(
                 service=progress.service,
                 target=progress.target,
--- a/dewridge/gateway/servers.py
+++ b/dewridge/gateway/servers.py
@@ -20,7 +20,7 @@
 REREGISTRATION_TIME = 2.2
 """Seconds after a store outage during which missing records may reappear: servers take
 up to 2 s to write them again, and the rest covers one call."""
-REPORT_TIME = 4.0
+DEPARTURE_REPORT_TIME = 4.0
 """Seconds for which a departure is included in reports to other hosts. They have to
 know within 2 s, and single reports get lost."""
 DEFAULT_NOTICE = 2.0
@@ -204,7 +204,7 @@
         """
         recent = {}
         for server, departure in reversed(self._departures.items()):
-            if now - departure.learned_at > REPORT_TIME:
+            if now - departure.learned_at > DEPARTURE_REPORT_TIME:
                 break
             recent[server] = round(max(0.0, departure.stops_at - now), 2)
         return recent
--- a/dewridge/gateway/serving.py
+++ b/dewridge/gateway/serving.py
@@ -144,8 +144,10 @@
         )
         now = trio.current_time()
         fleet = state.make_fleet_view()
-        draw = state.rng.random()
-        wait = state.ledger.compute_wait(account.name, amount, quota, now, fleet, draw)
+        random_number = state.rng.random()
+        wait = state.ledger.compute_wait(
+            account.name, amount, quota, now, fleet, random_number
+        )
         if wait > 0:
             retry_after = wait * state.rng.uniform(1.0, 1.5)
             level = state.ledger.get_level(account.name)
--- a/dewridge/gateway/sharinglink.py
+++ b/dewridge/gateway/sharinglink.py
@@ -34,7 +34,7 @@
 from dewridge.ids import BackendServerId, FailureDomain, HostId
 from dewridge.policy.cells import CellName, assign_cells, find_cell, list_receivers
 
-URGENT_GATHER_TIME = 0.02
+URGENT_BATCH_DELAY = 0.02
 """Seconds for which urgent updates are collected before they are sent: the servers of a
 failure domain leave within that time."""
 MAX_SUSPECTS_PER_DATAGRAM = 16
@@ -201,7 +201,7 @@
             while trio.current_time() < next_at:
                 with trio.move_on_at(next_at):
                     await self._urgent_requested.wait()
-                    await trio.sleep(URGENT_GATHER_TIME)
+                    await trio.sleep(URGENT_BATCH_DELAY)
                 self._send_urgent()
 
     def _plan_round(self) -> Round:
@@ -227,8 +227,8 @@
         sharing.period = self._compute_period(plan, size)
         self._sent_times.record_sent(self._number, read_boot_clock())
         self._socket.begin_round()
-        self._enqueue(plan.cell_peers, data, Urgency.ROUND)
-        self._enqueue(plan.receivers, cell_data, Urgency.ROUND)
+        self._enqueue(plan.cell_peers, data, Urgency.PERIODIC)
+        self._enqueue(plan.receivers, cell_data, Urgency.PERIODIC)
 
     def _compute_period(self, plan: Round, size: int) -> float:
         """Return the seconds until the next round, enough to send all of this one."""
@@ -262,11 +262,11 @@
         local_host = self._sharing.local_host
         if departing:
             departures = DepartureReport(local_host, departing, is_cell_local)
-            self._enqueue(peers, self._encoder.encode(departures), Urgency.AT_ONCE)
+            self._enqueue(peers, self._encoder.encode(departures), Urgency.URGENT)
         for begin in range(0, len(suspects), MAX_SUSPECTS_PER_DATAGRAM):
             part = suspects[begin : begin + MAX_SUSPECTS_PER_DATAGRAM]
             suspect_report = SuspectReport(local_host, part, is_cell_local)
-            self._enqueue(peers, self._encoder.encode(suspect_report), Urgency.AT_ONCE)
+            self._enqueue(peers, self._encoder.encode(suspect_report), Urgency.URGENT)
 
     def _make_cell_report(
         self, cell: CellName, report: Report, totals: Totals
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -119,7 +119,7 @@
     pool: ConnectionPool
     ingress: IngressState
     rng: random.Random
-    work: WorkInFlight = field(default_factory=WorkInFlight)
+    work_in_flight: WorkInFlight = field(default_factory=WorkInFlight)
     streams: RunningStreams = field(default_factory=RunningStreams)
     health: dict[BackendServerId, ServerHealth] = field(default_factory=dict)
     budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
@@ -193,7 +193,7 @@
         remote = self.sharing.find_summary(trio.current_time()).server_totals
         return sum(
             remote.get(record.id, ZERO_SERVER_TOTALS).requests
-            + self.work.requests.get(record.id, 0)
+            + self.work_in_flight.requests.get(record.id, 0)
             for record in records
         )
 
@@ -203,9 +203,9 @@
         """Record prompt tokens that arrived at another host."""
         self.demand[service].add(tokens, now)
 
-    def compute_window(self, at: float) -> int:
+    def compute_window(self, unix_time: float) -> int:
         """Return the usage window of a time in seconds since 1970."""
-        return int(at // self.settings.bounds.usage_window)
+        return int(unix_time // self.settings.bounds.usage_window)
 
     def count_usage(self, account: ClientAccount | None) -> None:
         """Record that a request of an account has just started."""
@@ -252,11 +252,11 @@
 
     def _list_server_totals(self, now: float) -> dict[BackendServerId, ServerTotals]:
         reported = {}
-        for server in {*self.work.requests, *self.health}:
+        for server in {*self.work_in_flight.requests, *self.health}:
             attempts, failures = self.get_health(server).recent.read(now)
             totals = ServerTotals(
-                requests=self.work.requests.get(server, 0),
-                tokens=self.work.tokens.get(server, 0),
+                requests=self.work_in_flight.requests.get(server, 0),
+                tokens=self.work_in_flight.tokens.get(server, 0),
                 attempts=round(attempts * TENTHS_PER_ATTEMPT),
                 failures=round(failures * TENTHS_PER_ATTEMPT),
             )
--- a/dewridge/gateway/suspectkeeping.py
+++ b/dewridge/gateway/suspectkeeping.py
@@ -124,7 +124,7 @@
         Otherwise, a host that starts would quarantine them again because of the copy.
         """
         for key in self._list_cleared():
-            result = await self._store.change(drop=(key,))
+            result = await self._store.change(removed_keys=(key,))
             if isinstance(result, Failure):
                 return
             self._deleted.add(key)
@@ -158,7 +158,7 @@
         suspect.account,
         suspect.service,
         {
-            server: (crash.at + offset, crash.sent_at + offset)
+            server: (crash.crashed_at + offset, crash.sent_at + offset)
             for server, crash in suspect.crashes.items()
         },
         sorted(suspect.cleared),
--- a/dewridge/gateway/suspects.py
+++ b/dewridge/gateway/suspects.py
@@ -17,7 +17,7 @@
 from dewridge.policy.suspects import Crash, Suspect
 from dewridge.sentinels import Failure
 
-REPORT_TIME = 4.0
+SUSPECT_REPORT_TIME = 4.0
 """Seconds for which an update of a suspect is repeated in reports, since single reports
 get lost."""
 MAX_URGENT_SUSPECTS = 64
@@ -161,7 +161,9 @@
         now = trio.current_time()
         if now - polled_at >= QUARANTINE_POLL_INTERVAL:
             quarantined, polled_at = state.suspects.list_quarantined(now), now
-        updated = select_report_part(_list_updated(state, now - REPORT_TIME), turn)
+        updated = select_report_part(
+            _list_updated(state, now - SUSPECT_REPORT_TIME), turn
+        )
         chosen = {
             suspect.digest: suspect
             for suspect in [*updated, *select_report_part(quarantined, turn)]
@@ -191,7 +193,7 @@
         service=suspect.service,
         crashes={
             server: (
-                round((now - crash.at) * 1000),
+                round((now - crash.crashed_at) * 1000),
                 round((now - crash.sent_at) * 1000),
             )
             for server, crash in suspect.crashes.items()
--- a/dewridge/gateway/usage.py
+++ b/dewridge/gateway/usage.py
@@ -21,12 +21,12 @@
 from dewridge.sentinels import Failure
 
 USAGE_PREFIX = SYSTEM_PREFIX + "usage/"
-POLL_PERIOD = 0.5
+POLL_INTERVAL = 0.5
 """Seconds between two checks for windows to report."""
-SETTLE_TIME = 2.0
+SUM_DELAY = 2.0
 """Seconds after a window's end before its sum is computed: the hosts must count and
 report the requests that started in it, and their clocks differ slightly."""
-NEW_HOLDER_SETTLE_TIME = 2.5
+NEW_HOLDER_SUM_DELAY = 2.5
 """Seconds in a large fleet between the start of a holder's term and its first sum: the
 hosts learn of the new holder within two rounds of reports, and then also report to it
 for departed hosts."""
@@ -67,7 +67,7 @@
                 for window in self._list_due_windows():
                     if self._is_ready_to_report(window):
                         await self._report(term, window)
-            await trio.sleep(POLL_PERIOD)
+            await trio.sleep(POLL_INTERVAL)
 
     def _has_settled(self, term: DutyTerm) -> bool:
         """Whether the hosts have had time to report their counts to a new holder.
@@ -80,13 +80,13 @@
         if term != self._term:
             self._term = term
             self._term_seen_at = now
-        settle_time = NEW_HOLDER_SETTLE_TIME if self._state.sharing.has_cells else 0.0
+        settle_time = NEW_HOLDER_SUM_DELAY if self._state.sharing.has_cells else 0.0
         return now - self._term_seen_at >= settle_time
 
     def _list_due_windows(self) -> list[int]:
         bounds = self._state.settings.bounds
         now = time.time()
-        newest = self._state.compute_window(now - SETTLE_TIME) - 1
+        newest = self._state.compute_window(now - SUM_DELAY) - 1
         oldest = self._state.compute_window(now - bounds.usage_due) - 1
         windows = range(oldest, newest + 1)
         self._reported_windows = {
@@ -112,7 +112,7 @@
             return True
         bounds = self._state.settings.bounds
         ended_at = (window + 1) * bounds.usage_window
-        wait_until = ended_at + max(SETTLE_TIME, bounds.usage_due - REPORT_MARGIN)
+        wait_until = ended_at + max(SUM_DELAY, bounds.usage_due - REPORT_MARGIN)
         may_wait = time.time() < wait_until
         log.bind(
             window=window, hosts=[host.id for host in missing], waits=may_wait
@@ -162,7 +162,7 @@
         result = await self._store.change(
             expected={key: 0},
             writes=(Write(key, msgspec.json.encode(counts)),),
-            drop=(old,) if old in self._state.hosts.items else (),
+            removed_keys=(old,) if old in self._state.hosts.items else (),
         )
         if isinstance(result, int):
             self._persisted_counts[window] = counts
--- a/dewridge/gateway/usagetelling.py
+++ b/dewridge/gateway/usagetelling.py
@@ -203,7 +203,7 @@
             self._sharing.local_host, self._sharing.boot, number, window, [usage]
         )
         data = self._encoder.encode(report)
-        self._socket.enqueue(address, data, Urgency.MUST_ARRIVE)
+        self._socket.enqueue(address, data, Urgency.CONFIRMED)
         return number
 
     def receive_report(self, report: UsageReport, sender: PeerAddress) -> None:
@@ -214,7 +214,7 @@
             return
         confirmation = UsageConfirmation(sharing.holder, report.boot, report.number)
         self._socket.enqueue(
-            sender, self._encoder.encode(confirmation), Urgency.MUST_ARRIVE
+            sender, self._encoder.encode(confirmation), Urgency.CONFIRMED
         )
 
     def receive_confirmation(self, confirmation: UsageConfirmation) -> None:
@@ -243,4 +243,4 @@
         """Ask hosts for their usage, as the holder of the duties."""
         data = self._encoder.encode(UsageRequest(self._sharing.holder))
         for host in hosts:
-            self._socket.enqueue(read_address(host.peers), data, Urgency.MUST_ARRIVE)
+            self._socket.enqueue(read_address(host.peers), data, Urgency.CONFIRMED)
--- a/dewridge/gateway/watching.py
+++ b/dewridge/gateway/watching.py
@@ -32,7 +32,7 @@
 from dewridge.platform.store import Item, Listing, Store
 from dewridge.sentinels import Failure
 
-POLL_PERIOD = 1.5
+POLL_INTERVAL = 1.5
 """Seconds between two polls of a host without live peers. Watches bring most changes at
 once; polls alone still meet the limit of 2 s that operators rely on."""
 MAX_PERIOD_FACTOR = 2.4
@@ -43,7 +43,7 @@
 1.5 s without a poll once in a hundred times. Polls cost 2% of the benefit of a day's
 requests when each host used the shortest period."""
 HOSTS_PER_EXTRA_PERIOD = 6.0
-"""Live peers for each further `POLL_PERIOD` that is added to the poll period."""
+"""Live peers for each further `POLL_INTERVAL` that is added to the poll period."""
 MIN_RECHECK_AGE = 0.6
 """Age of a confirmation in seconds below which no host asks for a new one."""
 RECHECK_AGE_EXPONENT = 1.5
@@ -54,10 +54,10 @@
 """Share of the store's reads per second available to the polls of all hosts."""
 POLLS_PER_PERIOD = 3
 """Polls of each host in one poll period: configuration, servers and hosts."""
-READER_POLL_PERIOD = 2.0
+READER_POLL_INTERVAL = 2.0
 """Seconds between two polls of the servers by a reader of a large fleet. Its watch
 brings changes at once, and reports of other readers cover a watch that went silent."""
-LISTENER_POLL_PERIOD = 2.0
+LISTENER_POLL_INTERVAL = 2.0
 """Seconds between two cheaper reads of the servers by a listener: half of the time that
 a new server takes to start."""
 CONFIRM_WAIT = 1.5
@@ -95,7 +95,7 @@
 MAX_JITTER = 1.5
 """Limits of the random factor on a delay, so that hosts that waited for the same event
 do not act at the same time."""
-MAX_UNREADABLE = 200
+MAX_LOGGED_REASONS = 200
 """Maximum number of different reasons for unreadable records that a process logs:
 enough to find the writer, and a limit on lines and memory if records change often."""
 WATCH_WAIT = 15.0
@@ -181,7 +181,7 @@
             MAX_PERIOD_FACTOR, 1 + self._count_live_peers() / HOSTS_PER_EXTRA_PERIOD
         )
         min_period = polls / (POLL_READ_SHARE * self._reads_per_second)
-        return max(POLL_PERIOD * factor, min_period)
+        return max(POLL_INTERVAL * factor, min_period)
 
     def receive_version(self, version: int) -> None:
         """Record a version that a peer reports; read the store now if it is newer."""
@@ -213,7 +213,7 @@
         is_small_fleet = self._find_role() is StoreRole.ALL
         if is_small_fleet and not self._count_live_peers():
             self._configuration_wake = await self._wait_for_wake(
-                self._configuration_wake, POLL_PERIOD
+                self._configuration_wake, POLL_INTERVAL
             )
             return
         max_age, drawn_for = UNCONFIRMED_AFTER, float("-inf")
@@ -304,10 +304,10 @@
             period = (
                 self.compute_poll_interval()
                 if role is StoreRole.ALL
-                else READER_POLL_PERIOD
+                else READER_POLL_INTERVAL
             )
             if role is StoreRole.LISTENER:
-                period = LISTENER_POLL_PERIOD
+                period = LISTENER_POLL_INTERVAL
             self._servers_wake = await self._wait_for_wake(self._servers_wake, period)
             may_lag = role is StoreRole.LISTENER
 
@@ -331,7 +331,7 @@
 
     def _log_unreadable(self, failure: Failure, event: str) -> None:
         logged = self._logged_reasons
-        if failure.reason not in logged and len(logged) < MAX_UNREADABLE:
+        if failure.reason not in logged and len(logged) < MAX_LOGGED_REASONS:
             logged.add(failure.reason)
             log.bind(reason=failure.reason).error(event)
 
@@ -393,7 +393,7 @@
         while True:
             if prefix == SERVERS_PREFIX and self._find_role() is StoreRole.LISTENER:
                 revision = None
-                await trio.sleep(LISTENER_POLL_PERIOD)
+                await trio.sleep(LISTENER_POLL_INTERVAL)
                 continue
             if revision is None or era != self._watch_store.era.number:
                 revision = await self._read_start_revision(prefix, apply_item)
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -58,7 +58,7 @@
         job.service,
         state.servers.list_service(job.service),
         is_first=not job.tried_servers,
-        draw=state.rng.random,
+        draw_random=state.rng.random,
     )
     untried = [
         record for record in records if record.id not in job.tried_servers
@@ -110,7 +110,9 @@
     counted again for a crash that another one causes.
     """
     candidates = list_candidates(state, records, now)
-    chosen = choose_fewest_requests(candidates, state.work.suspects, state.rng)
+    chosen = choose_fewest_requests(
+        candidates, state.work_in_flight.suspects, state.rng
+    )
     server = None if chosen is None else state.servers.find(chosen.id)
     if server is None:
         return None
@@ -201,8 +203,8 @@
     candidates = []
     for record, health, share in zip(records, healths, shares, strict=True):
         elsewhere = others.server_totals.get(record.id, ZERO_SERVER_TOTALS)
-        requests = elsewhere.requests + state.work.requests.get(record.id, 0)
-        tokens = elsewhere.tokens + state.work.tokens.get(record.id, 0)
+        requests = elsewhere.requests + state.work_in_flight.requests.get(record.id, 0)
+        tokens = elsewhere.tokens + state.work_in_flight.tokens.get(record.id, 0)
         candidates.append(
             Candidate(
                 id=record.id,
--- a/dewridge/http1/reach.py
+++ b/dewridge/http1/reach.py
@@ -7,7 +7,7 @@
 
 PROBE_TIMEOUT = 0.1
 """Seconds for a connection to open; the interrupted request waits in the meantime."""
-SETTLE_TIME = 0.01
+MIN_OPEN_TIME = 0.01
 """Seconds for which an accepted connection must stay open."""
 MAX_PROBES = 3
 
@@ -25,7 +25,7 @@
             return ConnectResult.REFUSED
         if connection is ConnectFailure.SILENT:
             return ConnectResult.SILENT
-        await trio.sleep(SETTLE_TIME)
+        await trio.sleep(MIN_OPEN_TIME)
         if not isinstance(connection, ConnectFailure):
             is_open = connection.is_open_and_idle()
             connection.close()
--- a/dewridge/platform/store.py
+++ b/dewridge/platform/store.py
@@ -204,7 +204,7 @@
         *,
         expected: dict[str, int] | None = None,
         writes: tuple[Write, ...] = (),
-        drop: tuple[str, ...] = (),
+        removed_keys: tuple[str, ...] = (),
     ) -> int | Failure:
         """Write and remove keys in one transaction.
 
@@ -212,7 +212,7 @@
             expected: revisions that keys must have (0: the key must not exist);
                 otherwise nothing is changed.
             writes: keys to write.
-            drop: keys to remove.
+            removed_keys: keys to remove.
 
         Returns:
             The store's revision of the change; a `Failure` otherwise. With the code
@@ -222,7 +222,9 @@
             _ExpectedRevision(key, revision)
             for key, revision in (expected or {}).items()
         ]
-        body = msgspec.json.encode(_Transaction(expectations, list(writes), list(drop)))
+        body = msgspec.json.encode(
+            _Transaction(expectations, list(writes), list(removed_keys))
+        )
         self._on_call("change", "")
         response = await self._call("POST", "/-/kv-txn", body=body)
         if isinstance(response, Response):
--- a/dewridge/policy/choice.py
+++ b/dewridge/policy/choice.py
@@ -26,15 +26,16 @@
 HOLDERS_PER_PREFIX = 2
 """Number of cache holders of a prefix. With a single one, prompts that exceed its
 capacity would be read completely at other servers, each time at a different one."""
-SHARED_WEIGHT = 2.0
+EXTRA_LOAD_PER_SHARED_TOKEN = 2.0
 """Load that a cache holder may have above the least loaded server, as a multiple of the
 prompt's shared tokens. It is more than 1 because reading the shared tokens again at
 another server also delays the prompts that follow there: in a replay of bursts at 70%
 of the servers' capacity, 2.3% of the answers were late with 1 and 0.5% with 2."""
-COPIED_WEIGHT = 0.75
-"""As SHARED_WEIGHT, if the shared tokens can be copied from another cache holder. A
-copy takes a tenth of the time of reading them, and costs some milliseconds of work."""
-BUSY_WEIGHT = 1.0
+EXTRA_LOAD_PER_COPYABLE_TOKEN = 0.75
+"""As EXTRA_LOAD_PER_SHARED_TOKEN, if the shared tokens can be copied from another cache
+holder. A copy takes a tenth of the time of reading them, and costs some milliseconds of
+work."""
+EXTRA_LOAD_SHARE = 1.0
 """Load that a cache holder may have above the least loaded server, as a multiple of the
 load of that server: the busier all servers are, the fewer tokens can be read
 twice. In the same replay at 90% of the capacity, 14% of the answers were late with 0
@@ -139,8 +140,8 @@
     if staleness > MAX_STALENESS:
         usable = list_cache_holders(usable, prefix)
     lowest = min(server.delay_tokens for server in usable)
-    weight = COPIED_WEIGHT if can_copy else SHARED_WEIGHT
-    bound = lowest * (1 + BUSY_WEIGHT) + shared_tokens * weight + EQUAL_LOAD_TOKENS
+    weight = EXTRA_LOAD_PER_COPYABLE_TOKEN if can_copy else EXTRA_LOAD_PER_SHARED_TOKEN
+    bound = lowest * (1 + EXTRA_LOAD_SHARE) + shared_tokens * weight + EQUAL_LOAD_TOKENS
     for holder in list_cache_holders(usable, prefix):
         if holder.delay_tokens <= bound:
             uncached_tokens = max(0, prompt_tokens - shared_tokens)
--- a/dewridge/policy/idletime.py
+++ b/dewridge/policy/idletime.py
@@ -19,7 +19,7 @@
 CLOSED_SHARE = 0.5
 """New limit, as a share of the idle time of a connection that was found closed: the
 server may have closed it at any earlier time."""
-MUST_ARRIVE_SHARE = 0.7
+NON_RETRYABLE_SHARE = 0.7
 """Share of the limit that is used for requests that can't be sent again. Requests that
 can be repeated use the whole limit and so find out where it lies."""
 
@@ -49,16 +49,18 @@
         """Record that a connection was found closed after `age` idle seconds."""
         self.limit = max(MIN_LIMIT, min(self.limit, age * CLOSED_SHARE))
 
-    def compute_limit(self, announced: float | None, *, must_arrive: bool) -> float:
+    def compute_limit(
+        self, announced: float | None, *, is_non_retryable: bool
+    ) -> float:
         """Return the idle seconds up to which a connection may be reused.
 
         Args:
             announced: keep-alive seconds that the server announces; None if it
                 announces none.
-            must_arrive: whether the request can't be sent again.
+            is_non_retryable: whether the request can't be sent again.
         """
         max_limit = MAX_UNANNOUNCED
         if announced is not None:
             max_limit = announced * ANNOUNCED_SHARE
         limit = min(self.limit, max_limit)
-        return limit * MUST_ARRIVE_SHARE if must_arrive else limit
+        return limit * NON_RETRYABLE_SHARE if is_non_retryable else limit
--- a/dewridge/policy/losses.py
+++ b/dewridge/policy/losses.py
@@ -44,17 +44,17 @@
 class ServerVerdict(Enum):
     """What a lost attempt shows about its server."""
 
-    NOTHING = "nothing"
+    NO_EVIDENCE = "nothing"
     REPLACED = "replaced"
     """Another server has its address now."""
     FULL = "full"
     FAILED = "failed"
-    GONE = "gone"
+    ENDED_OR_UNREACHABLE = "gone"
     """Its process has ended, or it can't be connected to."""
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class LossVerdict:
     """What a lost attempt shows about its server and its request.
 
     Attributes:
@@ -72,7 +72,7 @@
     *,
     is_leaving: bool,
     seconds_since_first_event: float | None,
-) -> Verdict:
+) -> LossVerdict:
     """Return what a lost attempt shows about its server and its request.
 
     A request may crash each server that starts to run it. If its losses were treated as
@@ -92,17 +92,17 @@
     """
     match loss:
         case LossReason.MOVED:
-            return Verdict(ServerVerdict.NOTHING)
+            return LossVerdict(ServerVerdict.NO_EVIDENCE)
         case LossReason.OTHER_SERVER:
-            return Verdict(ServerVerdict.REPLACED)
+            return LossVerdict(ServerVerdict.REPLACED)
         case LossReason.REJECTED:
-            return Verdict(ServerVerdict.FULL)
+            return LossVerdict(ServerVerdict.FULL)
         case LossReason.NOT_CONNECTED:
-            return Verdict(ServerVerdict.GONE)
+            return LossVerdict(ServerVerdict.ENDED_OR_UNREACHABLE)
     if connect_result is not ConnectResult.REFUSED:
-        return Verdict(ServerVerdict.FAILED)
+        return LossVerdict(ServerVerdict.FAILED)
     is_recent = (
         seconds_since_first_event is None
         or seconds_since_first_event < CRASH_BLAME_SECONDS
     )
-    return Verdict(ServerVerdict.GONE, is_recent and not is_leaving)
+    return LossVerdict(ServerVerdict.ENDED_OR_UNREACHABLE, is_recent and not is_leaving)
--- a/dewridge/policy/model.py
+++ b/dewridge/policy/model.py
@@ -118,13 +118,13 @@
     """A running request that is to be stopped and sent to another server.
 
     Attributes:
-        at: when to stop the request. Moves are spread over time, so that the work of a
-            failure domain does not arrive at another one all at once.
+        stop_at: when to stop the request. Moves are spread over time, so that the work
+            of a failure domain does not arrive at another one all at once.
         export_cache: whether to export the request's KV cache from the engine first.
     """
 
     request: RequestId
-    at: float
+    stop_at: float
     export_cache: bool
 
 
--- a/dewridge/policy/queueing.py
+++ b/dewridge/policy/queueing.py
@@ -42,8 +42,8 @@
         ticket: identifies the current position in a queue; 0 if not queued.
         has_started: whether an attempt may have run, so that the request can't be
             reported as not run.
-        lost: number of failed attempts.
-        refused: number of attempts that certainly did not start.
+        failed_attempts: number of failed attempts.
+        unstarted_attempts: number of attempts that certainly did not start.
         avoided_server: server of the last failed attempt.
         latest_start: the latest start time that can meet the deadline.
     """
@@ -54,8 +54,8 @@
     due: float
     ticket: int = 0
     has_started: bool = False
-    lost: int = 0
-    refused: int = 0
+    failed_attempts: int = 0
+    unstarted_attempts: int = 0
     avoided_server: BackendServerId | None = None
     latest_start: float = float("inf")
 
@@ -70,8 +70,8 @@
 
     def record_failure(self, server: BackendServerId, outcome: AttemptOutcome) -> None:
         """Record an attempt that did not complete."""
-        self.refused += outcome is AttemptOutcome.NOT_STARTED
-        self.lost += outcome is AttemptOutcome.LOST
+        self.unstarted_attempts += outcome is AttemptOutcome.NOT_STARTED
+        self.failed_attempts += outcome is AttemptOutcome.LOST
         self.has_started |= outcome is not AttemptOutcome.NOT_STARTED
         self.avoided_server = server
 
--- a/dewridge/policy/quota.py
+++ b/dewridge/policy/quota.py
@@ -199,7 +199,7 @@
         quota: Quota,
         now: float,
         fleet: FleetView,
-        draw: float,
+        random_number: float,
     ) -> float:
         """Return 0 if an account may use some units now, else the seconds to wait.
 
@@ -221,7 +221,7 @@
             quota: the account's quota.
             now: monotonic time.
             fleet: what is known of the other hosts.
-            draw: a random number from 0 up to 1.
+            random_number: a random number from 0 up to 1.
         """
         self.demand_totals[account] += amount
         bucket = self._buckets.get(account)
@@ -232,10 +232,10 @@
         self._local_demand[account].add(amount, now)
         needed = min(amount, quota.burst * fleet.live_share)
         left = bucket.level - needed
-        if left >= 0 and left >= draw * unreported:
+        if left >= 0 and left >= random_number * unreported:
             return 0.0
         rate = max(quota.rate * fleet.live_share, 1.0)
-        missing = max(draw * unreported, 0.0) - left
+        missing = max(random_number * unreported, 0.0) - left
         return min(MAX_RETRY_WAIT, max(MIN_RETRY_WAIT, missing / rate))
 
     def _estimate_remote_demand(
--- a/dewridge/policy/recovery.py
+++ b/dewridge/policy/recovery.py
@@ -116,16 +116,20 @@
         if outcome is AttemptOutcome.NOT_STARTED:
             # A first refusal is retried at another server at once. Further ones mean
             # that most servers are full, and immediate retries would slow them more.
-            pause = compute_pause(entry.refused - 1) if entry.refused > 1 else 0.0
+            pause = (
+                compute_pause(entry.unstarted_attempts - 1)
+                if entry.unstarted_attempts > 1
+                else 0.0
+            )
             return check_deadline(entry, pause, now, rng)
-        if entry.lost >= attempt_limit:
+        if entry.failed_attempts >= attempt_limit:
             # A request that crashes every server that runs it has to fail before it
             # has crashed all of them.
             return abandon(entry, ResultCode.ATTEMPTS_EXHAUSTED, "attempts used up")
         # Without budget the request is still retried, because it was accepted, but
         # after the longest pause: when a whole failure domain is lost, the retries must
         # not double the load on the remaining servers.
-        pause = compute_pause(entry.lost)
+        pause = compute_pause(entry.failed_attempts)
         if budget >= 1:
             budget -= 1
         else:
--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -28,12 +28,12 @@
 reaches all hosts."""
 MAX_TRIAL_SHARE = 0.25
 """Upper bound on the share of a service's requests that a trial takes."""
-MOVE_TIME = 6.0
+TRIAL_END_MARGIN = 6.0
 """Seconds before the deadline at which a trial ends: all hosts learn of the move within
 two and a half seconds, and most streams end within four."""
 MIN_TRIAL_TIME_SHARE = 0.4
 """Lower bound on the part of the permitted time that a trial takes."""
-MIN_MOVE_TIME = 4.0
+MIN_TRIAL_END_MARGIN = 4.0
 """Seconds before the deadline at which a trial that is still undecided is ended on the
 answers so far."""
 PROPAGATION_TIME = 2.5
@@ -76,11 +76,11 @@
 FINAL = frozenset({Stage.COMPLETED, Stage.REVERTED})
 
 
-class Verdict(Enum):
+class VersionVerdict(Enum):
     """Judgement of a version by its answers."""
 
     UNDECIDED = "undecided"
-    SOUND = "sound"
+    GOOD = "sound"
     BAD = "bad"
 
 
@@ -104,24 +104,24 @@
     baseline: Mapping[RouteLabel, Tally] = field(default_factory=dict)
 
 
-def judge_version(evidence: Evidence) -> Verdict:
+def judge_version(evidence: Evidence) -> VersionVerdict:
     """Return the verdict over all routes and on each of them."""
     target = sum(evidence.target.values(), Tally())
     baseline = sum(evidence.baseline.values(), Tally())
     if is_worse(target, baseline):
-        return Verdict.BAD
+        return VersionVerdict.BAD
     for route, tally in evidence.target.items():
         if is_worse(tally, evidence.baseline.get(route, Tally())):
-            return Verdict.BAD
+            return VersionVerdict.BAD
     if target.answers < MIN_ANSWERS:
-        return Verdict.UNDECIDED
+        return VersionVerdict.UNDECIDED
     for route, tally in evidence.baseline.items():
         seen = evidence.target.get(route, Tally()).answers
         expected = target.answers * tally.answers / baseline.answers
         if expected >= ANSWERS_NEEDED > seen:
-            return Verdict.UNDECIDED
+            return VersionVerdict.UNDECIDED
     is_enough = target.answers >= ANSWERS_NEEDED
-    return Verdict.SOUND if is_enough else Verdict.UNDECIDED
+    return VersionVerdict.GOOD if is_enough else VersionVerdict.UNDECIDED
 
 
 def is_worse(target: Tally, baseline: Tally) -> bool:
@@ -149,7 +149,7 @@
 
 def compute_trial_end(duration: float) -> float:
     """Return the seconds after the order at which its trial ends."""
-    return max(duration * MIN_TRIAL_TIME_SHARE, duration - MOVE_TIME)
+    return max(duration * MIN_TRIAL_TIME_SHARE, duration - TRIAL_END_MARGIN)
 
 
 def compute_trial_share(exposure_share: float, duration: float) -> float:
@@ -206,7 +206,7 @@
     elapsed: float
     stage_age: float
     duration: float
-    verdict: Verdict
+    verdict: VersionVerdict
     target_answers: int
     target_servers: int
     baseline_servers: int
@@ -217,7 +217,7 @@
     """Return the next stage, or the current one if it does not change."""
     if rollout.stage in FINAL:
         return rollout.stage
-    if rollout.verdict is Verdict.BAD:
+    if rollout.verdict is VersionVerdict.BAD:
         return Stage.REVERTED
     if rollout.stage is Stage.TRIAL:
         return _find_stage_after_trial(rollout)
@@ -231,12 +231,12 @@
         return Stage.TRIAL
     # With fewer servers the target could not carry the load of the old version.
     has_capacity = rollout.target_servers >= rollout.baseline_servers
-    if rollout.verdict is Verdict.SOUND and has_capacity:
+    if rollout.verdict is VersionVerdict.GOOD and has_capacity:
         return Stage.MOVING
-    if rollout.elapsed < rollout.duration - MIN_MOVE_TIME:
+    if rollout.elapsed < rollout.duration - MIN_TRIAL_END_MARGIN:
         return Stage.TRIAL
     has_evidence = (
-        rollout.verdict is Verdict.SOUND or rollout.target_answers >= MIN_ANSWERS
+        rollout.verdict is VersionVerdict.GOOD or rollout.target_answers >= MIN_ANSWERS
     )
     return Stage.MOVING if has_evidence and rollout.target_servers else Stage.REVERTED
 
--- a/dewridge/policy/scheduler.py
+++ b/dewridge/policy/scheduler.py
@@ -343,7 +343,7 @@
         attempt = RunningAttempt(entry, record.view.id, now, price)
         self._running[work.request] = attempt
         self._by_server[record.view.id][work.request] = attempt
-        if not entry.lost:
+        if not entry.failed_attempts:
             self._recovery.record_first_attempt()
         self._usage.count("dispatched")
         return Assignment(work, record.view.id)
@@ -389,7 +389,7 @@
 
     def _record_moves(self, moves: Sequence[Move]) -> None:
         for move in moves:
-            self._running[move.request].moves_at = move.at
+            self._running[move.request].moves_at = move.stop_at
         self._usage.count("moves_planned", len(moves))
 
     def _predict_remaining_time(
--- a/dewridge/policy/servers.py
+++ b/dewridge/policy/servers.py
@@ -48,12 +48,12 @@
     """
 
     def __init__(
-        self, targets: LatencyTargets, is_plain: bool, rng: random.Random
+        self, targets: LatencyTargets, is_plain_service: bool, rng: random.Random
     ) -> None:
         self.records: dict[BackendServerId, ServerCredits] = {}
         self.subset: list[ServerCredits] = []
         self.fleet: list[ServerView] = []
-        self.latency_model = LatencyModel(targets, is_plain)
+        self.latency_model = LatencyModel(targets, is_plain_service)
         self.mean_in_flight = 0.0
         self.total_limit = 0.0
         self.has_suspended = False
--- a/dewridge/policy/shedding.py
+++ b/dewridge/policy/shedding.py
@@ -8,16 +8,18 @@
     """Share of requests to refuse, rising linearly from 0 to 1 between two loads.
 
     Attributes:
-        begin: load in requests per slot up to which none are refused.
-        end: load in requests per slot from which all are refused.
+        min_load: load in requests per slot up to which none are refused.
+        max_load: load in requests per slot from which all are refused.
     """
 
-    begin: float
-    end: float
+    min_load: float
+    max_load: float
 
     def compute_share(self, load: float) -> float:
         """Return the share of requests to refuse at a load in requests per slot."""
-        return min(1.0, max(0.0, (load - self.begin) / (self.end - self.begin)))
+        return min(
+            1.0, max(0.0, (load - self.min_load) / (self.max_load - self.min_load))
+        )
 
 
 SHEDDING_RAMPS = (Ramp(2.0, 3.5), Ramp(1.4, 2.2), Ramp(1.0, 1.5))
@@ -27,7 +29,9 @@
 while they run, and the work done for them is wasted."""
 
 
-def should_shed(in_flight: float, slots: int, urgency: int, draw: float) -> bool:
+def should_shed(
+    in_flight: float, slots: int, urgency: int, random_number: float
+) -> bool:
     """Return whether to refuse a request on arrival.
 
     Sheds load in the seconds after reclaims have removed more servers than can be
@@ -42,9 +46,9 @@
         in_flight: requests in flight to the service's servers from all hosts.
         slots: requests that these servers run concurrently.
         urgency: urgency of the route; 0 is the most urgent.
-        draw: random number from 0 to 1, excluding 1.
+        random_number: random number from 0 to 1, excluding 1.
     """
     if slots <= 0:
         return False
     ramp = SHEDDING_RAMPS[min(urgency, len(SHEDDING_RAMPS) - 1)]
-    return draw < ramp.compute_share(in_flight / slots)
+    return random_number < ramp.compute_share(in_flight / slots)
--- a/dewridge/policy/suspects.py
+++ b/dewridge/policy/suspects.py
@@ -29,11 +29,11 @@
     """Crash of a server while it ran a request, in monotonic times of this host.
 
     Attributes:
-        at: when the crash was noticed.
+        crashed_at: when the crash was noticed.
         sent_at: when the request had been sent to the server.
     """
 
-    at: float
+    crashed_at: float
     sent_at: float
 
 
@@ -62,7 +62,7 @@
     @property
     def last_crash_at(self) -> float:
         """Time of the latest crash."""
-        return max(crash.at for crash in self.crashes.values())
+        return max(crash.crashed_at for crash in self.crashes.values())
 
     def list_crash_times(self, now: float) -> list[float]:
         """Return the times of the crashes that count, in order.
@@ -75,13 +75,16 @@
         open_crashes = [
             crash
             for server, crash in self.crashes.items()
-            if server not in self.cleared and crash.at > now - QUARANTINE_PERIOD
+            if server not in self.cleared and crash.crashed_at > now - QUARANTINE_PERIOD
         ]
         counted: list[float] = []
-        for crash in sorted(open_crashes, key=lambda crash: crash.at):
+        for crash in sorted(open_crashes, key=lambda crash: crash.crashed_at):
             last = counted[-1] if counted else float("-inf")
-            if crash.sent_at >= last or crash.at - last > SIMULTANEOUS_CRASH_WINDOW:
-                counted.append(crash.at)
+            if (
+                crash.sent_at >= last
+                or crash.crashed_at - last > SIMULTANEOUS_CRASH_WINDOW
+            ):
+                counted.append(crash.crashed_at)
         return counted
 
     def compute_quarantine_left(self, now: float) -> float:
@@ -96,17 +99,20 @@
     def merge(self, update: "Suspect") -> bool:
         """Add crashes and clearances from an update; returns whether any was new."""
         oldest = min(
-            (crash.at for crash in self.crashes.values()), default=float("-inf")
+            (crash.crashed_at for crash in self.crashes.values()), default=float("-inf")
         )
         is_full = len(self.crashes) >= MAX_CRASHES
         added = {
             server: crash
             for server, crash in update.crashes.items()
-            if server not in self.crashes and not (is_full and crash.at <= oldest)
+            if server not in self.crashes
+            and not (is_full and crash.crashed_at <= oldest)
         }
         self.crashes.update(added)
         while len(self.crashes) > MAX_CRASHES:
-            del self.crashes[min(self.crashes, key=lambda key: self.crashes[key].at)]
+            del self.crashes[
+                min(self.crashes, key=lambda key: self.crashes[key].crashed_at)
+            ]
         cleared = (update.cleared & self.crashes.keys()) - self.cleared
         self.cleared = (self.cleared | cleared) & self.crashes.keys()
         return bool(added or cleared)
--- a/dewridge/policy/usual.py
+++ b/dewridge/policy/usual.py
@@ -20,7 +20,7 @@
 """Factor by which the estimate for an idle server grows at each update: it doubles in
 about two minutes."""
 
-SLOW_FLOOR_SHARE = 0.5
+MIN_SLOW_LATENCY_SHARE = 0.5
 """Share of the latency target below which no answer counts as slow, however fast other
 servers are: suspending a server that meets the target would only cost capacity."""
 
@@ -49,9 +49,9 @@
         token_time: median seconds between two tokens.
     """
 
-    def __init__(self, targets: LatencyTargets, is_plain: bool) -> None:
+    def __init__(self, targets: LatencyTargets, is_plain_service: bool) -> None:
         self._targets = targets
-        self._is_plain = is_plain
+        self._is_plain_service = is_plain_service
         self.first_token = PRIOR_SHARE * self._first_target
         self.base_first_token = inf
         self._sampled_at = -inf
@@ -101,7 +101,7 @@
         if record is not None:
             first = record.first_token or first
             between = record.token_time or between
-        if self._is_plain:
+        if self._is_plain_service:
             return first
         return first + between * max(0, work.expected_tokens - work.tokens_done - 1)
 
@@ -116,7 +116,7 @@
             return not self.is_good(now - sent_at)
         if record.token_time > SLOW_FACTOR * self.token_time:
             return True
-        if self._is_plain:
+        if self._is_plain_service:
             return not self.is_good(record.estimate_first_token(now))
         # A full engine lets new requests wait but still streams tokens, and it loses
         # credits for that. Only an engine that sends nothing at all is suspended.
@@ -151,10 +151,10 @@
 
     @property
     def _first_target(self) -> float:
-        if self._is_plain:
+        if self._is_plain_service:
             return self._targets.whole_answer
         return self._targets.first_token
 
     @property
     def _slow_floor(self) -> float:
-        return SLOW_FLOOR_SHARE * self._first_target
+        return MIN_SLOW_LATENCY_SHARE * self._first_target
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -197,7 +197,7 @@
         while (assignment := entry.scheduler.pick(now)) is not None:
             self.on_assigned(assignment)
         for move in entry.scheduler.find_moves(now):
-            self.on_move(move.request, move.at, move.export_cache)
+            self.on_move(move.request, move.stop_at, move.export_cache)
         at = entry.scheduler.find_next_time(now)
         return MAX_POLL_INTERVAL if at is None else max(0.001, at - now)
 
@@ -264,7 +264,7 @@
         at = server.leaving_at or now + DEFAULT_LEAVE_NOTICE
         for entry in self._entries.values():
             for move in entry.scheduler.handle_server_leaving(server.id, at, now):
-                self.on_move(move.request, move.at, move.export_cache)
+                self.on_move(move.request, move.stop_at, move.export_cache)
 
     def sync_usage(self) -> None:
         """Add the schedulers' counts since the last call to the usage ledger."""
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -134,7 +134,7 @@
         if is_full and self._ledger.find(digest) is None:
             # Bounds the number of rumors under an attack with many such requests.
             return
-        payload = CrashPayload(account, record.service, crash.at, crash.sent_at)
+        payload = CrashPayload(account, record.service, crash.crashed_at, crash.sent_at)
         self._broadcast(digest, attempt.server, VERSION_REPORTED, payload)
 
     def record_answered(self, record: Record) -> None:
@@ -150,7 +150,9 @@
             return
         for server in suspect.crashes.keys() - suspect.cleared:
             crash = suspect.crashes[server]
-            payload = CrashPayload(account, record.service, crash.at, crash.sent_at)
+            payload = CrashPayload(
+                account, record.service, crash.crashed_at, crash.sent_at
+            )
             self._broadcast(digest, server, VERSION_CLEARED, payload)
 
     def _broadcast(
--- a/dewridge/tests/gateway/answers_tests.py
+++ b/dewridge/tests/gateway/answers_tests.py
@@ -245,7 +245,7 @@
         world.state.servers.update(moved, trio.current_time())
         answer = await world.request("/write/a", method="POST", body=bytes(3_000_000))
         assert answer.status == 413
-        assert world.state.pool.acquire_idle(moved, must_arrive=False) is None
+        assert world.state.pool.acquire_idle(moved, is_non_retryable=False) is None
 
 
 async def test_a_caller_that_disconnects_stops_its_request() -> None:
@@ -428,7 +428,7 @@
 
     async with open_world() as world:
         server = await world.add_server("s-1", stream, ENGINE)
-        world.state.work.requests[server.id] = 8 * 4
+        world.state.work_in_flight.requests[server.id] = 8 * 4
         started_at = trio.current_time()
         answer = await world.request("/draft/a")
         seconds = trio.current_time() - started_at
--- a/dewridge/tests/gateway/ingress_tests.py
+++ b/dewridge/tests/gateway/ingress_tests.py
@@ -186,8 +186,8 @@
 @given(st.lists(st.tuples(st.binary(max_size=20), st.binary(max_size=60)), max_size=8))
 def test_any_headers_are_parsed_or_rejected(headers: list[tuple[bytes, bytes]]) -> None:
     named = [(name.lower(), value) for name, value in headers]
-    marks = parse_request_headers(named)
-    assert isinstance(marks, str) or marks.sizes.tokens >= 0
+    parsed = parse_request_headers(named)
+    assert isinstance(parsed, str) or parsed.sizes.tokens >= 0
     find_framing_fault(named)
     remove_hop_by_hop_headers(named)
 
@@ -197,11 +197,11 @@
     st.text(alphabet="0123456789abcdef:,- ", max_size=30),
 )
 def test_any_sizes_are_parsed_or_rejected(name: bytes, value: str) -> None:
-    marks = parse_request_headers([(name, value.encode())])
+    parsed = parse_request_headers([(name, value.encode())])
     assert (
-        isinstance(marks, str)
-        or marks.caller_timeout is None
-        or marks.caller_timeout >= 0
+        isinstance(parsed, str)
+        or parsed.caller_timeout is None
+        or parsed.caller_timeout >= 0
     )
 
 
--- a/dewridge/tests/gateway/memorystore.py
+++ b/dewridge/tests/gateway/memorystore.py
@@ -160,7 +160,7 @@
         *,
         expected: dict[str, int] | None = None,
         writes: tuple[Write, ...] = (),
-        drop: tuple[str, ...] = (),
+        removed_keys: tuple[str, ...] = (),
     ) -> int | Failure:
         """Write and drop keys if the expected revisions match."""
         self.change_calls += 1
@@ -175,7 +175,7 @@
                 return Failure(ResultCode.KEY_VALUE_LEASE_ENDED, "ended")
         for write in writes:
             self.write(write.key, write.value, write.lease)
-        for key in drop:
+        for key in removed_keys:
             self.remove(key)
         if self.loses_answers:
             return Failure(ResultCode.KEY_VALUE_UNKNOWN, "no answer")
--- a/dewridge/tests/gateway/pool_tests.py
+++ b/dewridge/tests/gateway/pool_tests.py
@@ -30,7 +30,7 @@
     reused = lost = 0
     for _ in range(600):
         age = rng.expovariate(0.5)
-        if age <= times.compute_limit(announced, must_arrive=True):
+        if age <= times.compute_limit(announced, is_non_retryable=True):
             reused += 1
             lost += age > closes_after
         if age > closes_after:
@@ -69,9 +69,9 @@
             times.record_open(age)
         else:
             times.record_closed(age)
-        limit = times.compute_limit(10.0, must_arrive=False)
+        limit = times.compute_limit(10.0, is_non_retryable=False)
         assert MIN_LIMIT <= limit <= 5.0
-        assert times.compute_limit(None, must_arrive=True) < max(limit, 5.0)
+        assert times.compute_limit(None, is_non_retryable=True) < max(limit, 5.0)
 
 
 async def test_requests_on_a_path_that_went_silent_lose_one_connection() -> None:
@@ -103,7 +103,7 @@
             "/write/a", method="POST", body=b"x", request_id="w"
         )
         assert answer.status >= 500
-        assert world.state.pool.acquire_idle(record, must_arrive=False) is None
+        assert world.state.pool.acquire_idle(record, is_non_retryable=False) is None
         assert world.state.pool.reused == 1
 
 
--- a/dewridge/tests/gateway/restores_tests.py
+++ b/dewridge/tests/gateway/restores_tests.py
@@ -11,7 +11,7 @@
 from dewridge.gateway.configuration import ConfigurationState
 from dewridge.gateway.model import RolloutOrder
 from dewridge.gateway.servers import REREGISTRATION_TIME, ServerTable
-from dewridge.gateway.usage import SETTLE_TIME, UsageDuty
+from dewridge.gateway.usage import SUM_DELAY, UsageDuty
 from dewridge.gateway.watching import StoreRole, StoreWatcher
 from dewridge.ids import ServerName, make_server_id
 from dewridge.platform.eras import StoreEra
@@ -267,7 +267,7 @@
         state.usage_counts[window][ACCOUNT] = 5
         duty = UsageDuty(state, AlwaysHolder(), MemoryStore(data), cloud)
         nursery.start_soon(duty.run)
-        await trio.sleep(window * 5.0 + 5.0 + SETTLE_TIME + 0.6 - 1000.0)
+        await trio.sleep(window * 5.0 + 5.0 + SUM_DELAY + 0.6 - 1000.0)
         assert cloud.reports
         data.restore(snapshot)
         state.usage_counts[window][ACCOUNT] = 9
--- a/dewridge/tests/gateway/rollouts_tests.py
+++ b/dewridge/tests/gateway/rollouts_tests.py
@@ -78,7 +78,9 @@
 
 def choose(table: RolloutTable, draw: float, *, is_first: bool = True) -> set[str]:
     """Return the versions that a request may be sent to."""
-    chosen = table.choose_servers(PLAIN, SERVERS, is_first=is_first, draw=lambda: draw)
+    chosen = table.choose_servers(
+        PLAIN, SERVERS, is_first=is_first, draw_random=lambda: draw
+    )
     return {server.version for server in chosen}
 
 
@@ -109,7 +111,9 @@
 def test_a_trial_uses_few_enough_servers_to_load_them() -> None:
     """Guards against missing a fault under load because trial servers are idle."""
     table = make_table(Stage.TRIAL)
-    chosen = table.choose_servers(PLAIN, SERVERS, is_first=True, draw=lambda: 0.0)
+    chosen = table.choose_servers(
+        PLAIN, SERVERS, is_first=True, draw_random=lambda: 0.0
+    )
     assert len(chosen) == 1
 
 
@@ -117,14 +121,16 @@
     """Guards against using a bad version when no server of another version remains."""
     table = make_table(Stage.REVERTED)
     new = [server for server in SERVERS if server.version == NEW]
-    assert table.choose_servers(PLAIN, new, is_first=True, draw=lambda: 0.0) == []
+    assert (
+        table.choose_servers(PLAIN, new, is_first=True, draw_random=lambda: 0.0) == []
+    )
 
 
 def test_other_versions_serve_without_servers_of_the_completed_one() -> None:
     """Guards against leaving servers idle because no order names their version."""
     table = make_table(Stage.COMPLETED)
     old = [server for server in SERVERS if server.version == OLD]
-    chosen = table.choose_servers(PLAIN, old, is_first=True, draw=lambda: 0.0)
+    chosen = table.choose_servers(PLAIN, old, is_first=True, draw_random=lambda: 0.0)
     assert chosen == old
 
 
@@ -132,7 +138,9 @@
     """Guards against leaving a service without servers."""
     table = make_table(Stage.WAITING)
     new = [server for server in SERVERS if server.version == NEW]
-    assert table.choose_servers(PLAIN, new, is_first=True, draw=lambda: 0.0) == new
+    assert (
+        table.choose_servers(PLAIN, new, is_first=True, draw_random=lambda: 0.0) == new
+    )
 
 
 def test_an_earlier_stage_or_order_changes_nothing() -> None:
--- a/dewridge/tests/gateway/state_tests.py
+++ b/dewridge/tests/gateway/state_tests.py
@@ -388,7 +388,7 @@
     alone = StoreWatcher(
         MemoryStore(), MemoryStore(), ConfigurationState(4.0), ServerTable(), int, 2e3
     )
-    assert alone.compute_poll_interval() == watching.POLL_PERIOD
+    assert alone.compute_poll_interval() == watching.POLL_INTERVAL
     for live_peers in range(1, 16):
         watcher = WatchingHost(live_peers=live_peers).watcher
         period = watcher.compute_poll_interval()
@@ -430,4 +430,4 @@
         nursery.cancel_scope.cancel()
     assert max(ages) < 1.9
     calls = sum(host.store.calls for host in fleet)
-    assert calls < 40.0 / watching.POLL_PERIOD * len(fleet) / 2
+    assert calls < 40.0 / watching.POLL_INTERVAL * len(fleet) / 2
--- a/dewridge/tests/gateway/usagetelling_tests.py
+++ b/dewridge/tests/gateway/usagetelling_tests.py
@@ -76,10 +76,10 @@
         for task in (network.run, sender.run, listen):
             nursery.start_soon(task)
         for _ in range(8):
-            sender.enqueue(("b", 1), b"r" * 3_000, Urgency.ROUND)
+            sender.enqueue(("b", 1), b"r" * 3_000, Urgency.PERIODIC)
         await trio.sleep(0.01)
-        sender.enqueue(("b", 1), b"u", Urgency.MUST_ARRIVE)
-        sender.enqueue(("b", 1), b"l", Urgency.AT_ONCE)
+        sender.enqueue(("b", 1), b"u", Urgency.CONFIRMED)
+        sender.enqueue(("b", 1), b"l", Urgency.URGENT)
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
     assert received.index(b"l") < received.index(b"u") < 5
--- a/dewridge/tests/gateway/weaklinks_tests.py
+++ b/dewridge/tests/gateway/weaklinks_tests.py
@@ -128,8 +128,8 @@
     def simulate_load(self) -> None:
         """Put requests at all servers, and count started requests of each account."""
         for index, server in enumerate(SERVERS):
-            self.state.work.requests[server] = 1 + index % 3
-            self.state.work.tokens[server] = 4_000 + index
+            self.state.work_in_flight.requests[server] = 1 + index % 3
+            self.state.work_in_flight.tokens[server] = 4_000 + index
             health = self.state.get_health(server)
             for _ in range(3):
                 health.record_success(trio.current_time())
--- a/dewridge/tests/policy/rollouts_tests.py
+++ b/dewridge/tests/policy/rollouts_tests.py
@@ -16,7 +16,7 @@
     RouteLabel,
     Stage,
     Tally,
-    Verdict,
+    VersionVerdict,
     choose_trial_servers,
     compute_trial_share,
     find_next_stage,
@@ -225,7 +225,7 @@
     evidence = Evidence(
         target={route: Tally(60, 24)}, baseline={route: Tally(600, 240)}
     )
-    assert judge_version(evidence) is Verdict.SOUND
+    assert judge_version(evidence) is VersionVerdict.GOOD
 
 
 def test_a_fault_on_one_route_is_not_hidden_by_the_others() -> None:
@@ -235,7 +235,7 @@
         target={rare: Tally(12, 6), busy: Tally(800, 8)},
         baseline={rare: Tally(120, 1), busy: Tally(8000, 80)},
     )
-    assert judge_version(evidence) is Verdict.BAD
+    assert judge_version(evidence) is VersionVerdict.BAD
 
 
 def test_a_route_without_enough_answers_leaves_a_version_undecided() -> None:
@@ -245,7 +245,7 @@
         target={seen: Tally(60, 0)},
         baseline={seen: Tally(600, 0), unseen: Tally(600, 0)},
     )
-    assert judge_version(evidence) is Verdict.UNDECIDED
+    assert judge_version(evidence) is VersionVerdict.UNDECIDED
 
 
 def test_a_version_without_answers_is_reverted() -> None:
@@ -265,7 +265,7 @@
 @pytest.mark.parametrize("stage", list(FINAL))
 def test_a_final_stage_does_not_change(stage: Stage) -> None:
     """Guards against late answers overturning a decision."""
-    rollout = make_rollout_state(stage, verdict=Verdict.BAD)
+    rollout = make_rollout_state(stage, verdict=VersionVerdict.BAD)
     assert find_next_stage(rollout) is stage
 
 
@@ -281,7 +281,7 @@
     servers: int = 4,
     answers: int = 50,
     baseline_in_flight: int = 0,
-    verdict: Verdict = Verdict.UNDECIDED,
+    verdict: VersionVerdict = VersionVerdict.UNDECIDED,
 ) -> RolloutState:
     """Return the state of a rollout of 40 s."""
     return RolloutState(
--- a/dewridge/tests/policy/scheduler_tests.py
+++ b/dewridge/tests/policy/scheduler_tests.py
@@ -99,14 +99,14 @@
     assert first
     [move] = scheduler.handle_server_leaving(first.server, 5.0, 1.0)
     assert move.request == work.request
-    assert 1.0 <= move.at < 4.0
+    assert 1.0 <= move.stop_at < 4.0
     assert move.export_cache
     retry = scheduler.record_attempt_end(
-        work.request, first.server, AttemptOutcome.LEAVING, 70, move.at
+        work.request, first.server, AttemptOutcome.LEAVING, 70, move.stop_at
     )
     assert isinstance(retry, Retry)
-    scheduler.update_servers(views, move.at)
-    second = scheduler.pick(move.at)
+    scheduler.update_servers(views, move.stop_at)
+    second = scheduler.pick(move.stop_at)
     assert second
     assert second.server != first.server
     assert second.work.tokens_done == 70
--- a/dewridge/tests/policy/suspects_tests.py
+++ b/dewridge/tests/policy/suspects_tests.py
@@ -176,7 +176,7 @@
             False,
             None,
             True,
-            ServerVerdict.GONE,
+            ServerVerdict.ENDED_OR_UNREACHABLE,
         ),
         (
             LossReason.MALFORMED,
@@ -184,7 +184,7 @@
             False,
             None,
             True,
-            ServerVerdict.GONE,
+            ServerVerdict.ENDED_OR_UNREACHABLE,
         ),
         (
             LossReason.CUT_OFF,
@@ -192,7 +192,7 @@
             False,
             CRASH_BLAME_SECONDS / 2,
             True,
-            ServerVerdict.GONE,
+            ServerVerdict.ENDED_OR_UNREACHABLE,
         ),
         (
             LossReason.CUT_OFF,
@@ -200,7 +200,7 @@
             False,
             CRASH_BLAME_SECONDS * 2,
             False,
-            ServerVerdict.GONE,
+            ServerVerdict.ENDED_OR_UNREACHABLE,
         ),
         (
             LossReason.CUT_OFF,
@@ -208,7 +208,7 @@
             True,
             None,
             False,
-            ServerVerdict.GONE,
+            ServerVerdict.ENDED_OR_UNREACHABLE,
         ),
         (
             LossReason.CUT_OFF,
@@ -227,10 +227,17 @@
             ServerVerdict.FAILED,
         ),
         (LossReason.MISMATCHED, None, False, None, False, ServerVerdict.FAILED),
-        (LossReason.NOT_CONNECTED, None, False, None, False, ServerVerdict.GONE),
+        (
+            LossReason.NOT_CONNECTED,
+            None,
+            False,
+            None,
+            False,
+            ServerVerdict.ENDED_OR_UNREACHABLE,
+        ),
         (LossReason.REJECTED, None, False, None, False, ServerVerdict.FULL),
         (LossReason.OTHER_SERVER, None, False, None, False, ServerVerdict.REPLACED),
-        (LossReason.MOVED, None, False, None, False, ServerVerdict.NOTHING),
+        (LossReason.MOVED, None, False, None, False, ServerVerdict.NO_EVIDENCE),
     ],
 )
 def test_only_the_crash_of_a_server_blames_what_it_had_just_begun(
--- a/dewridge/tests/soak/standins.py
+++ b/dewridge/tests/soak/standins.py
@@ -116,7 +116,7 @@
         result = await store.change(
             expected={row["key"]: row["revision"] for row in rows},
             writes=tuple(writes),
-            drop=tuple(body.get("drop", [])),
+            removed_keys=tuple(body.get("drop", [])),
         )
         if stand_in.drops_responses:
             await trio.sleep_forever()
