--- a/dewridge/gateway/datagrams.py
+++ b/dewridge/gateway/datagrams.py
@@ -48,12 +48,12 @@
         self,
         address: str,
         port: int,
-        pace: DatagramPacer,
+        pacer: DatagramPacer,
         metrics: Metrics | None = None,
     ) -> None:
         self._address = address
         self._port = port
-        self._pace = pace
+        self._pacer = pacer
         self._metrics = metrics or Metrics()
         self._socket = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
         self._queues: dict[Urgency, deque[Datagram]] = {
@@ -64,7 +64,7 @@
     @property
     def rate(self) -> float:
         """Maximum bytes sent per second."""
-        return self._pace.rate
+        return self._pacer.rate
 
     async def bind(self) -> None:
         """Bind the socket to its address and port."""
@@ -98,7 +98,7 @@
         """Send queued datagrams forever."""
         while True:
             await self._datagram_queued.wait()
-            wait = self._pace.compute_wait(trio.current_time())
+            wait = self._pacer.compute_wait(trio.current_time())
             if wait > 0:
                 await trio.sleep(wait)
             datagram = self._pop_next()
@@ -115,7 +115,7 @@
 
     async def _send(self, datagram: Datagram) -> None:
         size = len(datagram.data)
-        self._pace.record_sent(size, trio.current_time())
+        self._pacer.record_sent(size, trio.current_time())
         self._metrics.add("datagrams_sent")
         self._metrics.add("datagram_bytes_sent", size)
         try:
--- a/dewridge/gateway/directory.py
+++ b/dewridge/gateway/directory.py
@@ -26,7 +26,7 @@
 JSON_HEADERS = [(b"content-type", b"application/json")]
 
 
-def find_address_ttl(state: GatewayState) -> float:
+def compute_address_ttl(state: GatewayState) -> float:
     """Return the seconds for which callers may use a list of addresses."""
     ttl = LARGE_FLEET_ADDRESS_TTL if state.sharing.has_cells else ADDRESS_TTL
     return min(ttl, state.settings.bounds.answer_ttl)
@@ -60,7 +60,7 @@
             failure = Failure(ResultCode.NO_BACKEND_SERVER, "no host is ready", 0.3)
             await send_failure(responder, failure)
             return
-        ttl = find_address_ttl(self._state)
+        ttl = compute_address_ttl(self._state)
         await responder.send_complete(
             200, JSON_HEADERS, encode_addresses(addresses, ttl)
         )
@@ -74,7 +74,7 @@
         this host is partitioned or the store is unavailable to all hosts, and the
         registrations are the more reliable source.
         """
-        summary = self._state.sharing.find_summary(trio.current_time())
+        summary = self._state.sharing.get_summary(trio.current_time())
         registered = [host for host in self._state.hosts.list_hosts() if host.is_ready]
         local = [host for host in registered if host.id == self._state.host]
         if not self._state.is_ready:
--- a/dewridge/gateway/duties.py
+++ b/dewridge/gateway/duties.py
@@ -92,10 +92,10 @@
     async def run(self) -> None:
         """Become the holder whenever there is none, until this host steps down."""
         while not self._has_stepped_down:
-            await self._step()
+            await self._update_term()
             await trio.sleep(POLL_INTERVAL)
 
-    async def _step(self) -> None:
+    async def _update_term(self) -> None:
         lease_state = self._registration.lease_state
         if not lease_state.is_valid or lease_state.lease is None:
             self._end_term("no lease")
@@ -120,7 +120,7 @@
             self._begin_term(item.revision)
 
     async def _try_to_acquire(self, lease_id: int) -> None:
-        await trio.sleep(RANK_DELAY * self._find_rank())
+        await trio.sleep(RANK_DELAY * self._compute_rank())
         if HOLDER_KEY in self._table.items:
             return
         write = Write(HOLDER_KEY, self._holder_value, lease_id)
@@ -134,7 +134,7 @@
             if isinstance(item, Item):
                 self._apply_holder_item(item, lease_id)
 
-    def _find_rank(self) -> int:
+    def _compute_rank(self) -> int:
         host_ids = sorted(entry.id for entry in self._table.list_hosts())
         rank = host_ids.index(self._host) if self._host in host_ids else len(host_ids)
         return rank % RANK_COUNT
@@ -143,13 +143,13 @@
         token = self._make_fencing_token(revision)
         self._term = DutyTerm(self._host, token)
         now = read_boot_clock()
-        self._may_act_from = self._find_first_act_time(now)
+        self._may_act_from = self._compute_first_act_time(now)
         self._on_elected((token, self._host))
         log.bind(fence=token, acts_in=round(self._may_act_from - now, 2)).info(
             "duties taken"
         )
 
-    def _find_first_act_time(self, now: float) -> float:
+    def _compute_first_act_time(self, now: float) -> float:
         """Return the time from which a term that begins now may act.
 
         A host that acted before waits for one lease period after its last action.
--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -122,12 +122,12 @@
         """Register this host and renew its lease indefinitely."""
         while True:
             self._changed = trio.Event()
-            is_registered = await self._step()
+            is_registered = await self._ensure_registered()
             period = RENEW_PERIOD if is_registered else RENEW_PERIOD / 4
             with trio.move_on_after(period * random.uniform(0.9, 1.1)):
                 await self._changed.wait()
 
-    async def _step(self) -> bool:
+    async def _ensure_registered(self) -> bool:
         if not await self._ensure_lease():
             return False
         if self._written_entry == self.entry:
--- a/dewridge/gateway/leaving.py
+++ b/dewridge/gateway/leaving.py
@@ -3,7 +3,7 @@
 import trio
 from loguru import logger as log
 
-from dewridge.gateway.directory import find_address_ttl
+from dewridge.gateway.directory import compute_address_ttl
 from dewridge.gateway.duties import HolderElection
 from dewridge.gateway.hosts import Registration
 from dewridge.gateway.state import GatewayState
@@ -57,7 +57,7 @@
 ) -> None:
     serves_until = min(
         exit_deadline,
-        started_at + ANSWER_TTL_MULTIPLE * find_address_ttl(state) + QUIET_PERIOD,
+        started_at + ANSWER_TTL_MULTIPLE * compute_address_ttl(state) + QUIET_PERIOD,
     )
     quiet_since = trio.current_time()
     while trio.current_time() < exit_deadline:
--- a/dewridge/gateway/measures.py
+++ b/dewridge/gateway/measures.py
@@ -72,7 +72,7 @@
     metrics.set_gauge("server_connections_opened", state.pool.opened)
     metrics.set_gauge("server_connections_reused", state.pool.reused)
     for progress in state.rollouts.list_progress():
-        evidence = state.rollouts.find_evidence(progress.order)
+        evidence = state.rollouts.compute_evidence(progress.order)
         set_rollout_gauges(metrics, progress, "new", evidence.target)
         set_rollout_gauges(metrics, progress, "old", evidence.baseline)
     for caller in state.dependencies:
--- a/dewridge/gateway/operations.py
+++ b/dewridge/gateway/operations.py
@@ -159,7 +159,7 @@
         "share": progress.share,
         "elapsed_seconds": round(compute_elapsed(progress), 1),
         "duration_seconds": progress.duration,
-        **describe_evidence(state.rollouts.find_evidence(progress.order)),
+        **describe_evidence(state.rollouts.compute_evidence(progress.order)),
     }
 
 
--- a/dewridge/gateway/rolloutduty.py
+++ b/dewridge/gateway/rolloutduty.py
@@ -20,8 +20,8 @@
     FINAL,
     RolloutState,
     Stage,
+    compute_next_stage,
     compute_trial_share,
-    find_next_stage,
     judge_version,
 )
 from dewridge.sentinels import Failure
@@ -73,23 +73,23 @@
         while True:
             for progress in self._state.rollouts.list_progress():
                 if progress.stage not in FINAL:
-                    await self._step(progress)
+                    await self._advance_if_due(progress)
                 elif progress.service in self._services_to_rewrite:
                     await self._rewrite(progress)
             await trio.sleep(POLL_INTERVAL)
 
-    async def _step(self, progress: RolloutProgress) -> None:
+    async def _advance_if_due(self, progress: RolloutProgress) -> None:
         if self._election.find_active_term() is None:
             return
-        rollout = self._find_rollout_state(progress)
-        stage = find_next_stage(rollout)
+        rollout = self._make_rollout_state(progress)
+        stage = compute_next_stage(rollout)
         if stage is not progress.stage:
             await self._advance(progress, stage, rollout)
 
-    def _find_rollout_state(self, progress: RolloutProgress) -> RolloutState:
+    def _make_rollout_state(self, progress: RolloutProgress) -> RolloutState:
         state = self._state
         now = trio.current_time()
-        evidence = state.rollouts.find_evidence(progress.order)
+        evidence = state.rollouts.compute_evidence(progress.order)
         records = state.servers.list_service(progress.service)
         old = [server for server in records if server.version != progress.target]
         return RolloutState(
@@ -125,7 +125,7 @@
             target_servers=rollout.target_servers,
             baseline_servers=rollout.baseline_servers,
             baseline_in_flight=rollout.baseline_in_flight,
-            **describe_evidence(self._state.rollouts.find_evidence(progress.order)),
+            **describe_evidence(self._state.rollouts.compute_evidence(progress.order)),
         ).info("rollout stage changed")
         self._state.rollouts.apply_progress(advanced)
 
--- a/dewridge/gateway/rollouts.py
+++ b/dewridge/gateway/rollouts.py
@@ -171,7 +171,7 @@
     def apply_progress(self, progress: RolloutProgress) -> bool:
         """Apply progress if it is newer than the known one; return whether it was."""
         known = self._progress.get(progress.service)
-        if known is not None and _find_rank(known) >= _find_rank(progress):
+        if known is not None and _get_rank(known) >= _get_rank(progress):
             return False
         log.bind(
             service=progress.service,
@@ -320,7 +320,7 @@
             if f"/{NEW}/{BAD}/" in key:
                 self._update_verdict(progress)
 
-    def find_evidence(self, order: int) -> Evidence:
+    def compute_evidence(self, order: int) -> Evidence:
         """Return the answer counts of both versions by route, summed over all hosts."""
         sides: dict[str, dict[RouteLabel, Tally]] = {NEW: {}, OLD: {}}
         for key, count in self._totals.items():
@@ -336,7 +336,7 @@
     def _update_verdict(self, progress: RolloutProgress) -> None:
         if self._verdicts.get(progress.order) is VersionVerdict.BAD:
             return
-        evidence = self.find_evidence(progress.order)
+        evidence = self.compute_evidence(progress.order)
         verdict = judge_version(evidence)
         self._verdicts[progress.order] = verdict
         if verdict is VersionVerdict.BAD:
@@ -355,7 +355,7 @@
     return OutcomeKey(f"{order}/{side}/{kind}/{route}")
 
 
-def _find_rank(progress: RolloutProgress) -> tuple[int, int]:
+def _get_rank(progress: RolloutProgress) -> tuple[int, int]:
     return progress.order, RANKS[progress.stage]
 
 
--- a/dewridge/gateway/scaling.py
+++ b/dewridge/gateway/scaling.py
@@ -78,10 +78,10 @@
     async def run(self) -> None:
         """Plan and order servers indefinitely while this host holds the duties."""
         while True:
-            await self._step()
+            await self._order_servers()
             await trio.sleep(POLL_INTERVAL)
 
-    async def _step(self) -> None:
+    async def _order_servers(self) -> None:
         term = self._election.find_active_term()
         configuration = self._state.configuration.current
         if term is None or configuration is None:
--- a/dewridge/gateway/sharing.py
+++ b/dewridge/gateway/sharing.py
@@ -273,13 +273,13 @@
 
     def list_live_hosts(self) -> frozenset[HostId]:
         """Return the other live hosts of all cells."""
-        return self.find_summary(trio.current_time()).live_hosts
+        return self.get_summary(trio.current_time()).live_hosts
 
     def is_silent(self, host: HostId, now: float) -> bool:
         """Whether a host sent no recent report and no recent cell report lists it."""
-        return host not in self.find_summary(now).live_hosts
+        return host not in self.get_summary(now).live_hosts
 
-    def find_summary(self, now: float) -> FleetSummary:
+    def get_summary(self, now: float) -> FleetSummary:
         """Return the state of all other hosts together, cached for a short time."""
         if (
             self._summary is None
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -190,7 +190,7 @@
 
     def count_in_flight(self, records: Iterable[ServerRecord]) -> int:
         """Return the number of requests of all hosts in flight at the given servers."""
-        remote = self.sharing.find_summary(trio.current_time()).server_totals
+        remote = self.sharing.get_summary(trio.current_time()).server_totals
         return sum(
             remote.get(record.id, ZERO_SERVER_TOTALS).requests
             + self.work_in_flight.requests.get(record.id, 0)
@@ -266,7 +266,7 @@
 
     def make_fleet_view(self) -> FleetView:
         """Return this host's view of its peers, for quotas."""
-        summary = self.sharing.find_summary(trio.current_time())
+        summary = self.sharing.get_summary(trio.current_time())
         peers = self.hosts.list_peers()
         silent_count = sum(peer.id not in summary.live_hosts for peer in peers)
         return FleetView(
--- a/dewridge/gateway/weighing.py
+++ b/dewridge/gateway/weighing.py
@@ -190,7 +190,7 @@
     state: GatewayState, records: list[ServerRecord], now: float
 ) -> list[Candidate]:
     """Return the servers with their load from all hosts and whether they are usable."""
-    others = state.sharing.find_summary(now)
+    others = state.sharing.get_summary(now)
     healths = [state.get_health(server.id) for server in records]
     shares = [
         compute_fleet_failure_share(server.id, health, others, now)
--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -213,20 +213,20 @@
     baseline_in_flight: int
 
 
-def find_next_stage(rollout: RolloutState) -> Stage:
+def compute_next_stage(rollout: RolloutState) -> Stage:
     """Return the next stage, or the current one if it does not change."""
     if rollout.stage in FINAL:
         return rollout.stage
     if rollout.verdict is VersionVerdict.BAD:
         return Stage.REVERTED
     if rollout.stage is Stage.TRIAL:
-        return _find_stage_after_trial(rollout)
+        return _compute_stage_after_trial(rollout)
     if rollout.stage is Stage.MOVING:
-        return _find_stage_after_move(rollout)
+        return _compute_stage_after_move(rollout)
     return Stage.TRIAL
 
 
-def _find_stage_after_trial(rollout: RolloutState) -> Stage:
+def _compute_stage_after_trial(rollout: RolloutState) -> Stage:
     if rollout.elapsed < compute_trial_end(rollout.duration):
         return Stage.TRIAL
     # With fewer servers the target could not carry the load of the old version.
@@ -241,7 +241,7 @@
     return Stage.MOVING if has_evidence and rollout.target_servers else Stage.REVERTED
 
 
-def _find_stage_after_move(rollout: RolloutState) -> Stage:
+def _compute_stage_after_move(rollout: RolloutState) -> Stage:
     if rollout.stage_age < PROPAGATION_TIME:
         return Stage.MOVING
     # Completion stops the servers of the old version and their requests at once.
--- a/dewridge/tests/gateway/sharing_tests.py
+++ b/dewridge/tests/gateway/sharing_tests.py
@@ -97,10 +97,10 @@
     """A host dies with requests in flight; its servers must not look busy forever."""
     recorder = UsageRecorder()
     recorder.sharing.apply_report(make_report(1, 0, in_flight=5), 1.0)
-    assert recorder.sharing.find_summary(1.1).server_totals == {
+    assert recorder.sharing.get_summary(1.1).server_totals == {
         SERVER: ServerTotals(5, 500)
     }
-    assert recorder.sharing.find_summary(5.0).server_totals == {}
+    assert recorder.sharing.get_summary(5.0).server_totals == {}
 
 
 REMOTE_CELL = CellName("domain-b/0-2")
@@ -137,7 +137,7 @@
         report = make_cell_report(sender, number, used, in_flight=3)
         recorder.sharing.apply_report(report, 1.0 + round_number / 5)
     assert recorder.used == [30, 5]
-    assert recorder.sharing.find_summary(1.9).server_totals == {
+    assert recorder.sharing.get_summary(1.9).server_totals == {
         SERVER: ServerTotals(3, 300)
     }
 
@@ -177,7 +177,7 @@
     assert recorder.sharing.is_silent(OTHER_SENDER, 1.0)
     recorder.sharing.apply_report(make_cell_report(SENDER, 1, 10), 1.0)
     assert not recorder.sharing.is_silent(OTHER_SENDER, 1.1)
-    assert recorder.sharing.find_summary(1.1).unready_hosts == {OTHER_SENDER}
+    assert recorder.sharing.get_summary(1.1).unready_hosts == {OTHER_SENDER}
     assert recorder.sharing.is_silent(OTHER_SENDER, 3.0)
 
 
--- a/dewridge/tests/policy/rollouts_tests.py
+++ b/dewridge/tests/policy/rollouts_tests.py
@@ -18,8 +18,8 @@
     Tally,
     VersionVerdict,
     choose_trial_servers,
+    compute_next_stage,
     compute_trial_share,
-    find_next_stage,
     is_worse,
     judge_version,
 )
@@ -173,7 +173,7 @@
             baseline_servers=SERVERS,
             baseline_in_flight=0 if at - since > PROPAGATION_DELAY + STREAM_TIME else 1,
         )
-        following = find_next_stage(rollout)
+        following = compute_next_stage(rollout)
         if following is not stage:
             stage, since = following, at
             stages.append((at, stage))
@@ -251,22 +251,22 @@
 def test_a_version_without_answers_is_reverted() -> None:
     """Guards against moving to servers that did not start."""
     rollout = make_rollout_state(Stage.TRIAL, elapsed=39.0, servers=0, answers=0)
-    assert find_next_stage(rollout) is Stage.REVERTED
+    assert compute_next_stage(rollout) is Stage.REVERTED
 
 
 def test_a_move_waits_until_the_old_version_is_idle() -> None:
     """Guards against cutting off requests when servers of the old version stop."""
     busy = make_rollout_state(Stage.MOVING, elapsed=30.0, baseline_in_flight=1)
     idle = make_rollout_state(Stage.MOVING, elapsed=30.0)
-    assert find_next_stage(busy) is Stage.MOVING
-    assert find_next_stage(idle) is Stage.COMPLETED
+    assert compute_next_stage(busy) is Stage.MOVING
+    assert compute_next_stage(idle) is Stage.COMPLETED
 
 
 @pytest.mark.parametrize("stage", list(FINAL))
 def test_a_final_stage_does_not_change(stage: Stage) -> None:
     """Guards against late answers overturning a decision."""
     rollout = make_rollout_state(stage, verdict=VersionVerdict.BAD)
-    assert find_next_stage(rollout) is stage
+    assert compute_next_stage(rollout) is stage
 
 
 def test_a_few_bad_answers_do_not_make_a_version_worse() -> None:
