--- a/dewridge/gateway/hosts.py
+++ b/dewridge/gateway/hosts.py
@@ -25,7 +25,7 @@
 LEASE_MARGIN = 0.4
 """Seconds before the end of the lease at which its holder treats it as ended. Covers
 one delayed wake-up of a busy process."""
-POLL_PERIOD = 4.0
+POLL_INTERVAL = 4.0
 """Seconds between two reads of all registrations. Most changes arrive earlier through a
 watch, and peers detect silent hosts earlier."""
 BATCH_DELAY = 0.3
@@ -122,12 +122,12 @@
         """Register this host and renew its lease indefinitely."""
         while True:
             self._changed = trio.Event()
-            is_registered = await self._step()
+            is_registered = await self._ensure_registered()
             period = RENEW_PERIOD if is_registered else RENEW_PERIOD / 4
             with trio.move_on_after(period * random.uniform(0.9, 1.1)):
                 await self._changed.wait()
 
-    async def _step(self) -> bool:
+    async def _ensure_registered(self) -> bool:
         if not await self._ensure_lease():
             return False
         if self._written_entry == self.entry:
@@ -367,7 +367,7 @@
             if isinstance(listing, Listing):
                 self._table.replace(listing)
             is_restored = False
-            with trio.move_on_after(POLL_PERIOD * random.uniform(0.8, 1.2)):
+            with trio.move_on_after(POLL_INTERVAL * random.uniform(0.8, 1.2)):
                 await self._table.restored.wait()
                 is_restored = True
                 await trio.sleep(BATCH_DELAY * random.random())
@@ -394,7 +394,7 @@
                         self._table.revision = max(revision, changes.revision)
                     await trio.sleep(self._draw_batch_delay())
                     continue
-            with trio.move_on_after(POLL_PERIOD):
+            with trio.move_on_after(POLL_INTERVAL):
                 await self._table.changed.wait()
 
     def _draw_batch_delay(self) -> float:
--- a/dewridge/gateway/state.py
+++ b/dewridge/gateway/state.py
@@ -86,7 +86,7 @@
         if is_suspect:
             self.suspects[server] += 1
 
-    def record_prompt_read(self, server: BackendServerId, tokens: int) -> None:
+    def record_prompt_processed(self, server: BackendServerId, tokens: int) -> None:
         """Record that a prompt is no longer waiting to be processed.
 
         Its answer has begun, or never will.
@@ -119,7 +119,7 @@
     pool: ConnectionPool
     ingress: IngressState
     rng: random.Random
-    work: WorkInFlight = field(default_factory=WorkInFlight)
+    work_in_flight: WorkInFlight = field(default_factory=WorkInFlight)
     streams: RunningStreams = field(default_factory=RunningStreams)
     health: dict[BackendServerId, ServerHealth] = field(default_factory=dict)
     budgets: dict[ServiceName, RetryBudget] = field(default_factory=dict)
@@ -130,7 +130,7 @@
     demand: dict[ServiceName, DemandMeter] = field(
         default_factory=lambda: defaultdict(DemandMeter)
     )
-    paces: dict[ServiceName, PrefillRateMeter] = field(
+    prefill_rate_meters: dict[ServiceName, PrefillRateMeter] = field(
         default_factory=lambda: defaultdict(PrefillRateMeter)
     )
     local_demand: dict[ServiceName, float] = field(
@@ -164,13 +164,13 @@
         self.hosts.handle_restore()
         self.rollouts.handle_restore()
 
-    def find_health(self, server: BackendServerId) -> ServerHealth:
+    def get_health(self, server: BackendServerId) -> ServerHealth:
         """Return the health of a server as observed by this host's attempts."""
         if server not in self.health:
             self.health[server] = ServerHealth()
         return self.health[server]
 
-    def find_budget(self, service: ServiceName) -> RetryBudget:
+    def get_budget(self, service: ServiceName) -> RetryBudget:
         """Return the retry budget of a service."""
         if service not in self.budgets:
             bounds = self.settings.bounds
@@ -190,10 +190,10 @@
 
     def count_in_flight(self, records: Iterable[ServerRecord]) -> int:
         """Return the number of requests of all hosts in flight at the given servers."""
-        remote = self.sharing.find_summary(trio.current_time()).server_totals
+        remote = self.sharing.get_summary(trio.current_time()).server_totals
         return sum(
             remote.get(record.id, ZERO_SERVER_TOTALS).requests
-            + self.work.requests.get(record.id, 0)
+            + self.work_in_flight.requests.get(record.id, 0)
             for record in records
         )
 
@@ -203,14 +203,14 @@
         """Record prompt tokens that arrived at another host."""
         self.demand[service].add(tokens, now)
 
-    def find_window(self, at: float) -> int:
+    def compute_window(self, unix_time: float) -> int:
         """Return the usage window of a time in seconds since 1970."""
-        return int(at // self.settings.bounds.usage_window)
+        return int(unix_time // self.settings.bounds.usage_window)
 
     def count_usage(self, account: ClientAccount | None) -> None:
         """Record that a request of an account has just started."""
         if account is not None:
-            self.usage_counts[self.find_window(time.time())][account] += 1
+            self.usage_counts[self.compute_window(time.time())][account] += 1
 
     def make_report(self, number: int) -> Report:
         """Return this host's report to its peers, with its running totals."""
@@ -235,7 +235,7 @@
 
     def list_usage(self, windows: int) -> UsageCounts:
         """Return the requests started on this host in the newest usage windows."""
-        newest = self.find_window(time.time())
+        newest = self.compute_window(time.time())
         recent = range(newest - windows + 1, newest + 1)
         return {
             at: dict(self.usage_counts[at]) for at in recent if at in self.usage_counts
@@ -252,11 +252,11 @@
 
     def _list_server_totals(self, now: float) -> dict[BackendServerId, ServerTotals]:
         reported = {}
-        for server in {*self.work.requests, *self.health}:
-            attempts, failures = self.find_health(server).recent.read(now)
+        for server in {*self.work_in_flight.requests, *self.health}:
+            attempts, failures = self.get_health(server).recent.read(now)
             totals = ServerTotals(
-                requests=self.work.requests.get(server, 0),
-                tokens=self.work.tokens.get(server, 0),
+                requests=self.work_in_flight.requests.get(server, 0),
+                tokens=self.work_in_flight.tokens.get(server, 0),
                 attempts=round(attempts * TENTHS_PER_ATTEMPT),
                 failures=round(failures * TENTHS_PER_ATTEMPT),
             )
@@ -266,14 +266,14 @@
 
     def make_fleet_view(self) -> FleetView:
         """Return this host's view of its peers, for quotas."""
-        summary = self.sharing.find_summary(trio.current_time())
+        summary = self.sharing.get_summary(trio.current_time())
         peers = self.hosts.list_peers()
         silent_count = sum(peer.id not in summary.live_hosts for peer in peers)
         return FleetView(
             hosts=len(peers) + 1, silent=silent_count, staleness=self.sharing.staleness
         )
 
-    def find_store_role(self) -> StoreRole:
+    def get_store_role(self) -> StoreRole:
         """Return which data this host has to read from the store itself."""
         if not self.sharing.has_cells:
             return StoreRole.ALL
@@ -290,7 +290,7 @@
 
     def drop_expired(self) -> None:
         """Remove outdated counts and the data of departed servers."""
-        window = self.find_window(time.time()) - REPORTED_WINDOWS * 2
+        window = self.compute_window(time.time()) - REPORTED_WINDOWS * 2
         for old_window in [
             known_window for known_window in self.usage_counts if known_window < window
         ]:
--- a/dewridge/gateway/usagetelling.py
+++ b/dewridge/gateway/usagetelling.py
@@ -47,7 +47,7 @@
 core."""
 
 
-def find_usage_report_period(hosts: int) -> float:
+def compute_usage_report_period(hosts: int) -> float:
     """Return the seconds between two usage reports of a host."""
     return max(MIN_USAGE_PERIOD, hosts / MAX_USAGE_REPORTS_PER_SECOND)
 
@@ -144,7 +144,7 @@
             await trio.sleep(CONFIRMATION_TIMEOUT)
             if self._sharing.has_cells and self._unconfirmed_number:
                 self._send_usage()
-            period = find_usage_report_period(self._host_table.count())
+            period = compute_usage_report_period(self._host_table.count())
             await trio.sleep(period * random.uniform(0.9, 1.1) - CONFIRMATION_TIMEOUT)
 
     def _send_usage(self) -> None:
@@ -203,7 +203,7 @@
             self._sharing.local_host, self._sharing.boot, number, window, [usage]
         )
         data = self._encoder.encode(report)
-        self._socket.enqueue(address, data, Urgency.MUST_ARRIVE)
+        self._socket.enqueue(address, data, Urgency.CONFIRMED)
         return number
 
     def receive_report(self, report: UsageReport, sender: PeerAddress) -> None:
@@ -214,7 +214,7 @@
             return
         confirmation = UsageConfirmation(sharing.holder, report.boot, report.number)
         self._socket.enqueue(
-            sender, self._encoder.encode(confirmation), Urgency.MUST_ARRIVE
+            sender, self._encoder.encode(confirmation), Urgency.CONFIRMED
         )
 
     def receive_confirmation(self, confirmation: UsageConfirmation) -> None:
@@ -243,4 +243,4 @@
         """Ask hosts for their usage, as the holder of the duties."""
         data = self._encoder.encode(UsageRequest(self._sharing.holder))
         for host in hosts:
-            self._socket.enqueue(read_address(host.peers), data, Urgency.MUST_ARRIVE)
+            self._socket.enqueue(read_address(host.peers), data, Urgency.CONFIRMED)
--- a/dewridge/policy/choice.py
+++ b/dewridge/policy/choice.py
@@ -26,15 +26,16 @@
 HOLDERS_PER_PREFIX = 2
 """Number of cache holders of a prefix. With a single one, prompts that exceed its
 capacity would be read completely at other servers, each time at a different one."""
-SHARED_WEIGHT = 2.0
+EXTRA_LOAD_PER_SHARED_TOKEN = 2.0
 """Load that a cache holder may have above the least loaded server, as a multiple of the
 prompt's shared tokens. It is more than 1 because reading the shared tokens again at
 another server also delays the prompts that follow there: in a replay of bursts at 70%
 of the servers' capacity, 2.3% of the answers were late with 1 and 0.5% with 2."""
-COPIED_WEIGHT = 0.75
-"""As SHARED_WEIGHT, if the shared tokens can be copied from another cache holder. A
-copy takes a tenth of the time of reading them, and costs some milliseconds of work."""
-BUSY_WEIGHT = 1.0
+EXTRA_LOAD_PER_COPYABLE_TOKEN = 0.75
+"""As EXTRA_LOAD_PER_SHARED_TOKEN, if the shared tokens can be copied from another cache
+holder. A copy takes a tenth of the time of reading them, and costs some milliseconds of
+work."""
+EXTRA_LOAD_SHARE = 1.0
 """Load that a cache holder may have above the least loaded server, as a multiple of the
 load of that server: the busier all servers are, the fewer tokens can be read
 twice. In the same replay at 90% of the capacity, 14% of the answers were late with 0
@@ -53,7 +54,7 @@
         id: id of the server.
         failure_domain: failure domain of the server.
         requests: requests in flight to the server from all hosts.
-        unread_tokens: prompt tokens of these requests that the server has not read
+        unprocessed_tokens: prompt tokens of these requests that the server has not read
             yet, as far as is known.
         slots: requests that the server runs concurrently.
         is_usable: whether to send work to the server while there are other usable
@@ -63,7 +64,7 @@
     id: BackendServerId
     failure_domain: FailureDomain
     requests: int
-    unread_tokens: float
+    unprocessed_tokens: float
     slots: int
     is_usable: bool
 
@@ -72,7 +73,7 @@
         """Load that delays a new prompt, in prompt tokens to read before it."""
         queued = max(0, self.requests + 1 - self.slots)
         return (
-            self.unread_tokens
+            self.unprocessed_tokens
             + self.requests * RUNNING_REQUEST_TOKENS
             + queued * QUEUED_REQUEST_TOKENS
         )
@@ -139,18 +140,18 @@
     if staleness > MAX_STALENESS:
         usable = list_cache_holders(usable, prefix)
     lowest = min(server.delay_tokens for server in usable)
-    weight = COPIED_WEIGHT if can_copy else SHARED_WEIGHT
-    bound = lowest * (1 + BUSY_WEIGHT) + shared_tokens * weight + EQUAL_LOAD_TOKENS
+    weight = EXTRA_LOAD_PER_COPYABLE_TOKEN if can_copy else EXTRA_LOAD_PER_SHARED_TOKEN
+    bound = lowest * (1 + EXTRA_LOAD_SHARE) + shared_tokens * weight + EQUAL_LOAD_TOKENS
     for holder in list_cache_holders(usable, prefix):
         if holder.delay_tokens <= bound:
-            unshared_tokens = max(0, prompt_tokens - shared_tokens)
-            return Placement(holder.id, unshared_tokens, holder.unread_tokens <= 0)
+            uncached_tokens = max(0, prompt_tokens - shared_tokens)
+            return Placement(holder.id, uncached_tokens, holder.unprocessed_tokens <= 0)
     least_loaded = [
         server for server in usable if server.delay_tokens <= lowest + EQUAL_LOAD_TOKENS
     ]
     chosen = rng.choice(least_loaded)
     tokens = prompt_tokens - shared_tokens if can_copy else prompt_tokens
-    return Placement(chosen.id, max(0, tokens), chosen.unread_tokens <= 0)
+    return Placement(chosen.id, max(0, tokens), chosen.unprocessed_tokens <= 0)
 
 
 def list_cache_holders(candidates: Sequence[Candidate], prefix: str) -> list[Candidate]:
--- a/dewridge/policy/rollouts.py
+++ b/dewridge/policy/rollouts.py
@@ -28,12 +28,12 @@
 reaches all hosts."""
 MAX_TRIAL_SHARE = 0.25
 """Upper bound on the share of a service's requests that a trial takes."""
-MOVE_TIME = 6.0
+TRIAL_END_MARGIN = 6.0
 """Seconds before the deadline at which a trial ends: all hosts learn of the move within
 two and a half seconds, and most streams end within four."""
 MIN_TRIAL_TIME_SHARE = 0.4
 """Lower bound on the part of the permitted time that a trial takes."""
-MIN_MOVE_TIME = 4.0
+MIN_TRIAL_END_MARGIN = 4.0
 """Seconds before the deadline at which a trial that is still undecided is ended on the
 answers so far."""
 PROPAGATION_TIME = 2.5
@@ -76,11 +76,11 @@
 FINAL = frozenset({Stage.COMPLETED, Stage.REVERTED})
 
 
-class Verdict(Enum):
+class VersionVerdict(Enum):
     """Judgement of a version by its answers."""
 
     UNDECIDED = "undecided"
-    SOUND = "sound"
+    GOOD = "sound"
     BAD = "bad"
 
 
@@ -104,24 +104,24 @@
     baseline: Mapping[RouteLabel, Tally] = field(default_factory=dict)
 
 
-def judge_version(evidence: Evidence) -> Verdict:
+def judge_version(evidence: Evidence) -> VersionVerdict:
     """Return the verdict over all routes and on each of them."""
     target = sum(evidence.target.values(), Tally())
     baseline = sum(evidence.baseline.values(), Tally())
     if is_worse(target, baseline):
-        return Verdict.BAD
+        return VersionVerdict.BAD
     for route, tally in evidence.target.items():
         if is_worse(tally, evidence.baseline.get(route, Tally())):
-            return Verdict.BAD
+            return VersionVerdict.BAD
     if target.answers < MIN_ANSWERS:
-        return Verdict.UNDECIDED
+        return VersionVerdict.UNDECIDED
     for route, tally in evidence.baseline.items():
         seen = evidence.target.get(route, Tally()).answers
         expected = target.answers * tally.answers / baseline.answers
         if expected >= ANSWERS_NEEDED > seen:
-            return Verdict.UNDECIDED
+            return VersionVerdict.UNDECIDED
     is_enough = target.answers >= ANSWERS_NEEDED
-    return Verdict.SOUND if is_enough else Verdict.UNDECIDED
+    return VersionVerdict.GOOD if is_enough else VersionVerdict.UNDECIDED
 
 
 def is_worse(target: Tally, baseline: Tally) -> bool:
@@ -131,10 +131,10 @@
     baseline_rate = (baseline.bad + 1) / (baseline.answers + 1 / MIN_BAD_RATE)
     rate = min(1.0, max(MIN_BAD_RATE, baseline_rate * BAD_RATE_MARGIN))
     answers = max(target.answers, target.bad)
-    return find_tail_probability(answers, target.bad, rate) < SIGNIFICANCE
+    return compute_tail_probability(answers, target.bad, rate) < SIGNIFICANCE
 
 
-def find_tail_probability(answers: int, bad: int, rate: float) -> float:
+def compute_tail_probability(answers: int, bad: int, rate: float) -> float:
     """Return the probability of at least `bad` bad answers at a given rate."""
     if bad <= answers * rate:
         return 1.0
@@ -147,19 +147,19 @@
     )
 
 
-def find_trial_end(duration: float) -> float:
+def compute_trial_end(duration: float) -> float:
     """Return the seconds after the order at which its trial ends."""
-    return max(duration * MIN_TRIAL_TIME_SHARE, duration - MOVE_TIME)
+    return max(duration * MIN_TRIAL_TIME_SHARE, duration - TRIAL_END_MARGIN)
 
 
-def find_trial_share(exposure_share: float, duration: float) -> float:
+def compute_trial_share(exposure_share: float, duration: float) -> float:
     """Return the share of requests that a trial sends to the target version.
 
     The permitted exposure is a share of all requests until the deadline. All of the
     planned part is spent during the trial, to collect the most answers before the
     decision.
     """
-    planned = PLANNED_EXPOSURE * exposure_share * duration / find_trial_end(duration)
+    planned = PLANNED_EXPOSURE * exposure_share * duration / compute_trial_end(duration)
     return min(MAX_TRIAL_SHARE, planned)
 
 
@@ -206,42 +206,42 @@
     elapsed: float
     stage_age: float
     duration: float
-    verdict: Verdict
+    verdict: VersionVerdict
     target_answers: int
     target_servers: int
     baseline_servers: int
     baseline_in_flight: int
 
 
-def find_next_stage(rollout: RolloutState) -> Stage:
+def compute_next_stage(rollout: RolloutState) -> Stage:
     """Return the next stage, or the current one if it does not change."""
     if rollout.stage in FINAL:
         return rollout.stage
-    if rollout.verdict is Verdict.BAD:
+    if rollout.verdict is VersionVerdict.BAD:
         return Stage.REVERTED
     if rollout.stage is Stage.TRIAL:
-        return _find_stage_after_trial(rollout)
+        return _compute_stage_after_trial(rollout)
     if rollout.stage is Stage.MOVING:
-        return _find_stage_after_move(rollout)
+        return _compute_stage_after_move(rollout)
     return Stage.TRIAL
 
 
-def _find_stage_after_trial(rollout: RolloutState) -> Stage:
-    if rollout.elapsed < find_trial_end(rollout.duration):
+def _compute_stage_after_trial(rollout: RolloutState) -> Stage:
+    if rollout.elapsed < compute_trial_end(rollout.duration):
         return Stage.TRIAL
     # With fewer servers the target could not carry the load of the old version.
     has_capacity = rollout.target_servers >= rollout.baseline_servers
-    if rollout.verdict is Verdict.SOUND and has_capacity:
+    if rollout.verdict is VersionVerdict.GOOD and has_capacity:
         return Stage.MOVING
-    if rollout.elapsed < rollout.duration - MIN_MOVE_TIME:
+    if rollout.elapsed < rollout.duration - MIN_TRIAL_END_MARGIN:
         return Stage.TRIAL
     has_evidence = (
-        rollout.verdict is Verdict.SOUND or rollout.target_answers >= MIN_ANSWERS
+        rollout.verdict is VersionVerdict.GOOD or rollout.target_answers >= MIN_ANSWERS
     )
     return Stage.MOVING if has_evidence and rollout.target_servers else Stage.REVERTED
 
 
-def _find_stage_after_move(rollout: RolloutState) -> Stage:
+def _compute_stage_after_move(rollout: RolloutState) -> Stage:
     if rollout.stage_age < PROPAGATION_TIME:
         return Stage.MOVING
     # Completion stops the servers of the old version and their requests at once.
--- a/dewridge/requests/scheduling.py
+++ b/dewridge/requests/scheduling.py
@@ -197,7 +197,7 @@
         while (assignment := entry.scheduler.pick(now)) is not None:
             self.on_assigned(assignment)
         for move in entry.scheduler.find_moves(now):
-            self.on_move(move.request, move.at, move.export_cache)
+            self.on_move(move.request, move.stop_at, move.export_cache)
         at = entry.scheduler.find_next_time(now)
         return MAX_POLL_INTERVAL if at is None else max(0.001, at - now)
 
@@ -216,7 +216,7 @@
                 self._hosts_changed = True
                 self._changed_services.add(ServiceName(name))
             else:
-                self._usage.record(entry.service, entry.scheduler.read_usage())
+                self._usage.record(entry.service, entry.scheduler.get_usage())
                 entry.service = service
                 entry.scheduler.set_profile(service, profile, now)
         self._servers_synced_at = 0.0
@@ -264,12 +264,12 @@
         at = server.leaving_at or now + DEFAULT_LEAVE_NOTICE
         for entry in self._entries.values():
             for move in entry.scheduler.handle_server_leaving(server.id, at, now):
-                self.on_move(move.request, move.at, move.export_cache)
+                self.on_move(move.request, move.stop_at, move.export_cache)
 
     def sync_usage(self) -> None:
         """Add the schedulers' counts since the last call to the usage ledger."""
         for entry in self._entries.values():
-            self._usage.record(entry.service, entry.scheduler.read_usage())
+            self._usage.record(entry.service, entry.scheduler.get_usage())
 
     def describe(self) -> dict[str, Any]:
         """Return the schedulers' state for a diagnostic dump."""
--- a/dewridge/requests/suspects.py
+++ b/dewridge/requests/suspects.py
@@ -82,7 +82,9 @@
         if self._ledger.is_empty:
             return None
         digest = make_request_digest(account, service, operation, content)
-        seconds_left = self._ledger.find_quarantine_left(digest, self._shared.clock())
+        seconds_left = self._ledger.compute_quarantine_left(
+            digest, self._shared.clock()
+        )
         if seconds_left <= 0:
             return None
         self._shared.metrics.add("requests_set_aside_total", service=service)
@@ -132,7 +134,7 @@
         if is_full and self._ledger.find(digest) is None:
             # Bounds the number of rumors under an attack with many such requests.
             return
-        payload = CrashPayload(account, record.service, crash.at, crash.sent_at)
+        payload = CrashPayload(account, record.service, crash.crashed_at, crash.sent_at)
         self._broadcast(digest, attempt.server, VERSION_REPORTED, payload)
 
     def record_answered(self, record: Record) -> None:
@@ -148,7 +150,9 @@
             return
         for server in suspect.crashes.keys() - suspect.cleared:
             crash = suspect.crashes[server]
-            payload = CrashPayload(account, record.service, crash.at, crash.sent_at)
+            payload = CrashPayload(
+                account, record.service, crash.crashed_at, crash.sent_at
+            )
             self._broadcast(digest, server, VERSION_CLEARED, payload)
 
     def _broadcast(
@@ -185,10 +189,10 @@
 
     def _apply(self, suspect: Suspect) -> None:
         now = self._shared.clock()
-        seconds_left_before = self._ledger.find_quarantine_left(suspect.digest, now)
+        seconds_left_before = self._ledger.compute_quarantine_left(suspect.digest, now)
         self._ledger.drop_expired(now)
         self._ledger.merge(suspect, now)
-        seconds_left = self._ledger.find_quarantine_left(suspect.digest, now)
+        seconds_left = self._ledger.compute_quarantine_left(suspect.digest, now)
         if seconds_left > 0 and seconds_left_before <= 0:
             log.bind(
                 digest=suspect.digest,
--- a/dewridge/tests/policy/rollouts_tests.py
+++ b/dewridge/tests/policy/rollouts_tests.py
@@ -16,10 +16,10 @@
     RouteLabel,
     Stage,
     Tally,
-    Verdict,
+    VersionVerdict,
     choose_trial_servers,
-    find_next_stage,
-    find_trial_share,
+    compute_next_stage,
+    compute_trial_share,
     is_worse,
     judge_version,
 )
@@ -134,7 +134,7 @@
 ) -> Outcome:
     """Simulate a rollout from the order to its end."""
     servers = [BackendServerId(f"n-{n}") for n in range(SERVERS)]
-    share = find_trial_share(EXPOSURE_SHARE, version.duration)
+    share = compute_trial_share(EXPOSURE_SHARE, version.duration)
     chosen = choose(7, servers, SERVERS, share)
     load = share * SERVERS / len(chosen)
     arrivals: dict[tuple[bool, str], list[tuple[float, bool]]] = defaultdict(list)
@@ -173,7 +173,7 @@
             baseline_servers=SERVERS,
             baseline_in_flight=0 if at - since > PROPAGATION_DELAY + STREAM_TIME else 1,
         )
-        following = find_next_stage(rollout)
+        following = compute_next_stage(rollout)
         if following is not stage:
             stage, since = following, at
             stages.append((at, stage))
@@ -225,7 +225,7 @@
     evidence = Evidence(
         target={route: Tally(60, 24)}, baseline={route: Tally(600, 240)}
     )
-    assert judge_version(evidence) is Verdict.SOUND
+    assert judge_version(evidence) is VersionVerdict.GOOD
 
 
 def test_a_fault_on_one_route_is_not_hidden_by_the_others() -> None:
@@ -235,7 +235,7 @@
         target={rare: Tally(12, 6), busy: Tally(800, 8)},
         baseline={rare: Tally(120, 1), busy: Tally(8000, 80)},
     )
-    assert judge_version(evidence) is Verdict.BAD
+    assert judge_version(evidence) is VersionVerdict.BAD
 
 
 def test_a_route_without_enough_answers_leaves_a_version_undecided() -> None:
@@ -245,28 +245,28 @@
         target={seen: Tally(60, 0)},
         baseline={seen: Tally(600, 0), unseen: Tally(600, 0)},
     )
-    assert judge_version(evidence) is Verdict.UNDECIDED
+    assert judge_version(evidence) is VersionVerdict.UNDECIDED
 
 
 def test_a_version_without_answers_is_reverted() -> None:
     """Guards against moving to servers that did not start."""
     rollout = make_rollout_state(Stage.TRIAL, elapsed=39.0, servers=0, answers=0)
-    assert find_next_stage(rollout) is Stage.REVERTED
+    assert compute_next_stage(rollout) is Stage.REVERTED
 
 
 def test_a_move_waits_until_the_old_version_is_idle() -> None:
     """Guards against cutting off requests when servers of the old version stop."""
     busy = make_rollout_state(Stage.MOVING, elapsed=30.0, baseline_in_flight=1)
     idle = make_rollout_state(Stage.MOVING, elapsed=30.0)
-    assert find_next_stage(busy) is Stage.MOVING
-    assert find_next_stage(idle) is Stage.COMPLETED
+    assert compute_next_stage(busy) is Stage.MOVING
+    assert compute_next_stage(idle) is Stage.COMPLETED
 
 
 @pytest.mark.parametrize("stage", list(FINAL))
 def test_a_final_stage_does_not_change(stage: Stage) -> None:
     """Guards against late answers overturning a decision."""
-    rollout = make_rollout_state(stage, verdict=Verdict.BAD)
-    assert find_next_stage(rollout) is stage
+    rollout = make_rollout_state(stage, verdict=VersionVerdict.BAD)
+    assert compute_next_stage(rollout) is stage
 
 
 def test_a_few_bad_answers_do_not_make_a_version_worse() -> None:
@@ -281,7 +281,7 @@
     servers: int = 4,
     answers: int = 50,
     baseline_in_flight: int = 0,
-    verdict: Verdict = Verdict.UNDECIDED,
+    verdict: VersionVerdict = VersionVerdict.UNDECIDED,
 ) -> RolloutState:
     """Return the state of a rollout of 40 s."""
     return RolloutState(
